--- a/src/finchshed/admission/gate.py
+++ b/src/finchshed/admission/gate.py
@@ -14,6 +14,7 @@
 
 from finchshed.admission.demand import DemandThreshold
 from finchshed.admission.effects import GateEffect, Refuse, Start
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import NO_PATHS, PathThreshold
 from finchshed.admission.rank import rank_of, rank_once_admitted
 from finchshed.admission.threshold import AdmissionThreshold, Threshold
@@ -21,7 +22,6 @@
 from finchshed.common.outcomes import RefusalReason
 from finchshed.common.results import CallResult
 from finchshed.limit.concurrency import ConcurrencyLimit
-from finchshed.link.messages import LoadReport
 from finchshed.retry.policy import retry_after
 
 QUEUE_PER_SLOT = 8
--- a/src/finchshed/bench/call_load.py
+++ b/src/finchshed/bench/call_load.py
@@ -6,8 +6,8 @@
 
 from finchshed.bench.daemon_system import SERVICE
 from finchshed.common.context import HEADER_SERVICE
-from finchshed.daemon.backend import BackendAnswer, BackendRequest, BackendResult
-from finchshed.daemon.backend_http import HttpBackend
+from finchshed.daemon.backend.client import BackendAnswer, BackendRequest, BackendResult
+from finchshed.daemon.backend.http_client import HttpBackend
 
 CALL_TIMEOUT_SECONDS = 10.0
 MAX_ANSWER_BYTES = 1 << 20
--- a/src/finchshed/bench/consensus_group.py
+++ b/src/finchshed/bench/consensus_group.py
@@ -21,7 +21,7 @@
 )
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
-from finchshed.control.commands import ApplyChange, LogEntry, encode_entry
+from finchshed.control.state.commands import ApplyChange, LogEntry, encode_entry
 from finchshed.storage.log_store import WriteOutcome
 from finchshed.storage.records import Entry, EntryKind, Stored, Vote
 
--- a/src/finchshed/bench/consensus_log.py
+++ b/src/finchshed/bench/consensus_log.py
@@ -23,7 +23,7 @@
 from finchshed.bench.process_usage import MachineLoad, MachineMeter
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.consensus.log import RaftLog
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.storage.folder import DataFolder
 from finchshed.storage.log_store import open_store
 from finchshed.storage.records import Entry, Write
--- a/src/finchshed/bench/consensus_restart.py
+++ b/src/finchshed/bench/consensus_restart.py
@@ -16,7 +16,7 @@
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
 from finchshed.consensus.options import RaftOptions
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.storage.folder import DataFolder
 from finchshed.storage.log_store import open_store
 
--- a/src/finchshed/bench/control_plane.py
+++ b/src/finchshed/bench/control_plane.py
@@ -31,8 +31,8 @@
 from finchshed.configuration.changes import Accepted
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Endpoint, Policy, Resource, Service
-from finchshed.control.commands import BeginRequest, CompleteRequest, LogEntry, encode_entry
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.commands import BeginRequest, CompleteRequest, LogEntry, encode_entry
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.ctl.changes import read_in_force, submit
 from finchshed.ctl.client import OperatorClient
 from finchshed.ledger.keys import new_key
--- a/src/finchshed/bench/decisions.py
+++ b/src/finchshed/bench/decisions.py
@@ -20,13 +20,13 @@
 from finchshed import __version__
 from finchshed.admission.fairness import FairPositions
 from finchshed.admission.gate import Gate
+from finchshed.admission.load_report import LoadReport
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered
 from finchshed.common.results import CallResult
 from finchshed.configuration.resources import Endpoint
-from finchshed.link.messages import LoadReport
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.routing.caller import CallerLogic, Send
--- a/src/finchshed/bench/hollow_peers.py
+++ b/src/finchshed/bench/hollow_peers.py
@@ -6,11 +6,19 @@
 
 import asyncio
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.outcomes import Answered
 from finchshed.configuration.resources import Endpoint
 from finchshed.link.digests import digest_of
 from finchshed.link.lines import LineProtocol
-from finchshed.link.messages import Call, Hello, LoadReport, PeerMessage, Ping, Pong, Reply
+from finchshed.link.messages import (
+    Call,
+    Hello,
+    PeerMessage,
+    Ping,
+    Pong,
+    Reply,
+)
 
 REVISION = 1
 
--- a/src/finchshed/bench/paired_latency.py
+++ b/src/finchshed/bench/paired_latency.py
@@ -26,8 +26,8 @@
 from finchshed.bench.paired_results import PairedResult, Percentiles, table
 from finchshed.bench.process_usage import MachineLoad, MachineMeter, processor_seconds
 from finchshed.cli.exit_codes import ExitCode
-from finchshed.daemon.backend import BackendAnswer, BackendResult
-from finchshed.daemon.backend_http import HttpBackend
+from finchshed.daemon.backend.client import BackendAnswer, BackendResult
+from finchshed.daemon.backend.http_client import HttpBackend
 
 DIRECT, THROUGH, RELAYED = range(3)
 RELAYS = 2
--- a/src/finchshed/control/directory_service.py
+++ b/src/finchshed/control/daemons/directory_service.py
@@ -8,8 +8,8 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from finchshed.control.gathering import Gathering
-from finchshed.control.peer_messages import DirectoryReport
+from finchshed.control.daemons.gathering import Gathering
+from finchshed.control.raft.node_messages import DirectoryReport
 from finchshed.directory.registration import Registration
 from finchshed.directory.table import Directory
 from finchshed.distribution.messages import (
--- a/src/finchshed/control/distribution_service.py
+++ b/src/finchshed/control/daemons/distribution_service.py
@@ -7,15 +7,15 @@
 from finchshed.configuration.store import CommittedRevision
 from finchshed.control.addresses import split_address
 from finchshed.control.background import Background
-from finchshed.control.daemon_view import configuration_for_daemons, delta_for_daemons
-from finchshed.control.directory_service import DirectoryService
-from finchshed.control.explanations import Explanations
-from finchshed.control.group_log import GroupLog
-from finchshed.control.ledger_router import LedgerRouter, ShardClient
-from finchshed.control.ledger_service import LedgerRequest, LedgerService
-from finchshed.control.quarantine_service import QuarantineService
-from finchshed.control.quota_service import QuotaService
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.daemons.daemon_view import configuration_for_daemons, delta_for_daemons
+from finchshed.control.daemons.directory_service import DirectoryService
+from finchshed.control.daemons.explanations import Explanations
+from finchshed.control.daemons.ledger_router import LedgerRouter, ShardClient
+from finchshed.control.daemons.ledger_service import LedgerRequest, LedgerService
+from finchshed.control.daemons.quarantine_service import QuarantineService
+from finchshed.control.daemons.quota_service import QuotaService
+from finchshed.control.raft.group_log import GroupLog
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.hub import Hub
 from finchshed.distribution.messages import ControlToDaemon, Decision, Hints
 from finchshed.distribution.server import Answer, HubServer
--- a/src/finchshed/control/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -6,9 +6,14 @@
 from typing import Protocol
 
 from finchshed.common.errors import ControlUnavailableError
-from finchshed.control.ledger_service import NO_QUORUM, LedgerReply, LedgerRequest, LedgerService
-from finchshed.control.replicated_log import ReplicatedLog
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.daemons.ledger_service import (
+    NO_QUORUM,
+    LedgerReply,
+    LedgerRequest,
+    LedgerService,
+)
+from finchshed.control.raft.replicated_log import ReplicatedLog
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.addresses import ControlAddress
 from finchshed.distribution.client import ClientHandlers, Connect, ControlClient
 from finchshed.distribution.identity import ClientIdentity
--- a/src/finchshed/control/ledger_service.py
+++ b/src/finchshed/control/daemons/ledger_service.py
@@ -7,13 +7,13 @@
 
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.control.background import Background
-from finchshed.control.commands import (
+from finchshed.control.raft.replicated_log import ReplicatedLog
+from finchshed.control.state.commands import (
     BeginRequest,
     CancelRequest,
     CommandResult,
     CompleteRequest,
 )
-from finchshed.control.replicated_log import ReplicatedLog
 from finchshed.distribution.messages import (
     LedgerBegin,
     LedgerCancel,
--- a/src/finchshed/control/platform_poller.py
+++ b/src/finchshed/control/daemons/platform_poller.py
@@ -8,9 +8,9 @@
 from loguru import logger
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.control.platform_list import PlatformList, decode_instances
+from finchshed.control.daemons.platform_list import PlatformList, decode_instances
 from finchshed.control.settings import ControlSettings
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.messages import Hints
 from finchshed.observability.instruments import Counter, Gauge
 
--- a/src/finchshed/control/quarantine_service.py
+++ b/src/finchshed/control/daemons/quarantine_service.py
@@ -9,7 +9,7 @@
 
 from loguru import logger
 
-from finchshed.control.gathering import Gathering
+from finchshed.control.daemons.gathering import Gathering
 from finchshed.distribution.messages import ControlToDaemon
 from finchshed.quarantine.messages import CrashNews, CrashRecord
 from finchshed.quarantine.register import FREE, Judgement, QuarantineRegister
--- a/src/finchshed/control/quota_service.py
+++ b/src/finchshed/control/daemons/quota_service.py
@@ -14,11 +14,11 @@
 
 from finchshed.common.errors import FinchshedError
 from finchshed.configuration.resources import Tenant
-from finchshed.control.commands import NoteQuotaHolders
-from finchshed.control.group_log import GroupLog
-from finchshed.control.peer_links import PeerLink
-from finchshed.control.peer_messages import ForwardedQuota, QuotaReply
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.raft.group_log import GroupLog
+from finchshed.control.raft.node_links import PeerLink
+from finchshed.control.raft.node_messages import ForwardedQuota, QuotaReply
+from finchshed.control.state.commands import NoteQuotaHolders
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.quota.division import QuotaDivision
 from finchshed.quota.messages import QuotaAnswer, QuotaReport, QuotaRequest
 from finchshed.runtime import clock
--- a/src/finchshed/control/node.py
+++ b/src/finchshed/control/node.py
@@ -8,23 +8,23 @@
 from finchshed.consensus.options import RaftOptions
 from finchshed.control.addresses import member_addresses
 from finchshed.control.background import Background
-from finchshed.control.distribution_service import DistributionService
-from finchshed.control.group_log import GroupLog
-from finchshed.control.peer_links import PeerLinks
-from finchshed.control.peer_messages import PeerHello
-from finchshed.control.raft_host import RaftHost
-from finchshed.control.revisions import RevisionFeed
+from finchshed.control.daemons.distribution_service import DistributionService
+from finchshed.control.operators.revisions import RevisionFeed
+from finchshed.control.operators.whole_configuration import WholeConfiguration
+from finchshed.control.raft.group_log import GroupLog
+from finchshed.control.raft.host import RaftHost
+from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_messages import PeerHello
 from finchshed.control.settings import ControlSettings
-from finchshed.control.state_machine import ControlStateMachine
-from finchshed.control.state_metrics import observe_state
-from finchshed.control.whole_configuration import WholeConfiguration
+from finchshed.control.state.machine import ControlStateMachine
+from finchshed.control.state.metrics import observe_state
 from finchshed.link.networks import PeerNetworks
 from finchshed.observability.health import Health
 from finchshed.runtime import clock
 from finchshed.tls.credentials import Credentials, credentials_of
 
 if TYPE_CHECKING:
-    from finchshed.control.rpc_server import RpcServer
+    from finchshed.control.operators.rpc_server import RpcServer
     from finchshed.observability.admin import AdminServer
 
 ELECTION_SPREAD = 2.0
@@ -120,8 +120,8 @@
 
     def _make_rpc(self, credentials: Credentials | None) -> "RpcServer":
         # Not at the import: a node without it needn't hold gRPC in memory.
-        from finchshed.control.operator_service import OperatorService
-        from finchshed.control.rpc_server import RpcServer
+        from finchshed.control.operators.rpc_server import RpcServer
+        from finchshed.control.operators.service import OperatorService
 
         service = OperatorService(
             self._machine,
@@ -134,7 +134,7 @@
         return RpcServer(service, credentials)
 
     def _spawn_poller(self) -> None:
-        from finchshed.control.platform_poller import PlatformPoller
+        from finchshed.control.daemons.platform_poller import PlatformPoller
 
         poller = PlatformPoller(self._settings, self._machine, self._distribution.send_hints)
         self._background.spawn(poller.run())
--- /dev/null
+++ b/src/finchshed/control/operators/__init__.py
@@ -0,0 +1,1 @@
+"""What operators ask of a control node."""
--- a/src/finchshed/control/access.py
+++ b/src/finchshed/control/operators/access.py
@@ -8,8 +8,8 @@
 
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.configuration.store import BOOTSTRAP_OPERATOR
-from finchshed.control.replicated_log import ReplicatedLog
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.raft.replicated_log import ReplicatedLog
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.tls.names import Role, has_role, name_of, shown
 from finchshed.tls.rpc import caller_names
 
--- a/src/finchshed/control/replacement.py
+++ b/src/finchshed/control/operators/replacement.py
@@ -9,7 +9,7 @@
 
 from finchshed.consensus.effects import RefusalCause
 from finchshed.consensus.membership import AddMember, MembershipChange, RemoveMember
-from finchshed.control.replicated_log import MemberRole, MemberStatus
+from finchshed.control.raft.replicated_log import MemberRole, MemberStatus
 
 VOTING = (MemberRole.LEADER, MemberRole.VOTER)
 
--- a/src/finchshed/control/rpc_server.py
+++ b/src/finchshed/control/operators/rpc_server.py
@@ -4,7 +4,7 @@
 from grpc_health.v1 import health, health_pb2, health_pb2_grpc
 from grpc_reflection.v1alpha import reflection
 
-from finchshed.control.operator_service import OperatorService
+from finchshed.control.operators.service import OperatorService
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.rpc.generated import finchshed_pb2_grpc as pb_grpc
 from finchshed.tls.credentials import Credentials
--- a/src/finchshed/control/operator_service.py
+++ b/src/finchshed/control/operators/service.py
@@ -9,13 +9,13 @@
 
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.configuration.changes import Accepted, Change, Conflict, Invalid
-from finchshed.control.access import Access, abort
-from finchshed.control.commands import ApplyChange, NoteAction
-from finchshed.control.distribution_service import DistributionService
-from finchshed.control.replacement import Replacement
-from finchshed.control.replicated_log import ReplicatedLog
-from finchshed.control.revisions import RevisionFeed
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.daemons.distribution_service import DistributionService
+from finchshed.control.operators.access import Access, abort
+from finchshed.control.operators.replacement import Replacement
+from finchshed.control.operators.revisions import RevisionFeed
+from finchshed.control.raft.replicated_log import ReplicatedLog
+from finchshed.control.state.commands import ApplyChange, NoteAction
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.status import DaemonState
 from finchshed.observability import ring
 from finchshed.rpc.conversion import (
--- a/src/finchshed/control/whole_configuration.py
+++ b/src/finchshed/control/operators/whole_configuration.py
@@ -13,9 +13,9 @@
 from finchshed.configuration.changes import Accepted, Change, Conflict, Invalid
 from finchshed.configuration.resources import Resource
 from finchshed.configuration.store import BOOTSTRAP_OPERATOR
-from finchshed.control.commands import ApplyChange
-from finchshed.control.replicated_log import ReplicatedLog
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.raft.replicated_log import ReplicatedLog
+from finchshed.control.state.commands import ApplyChange
+from finchshed.control.state.machine import ControlStateMachine
 
 
 class Document(msgspec.Struct, frozen=True):
--- a/src/finchshed/control/group_log.py
+++ b/src/finchshed/control/raft/group_log.py
@@ -13,9 +13,10 @@
 from finchshed.consensus.membership import Member, MembershipChange
 from finchshed.consensus.membership import MemberRole as GroupRole
 from finchshed.control.background import Background
-from finchshed.control.commands import Command, CommandResult
-from finchshed.control.peer_links import PeerLink, PeerLinks
-from finchshed.control.peer_messages import (
+from finchshed.control.operators.replacement import Replacement, explain_refusal, next_step
+from finchshed.control.raft.host import RaftHost
+from finchshed.control.raft.node_links import PeerLink, PeerLinks
+from finchshed.control.raft.node_messages import (
     DirectoryReport,
     ForwardedChange,
     ForwardedCommand,
@@ -26,11 +27,10 @@
     QuotaReply,
     RaftLine,
 )
-from finchshed.control.pending_outcomes import NotTakenError, UndecidedError
-from finchshed.control.raft_host import RaftHost
-from finchshed.control.replacement import Replacement, explain_refusal, next_step
-from finchshed.control.replicated_log import LogStatus, MemberRole, MemberStatus
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.raft.pending_outcomes import NotTakenError, UndecidedError
+from finchshed.control.raft.replicated_log import LogStatus, MemberRole, MemberStatus
+from finchshed.control.state.commands import Command, CommandResult
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.status import InForceReport
 from finchshed.quarantine.messages import CrashNews
 
@@ -46,7 +46,7 @@
 
 
 class GroupLog:
-    """Implements :class:`finchshed.control.replicated_log.ReplicatedLog` over a group.
+    """Implements :class:`finchshed.control.raft.replicated_log.ReplicatedLog` over a group.
 
     Parameters
     ----------
--- a/src/finchshed/control/raft_host.py
+++ b/src/finchshed/control/raft/host.py
@@ -41,20 +41,20 @@
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
 from finchshed.consensus.options import RaftOptions
-from finchshed.control import raft_metrics as metrics
 from finchshed.control.background import Background
-from finchshed.control.commands import Command, CommandResult, LogEntry, encode_entry
-from finchshed.control.member_changes import count_members, describe_change
-from finchshed.control.peer_links import PeerLinks
-from finchshed.control.peer_messages import RaftLine
-from finchshed.control.pending_outcomes import (
+from finchshed.control.raft import metrics
+from finchshed.control.raft.member_changes import count_members, describe_change
+from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_messages import RaftLine
+from finchshed.control.raft.pending_outcomes import (
     NotTakenError,
     Outcome,
     PendingOutcomes,
     UndecidedError,
 )
-from finchshed.control.raft_storage import open_durable_state, open_log_folder
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.raft.storage import open_durable_state, open_log_folder
+from finchshed.control.state.commands import Command, CommandResult, LogEntry, encode_entry
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.runtime import clock
 
 DISK_RETRY_SECONDS = 0.5
--- a/src/finchshed/control/peer_links.py
+++ b/src/finchshed/control/raft/node_links.py
@@ -15,7 +15,7 @@
 
 from finchshed.control.addresses import split_address
 from finchshed.control.background import Background
-from finchshed.control.peer_messages import PeerHello, PeerMessage, RaftLine
+from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
 from finchshed.distribution.status import InForceReport
 from finchshed.link.lines import LineProtocol
 from finchshed.link.networks import PeerNetworks
--- a/src/finchshed/control/peer_messages.py
+++ b/src/finchshed/control/raft/node_messages.py
@@ -7,7 +7,7 @@
 
 from finchshed.consensus.membership import MembershipChange
 from finchshed.consensus.messages import Envelope
-from finchshed.control.commands import Command, CommandResult
+from finchshed.control.state.commands import Command, CommandResult
 from finchshed.directory.registration import Registration
 from finchshed.distribution.status import InForceReport
 from finchshed.quarantine.messages import CrashNews
--- a/src/finchshed/control/pending_outcomes.py
+++ b/src/finchshed/control/raft/pending_outcomes.py
@@ -4,7 +4,7 @@
 from typing import TypeAlias
 
 from finchshed.consensus.effects import RefusalCause
-from finchshed.control.commands import CommandResult
+from finchshed.control.state.commands import CommandResult
 
 
 class NotTakenError(Exception):
--- a/src/finchshed/control/recovery.py
+++ b/src/finchshed/control/raft/recovery.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from finchshed.configuration.store import StoreSnapshot, Winner
-from finchshed.control.audit import AuditEntry
-from finchshed.control.state_machine import StateSnapshot
+from finchshed.control.state.audit import AuditEntry
+from finchshed.control.state.machine import StateSnapshot
 from finchshed.ledger.ledger import MAX_CLOCK_LEAD_SECONDS, LedgerSnapshot
 
 REVISION_GAP = 1_000_000
--- a/src/finchshed/control/replicated_log.py
+++ b/src/finchshed/control/raft/replicated_log.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from finchshed.control.commands import Command, CommandResult
-from finchshed.control.peer_messages import DirectoryReport
+from finchshed.control.raft.node_messages import DirectoryReport
+from finchshed.control.state.commands import Command, CommandResult
 from finchshed.distribution.status import InForceReport
 from finchshed.quarantine.messages import CrashNews
 
--- /dev/null
+++ b/src/finchshed/control/state/__init__.py
@@ -0,0 +1,1 @@
+"""The replicated state: commands, the state machine they drive, and its metrics."""
--- a/src/finchshed/control/state_machine.py
+++ b/src/finchshed/control/state/machine.py
@@ -8,8 +8,8 @@
 from finchshed.configuration.changes import Accepted, Change, ChangeResult, Conflict
 from finchshed.configuration.resources import Policy, ResourceKey, key_of
 from finchshed.configuration.store import CommittedRevision, ConfigurationStore, StoreSnapshot
-from finchshed.control.audit import AuditEntry, AuditTrail
-from finchshed.control.commands import (
+from finchshed.control.state.audit import AuditEntry, AuditTrail
+from finchshed.control.state.commands import (
     ApplyChange,
     BeginRequest,
     CancelRequest,
--- a/src/finchshed/control/state_metrics.py
+++ b/src/finchshed/control/state/metrics.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.observability.instruments import Gauge
 
 OBSERVE_SECONDS = 1.0
--- a/src/finchshed/ctl/maintenance.py
+++ b/src/finchshed/ctl/maintenance.py
@@ -10,7 +10,7 @@
 
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.errors import ControlUnavailableError, SettingsError
-from finchshed.control.state_machine import StateSnapshot
+from finchshed.control.state.machine import StateSnapshot
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
 from finchshed.ctl.output import complain, show
 from finchshed.rpc.generated import finchshed_pb2 as pb
--- a/src/finchshed/ctl/restore.py
+++ b/src/finchshed/ctl/restore.py
@@ -22,10 +22,10 @@
     encode_membership,
 )
 from finchshed.control.addresses import member_addresses, split_address
-from finchshed.control.raft_storage import LOG_FOLDER, open_log_folder
-from finchshed.control.recovery import REVISION_GAP, recovered
+from finchshed.control.raft.recovery import REVISION_GAP, recovered
+from finchshed.control.raft.storage import LOG_FOLDER, open_log_folder
 from finchshed.control.settings import ControlSettings
-from finchshed.control.state_machine import ControlStateMachine, StateSnapshot
+from finchshed.control.state.machine import ControlStateMachine, StateSnapshot
 from finchshed.ctl.exit_codes import CtlExitCode
 from finchshed.ctl.output import show
 from finchshed.settings.loader import load
--- a/src/finchshed/daemon/backend_answer.py
+++ b/src/finchshed/daemon/backend/answer_head.py
@@ -4,7 +4,7 @@
 
 from finchshed.common.context import HEADER_ACCOUNT, HEADER_RAN
 from finchshed.common.outcomes import Headers
-from finchshed.daemon.backend import BackendAnswer, BackendBroken, BackendRequest
+from finchshed.daemon.backend.client import BackendAnswer, BackendBroken, BackendRequest
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.request import end_to_end_headers
 from finchshed.http.status import (
--- a/src/finchshed/daemon/backend_connection.py
+++ b/src/finchshed/daemon/backend/connection.py
@@ -14,14 +14,14 @@
 import httptools
 import msgspec
 
-from finchshed.daemon.backend import (
+from finchshed.daemon.backend.answer_head import AnswerReader
+from finchshed.daemon.backend.client import (
     BackendAnswer,
     BackendAnswerTooLarge,
     BackendBroken,
     BackendRequest,
     BackendResult,
 )
-from finchshed.daemon.backend_answer import AnswerReader
 from finchshed.http.status import STATUS_OK
 
 MAX_HEAD_BYTES = 65_536
--- a/src/finchshed/daemon/backend_watch.py
+++ b/src/finchshed/daemon/backend/health.py
@@ -8,13 +8,13 @@
 import asyncio
 from collections.abc import Callable
 
-from finchshed.daemon.backend import (
+from finchshed.daemon.backend.client import (
     Backend,
     BackendAnswer,
     BackendRequest,
     BackendResult,
 )
-from finchshed.daemon.backend_return import ReturnWatch
+from finchshed.daemon.backend.return_detection import ReturnWatch
 from finchshed.runtime import clock
 
 HEALTH_PATH = "/health"
--- a/src/finchshed/daemon/backend_http.py
+++ b/src/finchshed/daemon/backend/http_client.py
@@ -6,14 +6,14 @@
 from loguru import logger
 
 from finchshed.common.outcomes import Headers
-from finchshed.daemon.backend import (
+from finchshed.daemon.backend.answer_head import AnswerReader
+from finchshed.daemon.backend.client import (
     BackendRequest,
     BackendResult,
     BackendTimedOut,
     BackendUnreached,
 )
-from finchshed.daemon.backend_answer import AnswerReader
-from finchshed.daemon.backend_connection import BackendConnection, ConnectionState
+from finchshed.daemon.backend.connection import BackendConnection, ConnectionState
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.runtime import clock
 
@@ -51,7 +51,7 @@
     Attributes
     ----------
     loop
-        The loop it was made on; kept for the reason given in :mod:`finchshed.daemon.peers`.
+        The loop it was made on; kept for the reason given in :mod:`finchshed.daemon.calling.peers`.
     """
 
     def __init__(
--- a/src/finchshed/daemon/own_backend.py
+++ b/src/finchshed/daemon/backend/registration.py
@@ -6,13 +6,13 @@
 
 from loguru import logger
 
-from finchshed.daemon.backend import Backend, BackendAnswer, BackendResult, BackendUnreached
-from finchshed.daemon.backend_answer import slots_of
-from finchshed.daemon.backend_watch import check_health
-from finchshed.daemon.callee import Callee
+from finchshed.daemon.backend.answer_head import slots_of
+from finchshed.daemon.backend.client import Backend, BackendAnswer, BackendResult, BackendUnreached
+from finchshed.daemon.backend.health import check_health
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.leaving import Leaving, new_incarnation
 from finchshed.daemon.link_side import LinkSide
+from finchshed.daemon.serving.callee import Callee
 from finchshed.directory.registrar import Heartbeat, Registrar
 from finchshed.directory.registration import InstanceState, Registration
 from finchshed.distribution.client import ControlClient
--- a/src/finchshed/daemon/backend_call.py
+++ b/src/finchshed/daemon/backend/request.py
@@ -22,7 +22,7 @@
     Refused,
 )
 from finchshed.common.results import SERVER_ERROR
-from finchshed.daemon.backend import (
+from finchshed.daemon.backend.client import (
     BackendAnswer,
     BackendAnswerTooLarge,
     BackendRequest,
@@ -31,7 +31,7 @@
     BackendUnreached,
 )
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.work import Work
+from finchshed.daemon.serving.work import Work
 
 
 def backend_headers(work: Work, remaining: float) -> Headers:
--- a/src/finchshed/daemon/backend_return.py
+++ b/src/finchshed/daemon/backend/return_detection.py
@@ -7,7 +7,7 @@
 leaving back end at most once in that while.
 """
 
-from finchshed.daemon.backend import BackendAnswer, BackendResult, BackendUnreached
+from finchshed.daemon.backend.client import BackendAnswer, BackendResult, BackendUnreached
 from finchshed.http.status import STATUS_OK
 
 STEADY_SECONDS = 5.0
--- a/src/finchshed/daemon/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -11,15 +11,15 @@
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
-from finchshed.daemon.accounts import ServedRequests
+from finchshed.daemon.calling.outgoing import OutgoingCall
+from finchshed.daemon.calling.peers import PeerLinks
+from finchshed.daemon.calling.pins import SessionPins
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.decision_log import is_signed, log_request
-from finchshed.daemon.ledger_port import fingerprint_of
-from finchshed.daemon.outgoing import OutgoingCall
-from finchshed.daemon.peers import PeerLinks
-from finchshed.daemon.pins import SessionPins
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.request import Request
+from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.ledger_port import fingerprint_of
 from finchshed.daemon.signatures import Signatures
 from finchshed.retry.budgets import RetryBudgets
 from finchshed.retry.policy import retry_after
--- a/src/finchshed/daemon/endpoints.py
+++ b/src/finchshed/daemon/calling/endpoints.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.peers import PeerLinks
+from finchshed.daemon.calling.peers import PeerLinks
 from finchshed.directory.registration import Registration
 from finchshed.directory.table import Directory
 from finchshed.distribution.messages import DirectoryUpdate
--- a/src/finchshed/daemon/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing.py
@@ -16,10 +16,10 @@
     Refused,
 )
 from finchshed.daemon import metrics
-from finchshed.daemon.attempt import Attempt
+from finchshed.daemon.calling.attempt import Attempt
+from finchshed.daemon.calling.peers import PeerLinks
+from finchshed.daemon.calling.pins import mixes_editions, told_place
 from finchshed.daemon.decision_log import MILLISECONDS, is_logged, name_of
-from finchshed.daemon.peers import PeerLinks
-from finchshed.daemon.pins import mixes_editions, told_place
 from finchshed.daemon.request import Request
 from finchshed.link.digests import digest_of
 from finchshed.link.messages import Reply
--- a/src/finchshed/daemon/peers.py
+++ b/src/finchshed/daemon/calling/peers.py
@@ -8,13 +8,16 @@
 import random
 from dataclasses import dataclass, field
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.outcomes import RefusalReason
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.attempt import Attempt
-from finchshed.daemon.peers_owner import PeersOwner
+from finchshed.daemon.calling.attempt import Attempt
+from finchshed.daemon.calling.peers_owner import PeersOwner
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.distribution.messages import Delta
-from finchshed.link.messages import Hello, LoadReport
+from finchshed.link.messages import (
+    Hello,
+)
 from finchshed.link.peer import PeerLink
 from finchshed.link.states import Connect, LinkState, SendResult
 from finchshed.quarantine.messages import CrashNews
--- a/src/finchshed/daemon/peers_owner.py
+++ b/src/finchshed/daemon/calling/peers_owner.py
@@ -2,8 +2,11 @@
 
 from typing import Protocol
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.distribution.messages import Delta
-from finchshed.link.messages import Hello, LoadReport
+from finchshed.link.messages import (
+    Hello,
+)
 from finchshed.quarantine.messages import CrashNews
 
 
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -14,26 +14,26 @@
 from finchshed.common.outcomes import RefusalReason
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon import metrics
-from finchshed.daemon.accounts import ServedRequests
-from finchshed.daemon.backend_http import HttpBackend
-from finchshed.daemon.callee import Callee
-from finchshed.daemon.caller import Caller
+from finchshed.daemon.backend.http_client import HttpBackend
+from finchshed.daemon.backend.registration import OwnBackend
+from finchshed.daemon.calling.caller import Caller
+from finchshed.daemon.calling.endpoints import KnownEndpoints
+from finchshed.daemon.calling.peers import PeerLinks
+from finchshed.daemon.calling.platform_hints import PlatformHints
 from finchshed.daemon.catalogue import Catalogue
-from finchshed.daemon.control_ledger import ControlLedger
-from finchshed.daemon.endpoints import KnownEndpoints
-from finchshed.daemon.front import Admitted, Front
-from finchshed.daemon.guarded import GuardedRuns
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.host_front import HostAdmitted, HostFront
-from finchshed.daemon.lease_renewal import LeaseRenewal
+from finchshed.daemon.ingress.host_handler import HostAdmitted, HostFront
+from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
+from finchshed.daemon.ingress.quota_gate import QuotaGate
+from finchshed.daemon.ingress.service_handler import Admitted, Front
 from finchshed.daemon.leaving import Leaving, new_incarnation
 from finchshed.daemon.link_side import LinkSide
 from finchshed.daemon.listeners import Listeners
-from finchshed.daemon.own_backend import OwnBackend
-from finchshed.daemon.peers import PeerLinks
-from finchshed.daemon.platform_hints import PlatformHints
 from finchshed.daemon.quarantine import Quarantine
-from finchshed.daemon.quota_gate import QuotaGate
+from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.callee import Callee
+from finchshed.daemon.serving.control_ledger import ControlLedger
+from finchshed.daemon.serving.guarded import GuardedRuns
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import Signatures
 from finchshed.directory.registrar import Registrar
--- a/src/finchshed/daemon/decision_log.py
+++ b/src/finchshed/daemon/decision_log.py
@@ -6,13 +6,13 @@
 import time
 from collections.abc import Sequence
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.rank import rank_of
 from finchshed.common.outcomes import Answered, Failed, Outcome, RefusalReason, Refused
 from finchshed.common.results import SERVER_ERROR
 from finchshed.configuration.resources import HostRoute
 from finchshed.daemon.request import Request
-from finchshed.daemon.work import Work
-from finchshed.link.messages import LoadReport
+from finchshed.daemon.serving.work import Work
 from finchshed.observability import log_stream
 from finchshed.observability.decisions import Attempt, BackendEnded, CallEnded, RequestEnded
 from finchshed.runtime import clock
--- /dev/null
+++ b/src/finchshed/daemon/ingress/__init__.py
@@ -0,0 +1,1 @@
+"""Where requests enter the daemon over HTTP: who may send them, and how their ends are told."""
--- a/src/finchshed/daemon/host_front.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -21,13 +21,13 @@
     Refused,
 )
 from finchshed.configuration.resources import HostRoute, Tenant
-from finchshed.daemon.accounts import ServedRequest, ServedRequests
-from finchshed.daemon.caller import Caller
+from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.decision_log import log_refusal
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.quota_gate import QuotaGate
+from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.request import MAX_ANSWER_BYTES_BY_HOST, Request, end_to_end_headers
+from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.http.status import (
     STATUS_BAD_GATEWAY,
--- a/src/finchshed/daemon/front.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -24,11 +24,11 @@
     CallContext,
 )
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
-from finchshed.daemon.accounts import ServedRequest, ServedRequests
-from finchshed.daemon.caller import Caller
+from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue, Matched
+from finchshed.daemon.ingress.responses import malformed_response, response_of
 from finchshed.daemon.request import Request, end_to_end_headers
-from finchshed.daemon.responses import malformed_response, response_of
+from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.ledger.keys import issued_at
 from finchshed.retry.policy import retry_after
--- a/src/finchshed/daemon/leaving.py
+++ b/src/finchshed/daemon/leaving.py
@@ -8,11 +8,11 @@
 
 from loguru import logger
 
-from finchshed.daemon.backend import Backend
-from finchshed.daemon.backend_watch import BackendWatch
-from finchshed.daemon.callee import Callee
+from finchshed.daemon.backend.client import Backend
+from finchshed.daemon.backend.health import BackendWatch
+from finchshed.daemon.calling.platform_hints import OwnListing
 from finchshed.daemon.link_side import LinkSide
-from finchshed.daemon.platform_hints import OwnListing
+from finchshed.daemon.serving.callee import Callee
 from finchshed.distribution.messages import Hints
 from finchshed.link.listener import LinkListener
 from finchshed.runtime import clock
--- a/src/finchshed/daemon/link_side.py
+++ b/src/finchshed/daemon/link_side.py
@@ -3,15 +3,20 @@
 import random
 from collections.abc import Callable
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.outcomes import RefusalReason, Refused
-from finchshed.daemon.callee import Callee
-from finchshed.daemon.platform_hints import PlatformHints
+from finchshed.daemon.calling.platform_hints import PlatformHints
 from finchshed.daemon.quarantine import Quarantine
+from finchshed.daemon.serving.callee import Callee
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.distribution.driver import FollowerDriver
 from finchshed.distribution.messages import Delta
 from finchshed.link.listener import AcceptedLink
-from finchshed.link.messages import Call, Hello, LoadReport, Reply
+from finchshed.link.messages import (
+    Call,
+    Hello,
+    Reply,
+)
 from finchshed.quarantine.messages import CrashNews
 from finchshed.retry.policy import retry_after
 from finchshed.routing.table import RoutingTable
--- a/src/finchshed/daemon/call_admission.py
+++ b/src/finchshed/daemon/serving/call_admission.py
@@ -6,10 +6,10 @@
 
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.daemon.catalogue import Catalogue
-from finchshed.daemon.ledger_port import scoped_key
 from finchshed.daemon.request import MAX_ANSWER_BYTES_BY_HOST
+from finchshed.daemon.serving.ledger_port import scoped_key
+from finchshed.daemon.serving.work import Work
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.daemon.work import Work
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
 from finchshed.retry.policy import retry_after
--- a/src/finchshed/daemon/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -14,6 +14,7 @@
 
 from finchshed.admission.effects import GateEffect, Start
 from finchshed.admission.gate import Gate
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import PathThresholds
 from finchshed.admission.rank import passed
 from finchshed.common.outcomes import (
@@ -24,31 +25,34 @@
 )
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
-from finchshed.daemon.accounts import ServedRequests
-from finchshed.daemon.backend import (
+from finchshed.daemon.backend.client import (
     Backend,
     BackendAnswer,
     BackendBroken,
     BackendResult,
     BackendUnreached,
 )
-from finchshed.daemon.backend_call import backend_request, outcome_of, with_downstream
-from finchshed.daemon.call_admission import CallAdmission
+from finchshed.daemon.backend.request import backend_request, outcome_of, with_downstream
 from finchshed.daemon.catalogue import Catalogue
-from finchshed.daemon.crash_watch import BrokenRun, CrashWatch
 from finchshed.daemon.decision_log import is_signed, log_backend_ended, log_call
-from finchshed.daemon.guarded import GuardedRuns
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
+from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.call_admission import CallAdmission
+from finchshed.daemon.serving.crash_watch import BrokenRun, CrashWatch
+from finchshed.daemon.serving.guarded import GuardedRuns
+from finchshed.daemon.serving.suspect_queue import SuspectQueue, Turn
+from finchshed.daemon.serving.work import Work, WorkState
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import Signatures
-from finchshed.daemon.suspect_queue import SuspectQueue, Turn
-from finchshed.daemon.work import Work, WorkState
 from finchshed.http.status import STATUS_MISDIRECTED_REQUEST
 from finchshed.limit.concurrency import slots_to_use
 from finchshed.link.digests import digest_of
 from finchshed.link.listener import AcceptedLink
-from finchshed.link.messages import Call, LoadReport, Reply
+from finchshed.link.messages import (
+    Call,
+    Reply,
+)
 from finchshed.quarantine.messages import CrashRecord
 from finchshed.quarantine.register import Standing
 from finchshed.retry.policy import retry_after
--- a/src/finchshed/daemon/control_ledger.py
+++ b/src/finchshed/daemon/serving/control_ledger.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from finchshed.common.outcomes import Answered
-from finchshed.daemon.ledger_port import LedgerCallback
+from finchshed.daemon.serving.ledger_port import LedgerCallback
 from finchshed.distribution.client import ControlClient
 
 
--- a/src/finchshed/daemon/crash_watch.py
+++ b/src/finchshed/daemon/serving/crash_watch.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from finchshed.daemon.backend import Backend
+from finchshed.daemon.backend.client import Backend
 
 GATHER_SECONDS = 0.005
 """Connections of one process that ended break within this time of each other; the look at the back
--- a/src/finchshed/daemon/guarded.py
+++ b/src/finchshed/daemon/serving/guarded.py
@@ -25,15 +25,15 @@
     Refused,
 )
 from finchshed.daemon import metrics
-from finchshed.daemon.ledger_port import (
+from finchshed.daemon.serving.ledger_port import (
     LedgerAnswer,
     LedgerPort,
     fingerprint_of,
     stored_answer,
     with_fingerprint,
 )
+from finchshed.daemon.serving.work import Work
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.daemon.work import Work
 from finchshed.distribution.messages import (
     LedgerCompleted,
     LedgerGranted,
--- a/src/finchshed/daemon/work.py
+++ b/src/finchshed/daemon/serving/work.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from finchshed.common.context import CallContext
-from finchshed.daemon.accounts import ServedRequest
+from finchshed.daemon.serving.accounts import ServedRequest
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
 
--- a/src/finchshed/emulator/control/hub_shell.py
+++ b/src/finchshed/emulator/control/hub_shell.py
@@ -1,15 +1,15 @@
 """Carries out what the hub of a control node asks for.
 
 Counterpart of :mod:`finchshed.distribution.server` and
-:mod:`finchshed.control.distribution_service`.
+:mod:`finchshed.control.daemons.distribution_service`.
 """
 
 from collections.abc import Callable, Sequence
 from typing import Final, Protocol
 
 from finchshed.configuration.store import CommittedRevision
-from finchshed.control.commands import CommandResult
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.commands import CommandResult
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.hub import Hub
 from finchshed.distribution.hub_effects import Close, HubEffect, RequestConfirmation, Send
 from finchshed.distribution.messages import ControlToDaemon, Delta, Subscribe
--- a/src/finchshed/emulator/control/log_host.py
+++ b/src/finchshed/emulator/control/log_host.py
@@ -1,6 +1,6 @@
 """One life of a node of the replicated log in the emulator: disk, timers and messages.
 
-Counterpart of :mod:`finchshed.control.raft_host`. The node, its driver, its storage and its state
+Counterpart of :mod:`finchshed.control.raft.host`. The node, its driver, its storage and its state
 machine are the production classes; the disk forgets what was not synced.
 """
 
@@ -24,8 +24,8 @@
 from finchshed.consensus.membership import InitialMember
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
-from finchshed.control.commands import Command, CommandResult, LogEntry, encode_entry
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.commands import Command, CommandResult, LogEntry, encode_entry
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.plain_control import EPOCH_UNIX_SECONDS
 from finchshed.storage.log_store import OpenedStore, WriteOutcome, discard_damaged, open_store
--- a/src/finchshed/emulator/control/node.py
+++ b/src/finchshed/emulator/control/node.py
@@ -5,14 +5,14 @@
 from finchshed.configuration.store import CommittedRevision
 from finchshed.consensus.membership import InitialMember
 from finchshed.consensus.messages import Envelope
-from finchshed.control.commands import (
+from finchshed.control.state.commands import (
     BeginRequest,
     CancelRequest,
     Command,
     CommandResult,
     CompleteRequest,
 )
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.messages import Subscribe
 from finchshed.emulator.control.hub_shell import HubShell, Subscription
 from finchshed.emulator.control.log_host import LogHost, OnResult
--- a/src/finchshed/emulator/control/operators.py
+++ b/src/finchshed/emulator/control/operators.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from finchshed.configuration.changes import Accepted, Change, ChangeResult, Conflict, Invalid
-from finchshed.control.commands import ApplyChange, CommandResult
+from finchshed.control.state.commands import ApplyChange, CommandResult
 from finchshed.emulator.control.node import REQUEST_SECONDS, ControlNode
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.network import Site
--- a/src/finchshed/emulator/control/proposals.py
+++ b/src/finchshed/emulator/control/proposals.py
@@ -1,7 +1,7 @@
 """Proposals from any control node: the leader is found, and asked again.
 
-Counterpart of :mod:`finchshed.control.group_log`. Commands name themselves, so sending one again
-after a lost answer or a change of leader has no second effect.
+Counterpart of :mod:`finchshed.control.raft.group_log`. Commands name themselves, so sending one
+again after a lost answer or a change of leader has no second effect.
 """
 
 import random
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Final, Protocol
 
-from finchshed.control.commands import Command, CommandResult
+from finchshed.control.state.commands import Command, CommandResult
 from finchshed.emulator.control.log_host import LogHost, OnResult
 from finchshed.emulator.daemons.process import Process
 
--- a/src/finchshed/emulator/daemons/accepted_link.py
+++ b/src/finchshed/emulator/daemons/accepted_link.py
@@ -4,10 +4,13 @@
 from dataclasses import dataclass
 from typing import Final, Protocol
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.request import Request
-from finchshed.link.messages import LoadReport, Reply
+from finchshed.link.messages import (
+    Reply,
+)
 
 ACCEPTED_SILENCE_SECONDS: Final = 2.0
 """The serving end waits longer: the calling end's heartbeats may be late."""
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -1,6 +1,6 @@
 """The serving side of a daemon: admission, the ledger, and the back end.
 
-Counterpart of :mod:`finchshed.daemon.callee` and :mod:`finchshed.daemon.guarded`.
+Counterpart of :mod:`finchshed.daemon.serving.callee` and :mod:`finchshed.daemon.serving.guarded`.
 """
 
 import random
@@ -11,6 +11,7 @@
 
 from finchshed.admission.effects import GateEffect, Start
 from finchshed.admission.gate import Gate
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import PathThresholds
 from finchshed.common.context import HEADER_DOWNSTREAM, CallContext
 from finchshed.common.outcomes import (
@@ -31,7 +32,9 @@
 from finchshed.emulator.request import Request
 from finchshed.ledger.results import Completed, Granted, LedgerResult, OutcomeUnknown
 from finchshed.link.digests import digest_of
-from finchshed.link.messages import LoadReport, Reply
+from finchshed.link.messages import (
+    Reply,
+)
 from finchshed.proof.history import Admission
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.policy import retry_after
--- a/src/finchshed/emulator/daemons/control_client.py
+++ b/src/finchshed/emulator/daemons/control_client.py
@@ -10,7 +10,7 @@
 from typing import Final, Protocol
 
 from finchshed.common.outcomes import Answered
-from finchshed.control.commands import CommandResult, CompleteRequest
+from finchshed.control.state.commands import CommandResult, CompleteRequest
 from finchshed.distribution.addresses import AddressBook, ControlAddress
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import ControlToDaemon, Delta, Hints, Redirect, Subscribe
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -6,12 +6,13 @@
 from typing import Final
 
 from finchshed.admission.fairness import FairPositions
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import PathThresholds
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Endpoint, Policy
-from finchshed.control.state_machine import POLICY_KEY
+from finchshed.control.state.machine import POLICY_KEY
 from finchshed.distribution.messages import Delta, Hints
 from finchshed.distribution.snapshot import Configuration
 from finchshed.emulator.backend import BackEnd
@@ -26,7 +27,6 @@
 from finchshed.emulator.network import Site
 from finchshed.emulator.request import Cancel, Done, Request
 from finchshed.emulator.simulation import Simulation
-from finchshed.link.messages import LoadReport
 from finchshed.proof.history import RevisionInForce
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
--- a/src/finchshed/emulator/daemons/link.py
+++ b/src/finchshed/emulator/daemons/link.py
@@ -8,12 +8,15 @@
 from dataclasses import dataclass
 from typing import Final, Protocol
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import RefusalReason
 from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.request import Request
-from finchshed.link.messages import LoadReport, Reply
+from finchshed.link.messages import (
+    Reply,
+)
 
 HEARTBEAT_SECONDS: Final = 0.25
 SILENCE_SECONDS: Final = 1.0
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -1,12 +1,13 @@
 """The calling side of a daemon: one state machine a call, and what it asks for.
 
-Counterpart of :mod:`finchshed.daemon.caller` and :mod:`finchshed.daemon.outgoing`.
+Counterpart of :mod:`finchshed.daemon.calling.caller` and :mod:`finchshed.daemon.calling.outgoing`.
 """
 
 import random
 from collections.abc import Callable
 from typing import Final
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import (
     Answered,
@@ -21,7 +22,9 @@
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.request import Request
 from finchshed.link.digests import digest_of
-from finchshed.link.messages import LoadReport, Reply
+from finchshed.link.messages import (
+    Reply,
+)
 from finchshed.proof.history import Admission, AttemptSent
 from finchshed.retry.policy import retry_after
 from finchshed.routing.caller import CallerEffect, CallerLogic, Finish, Send, SetTimer, Withdraw
--- a/src/finchshed/emulator/daemons/pins.py
+++ b/src/finchshed/emulator/daemons/pins.py
@@ -1,6 +1,6 @@
 """Sessions at the caller's side of an emulated daemon: which endpoint serves each.
 
-Counterpart of :mod:`finchshed.daemon.pins`, without editions of downloads.
+Counterpart of :mod:`finchshed.daemon.calling.pins`, without editions of downloads.
 """
 
 import sys
--- a/src/finchshed/emulator/plain_control.py
+++ b/src/finchshed/emulator/plain_control.py
@@ -8,7 +8,7 @@
 from typing import Final, cast
 
 from finchshed.common.outcomes import Answered
-from finchshed.control.commands import (
+from finchshed.control.state.commands import (
     BeginRequest,
     CancelRequest,
     Command,
@@ -17,7 +17,7 @@
     LogEntry,
     encode_entry,
 )
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.emulator.daemons.ledger_client import OnLedgerResult
 from finchshed.emulator.simulation import Simulation
 from finchshed.ledger.results import LedgerResult
--- a/src/finchshed/link/messages.py
+++ b/src/finchshed/link/messages.py
@@ -4,12 +4,11 @@
 answer to a call that was given up on finds nobody.
 """
 
-from collections.abc import Mapping
 from typing import Annotated, TypeAlias
 
 import msgspec
 
-from finchshed.admission.paths import PathThreshold
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import Headers, Outcome
 from finchshed.distribution.messages import Delta, Fetch, RequestNumber, Revision
@@ -18,33 +17,6 @@
 SpareAttempts: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
 
 
-class LoadReport(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the daemon beside a back end tells its callers on each answer.
-
-    Attributes
-    ----------
-    threshold
-        Admission threshold: requests of a lower admission rank are refused at present. See
-        :mod:`finchshed.admission`.
-    queue_delay
-        Recent queueing delay, seconds.
-    in_flight
-        Requests running or queued.
-    limit
-        Concurrency limit in force.
-    paths
-        Thresholds that requests meet further down, by the route's prefix. See
-        :mod:`finchshed.admission.paths`.
-    """
-
-    threshold: int = 0
-    queue_delay: float = 0.0
-    in_flight: int = 0
-    limit: int = 0
-    draining: bool = False
-    paths: Mapping[str, PathThreshold] = {}
-
-
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
     """First line in each direction.
 
--- a/src/finchshed/link/owners.py
+++ b/src/finchshed/link/owners.py
@@ -2,8 +2,12 @@
 
 from typing import TYPE_CHECKING, Protocol
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.distribution.messages import Delta
-from finchshed.link.messages import Call, Hello, LoadReport
+from finchshed.link.messages import (
+    Call,
+    Hello,
+)
 from finchshed.quarantine.messages import CrashNews
 
 if TYPE_CHECKING:
--- a/src/finchshed/quota/division.py
+++ b/src/finchshed/quota/division.py
@@ -48,7 +48,7 @@
 
 OVERLAP_SECONDS = 1.0
 """The leader before may have granted until so long after the new one was chosen (see
-:mod:`finchshed.control.quota_service`)."""
+:mod:`finchshed.control.daemons.quota_service`)."""
 
 SETTLE_SECONDS = COUNTED_SECONDS + OVERLAP_SECONDS
 """After this time none of the shares is left that were granted before a new leader."""
--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import (
     Answered,
@@ -22,7 +23,6 @@
 )
 from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Endpoint
-from finchshed.link.messages import LoadReport
 from finchshed.quarantine.register import FREE, LAST_OWN_RETRY_CRASHES, Judgement, Standing
 from finchshed.retry.account import lent_share
 from finchshed.retry.bucket import RetryBucket
--- a/src/finchshed/routing/endpoint.py
+++ b/src/finchshed/routing/endpoint.py
@@ -3,11 +3,11 @@
 import enum
 import math
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import NO_THRESHOLD, PathThreshold, freshness
 from finchshed.admission.rank import RANKS
 from finchshed.common.results import CallResult
 from finchshed.configuration.resources import Endpoint, EndpointState
-from finchshed.link.messages import LoadReport
 
 LATENCY_WEIGHT = 0.1
 """Weight of one answer in the mean latency."""
--- a/src/finchshed/routing/table.py
+++ b/src/finchshed/routing/table.py
@@ -9,13 +9,13 @@
 import random
 from collections.abc import Collection, Iterable
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import NO_THRESHOLD, PathThreshold
 from finchshed.admission.rank import RANKS, admitted_share, rank_of
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.common.results import CallResult
 from finchshed.configuration.resources import Endpoint
-from finchshed.link.messages import LoadReport
 from finchshed.retry.policy import retry_after
 from finchshed.routing.endpoint import EndpointView, LeavingSign
 from finchshed.routing.pool import DEFAULT_SUBSET_SIZE, TIERS, ServicePool
--- a/tests/bench/test_paired_latency.py
+++ b/tests/bench/test_paired_latency.py
@@ -5,7 +5,12 @@
 from finchshed.bench.daemon_system import DaemonSystem
 from finchshed.bench.paired_latency import BODY_BYTES, PairedRun, measure
 from finchshed.bench.process_usage import MachineMeter, processor_seconds, resident_bytes
-from finchshed.daemon.backend import BackendAnswer, BackendBroken, BackendRequest, BackendResult
+from finchshed.daemon.backend.client import (
+    BackendAnswer,
+    BackendBroken,
+    BackendRequest,
+    BackendResult,
+)
 
 
 class _Way:
--- a/tests/control/test_audit.py
+++ b/tests/control/test_audit.py
@@ -5,8 +5,9 @@
 from finchshed.common.outcomes import Answered
 from finchshed.configuration.changes import Accepted, Change, Conflict
 from finchshed.configuration.resources import Operator, Service
-from finchshed.control.audit import MAX_SUBJECT_CHARACTERS, AuditEntry, AuditTrail
-from finchshed.control.commands import (
+from finchshed.control.raft.recovery import REVISION_GAP, recovered
+from finchshed.control.state.audit import MAX_SUBJECT_CHARACTERS, AuditEntry, AuditTrail
+from finchshed.control.state.commands import (
     ApplyChange,
     BeginRequest,
     CancelRequest,
@@ -16,8 +17,7 @@
     NoteAction,
     encode_entry,
 )
-from finchshed.control.recovery import REVISION_GAP, recovered
-from finchshed.control.state_machine import ControlStateMachine, StateSnapshot
+from finchshed.control.state.machine import ControlStateMachine, StateSnapshot
 from finchshed.ledger.keys import new_key
 from finchshed.ledger.ledger import MAX_CLOCK_LEAD_SECONDS
 from finchshed.ledger.results import Completed, Granted, OutcomeUnknown
--- a/tests/control/test_daemon_view.py
+++ b/tests/control/test_daemon_view.py
@@ -6,7 +6,7 @@
 
 from finchshed.configuration.resources import Operator, Policy, ResourceKey, Service
 from finchshed.configuration.store import CommittedRevision
-from finchshed.control.daemon_view import configuration_for_daemons, delta_for_daemons
+from finchshed.control.daemons.daemon_view import configuration_for_daemons, delta_for_daemons
 from finchshed.distribution.addresses import ControlAddress
 from finchshed.distribution.driver import FollowerDriver
 from finchshed.distribution.effects import ServingGround
--- a/tests/control/test_directory_service.py
+++ b/tests/control/test_directory_service.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from finchshed.control import directory_service, gathering
-from finchshed.control.directory_service import DirectoryService
-from finchshed.control.peer_messages import DirectoryReport
+from finchshed.control.daemons import directory_service, gathering
+from finchshed.control.daemons.directory_service import DirectoryService
+from finchshed.control.raft.node_messages import DirectoryReport
 from finchshed.directory.registration import InstanceState, Registration
 from finchshed.distribution.messages import (
     Announce,
--- a/tests/control/test_forwarding.py
+++ b/tests/control/test_forwarding.py
@@ -10,12 +10,12 @@
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.configuration.changes import Accepted, Change
 from finchshed.control.background import Background
-from finchshed.control.commands import ApplyChange
-from finchshed.control.group_log import GroupLog
-from finchshed.control.peer_links import PeerLink, PeerLinks
-from finchshed.control.peer_messages import ForwardedCommand, ForwardOutcome, ForwardReply
-from finchshed.control.raft_host import RaftHost
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.raft.group_log import GroupLog
+from finchshed.control.raft.host import RaftHost
+from finchshed.control.raft.node_links import PeerLink, PeerLinks
+from finchshed.control.raft.node_messages import ForwardedCommand, ForwardOutcome, ForwardReply
+from finchshed.control.state.commands import ApplyChange
+from finchshed.control.state.machine import ControlStateMachine
 
 TIMEOUT_SECONDS = 0.85
 LEADER = "10.0.0.1:1"
--- a/tests/control/test_ledger_router.py
+++ b/tests/control/test_ledger_router.py
@@ -8,11 +8,17 @@
 from finchshed.configuration.changes import Change
 from finchshed.configuration.resources import Operator, Policy
 from finchshed.control.background import Background
-from finchshed.control.commands import ApplyChange, Command, CommandResult, LogEntry, encode_entry
-from finchshed.control.ledger_router import LedgerRouter
-from finchshed.control.ledger_service import LedgerRequest, LedgerService
-from finchshed.control.replicated_log import LogStatus
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.daemons.ledger_router import LedgerRouter
+from finchshed.control.daemons.ledger_service import LedgerRequest, LedgerService
+from finchshed.control.raft.replicated_log import LogStatus
+from finchshed.control.state.commands import (
+    ApplyChange,
+    Command,
+    CommandResult,
+    LogEntry,
+    encode_entry,
+)
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.ledger_requests import LedgerAnswer
 from finchshed.distribution.messages import (
     LedgerBegin,
--- a/tests/control/test_ledger_service.py
+++ b/tests/control/test_ledger_service.py
@@ -5,17 +5,17 @@
 
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.common.outcomes import Answered
-from finchshed.control import ledger_service
 from finchshed.control.background import Background
-from finchshed.control.commands import (
+from finchshed.control.daemons import ledger_service
+from finchshed.control.daemons.ledger_service import LedgerService
+from finchshed.control.raft.replicated_log import LogStatus
+from finchshed.control.state.commands import (
     BeginRequest,
     CancelRequest,
     Command,
     CommandResult,
     CompleteRequest,
 )
-from finchshed.control.ledger_service import LedgerService
-from finchshed.control.replicated_log import LogStatus
 from finchshed.distribution.messages import (
     LedgerBegin,
     LedgerCancel,
--- a/tests/control/test_malformed_input.py
+++ b/tests/control/test_malformed_input.py
@@ -15,8 +15,8 @@
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import Append, Envelope, Heartbeat
 from finchshed.control.background import Background
-from finchshed.control.ledger_service import LedgerReply, LedgerService
-from finchshed.control.peer_messages import PeerHello, PeerMessage, RaftLine
+from finchshed.control.daemons.ledger_service import LedgerReply, LedgerService
+from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
 from finchshed.distribution.messages import (
     ControlToDaemon,
     DaemonToControl,
--- a/tests/control/test_member_changes.py
+++ b/tests/control/test_member_changes.py
@@ -2,7 +2,7 @@
 
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import Member, MemberRole, Membership, as_learner
-from finchshed.control.member_changes import count_members, describe_change
+from finchshed.control.raft.member_changes import count_members, describe_change
 
 
 def member(name: str) -> Member:
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -7,8 +7,13 @@
 import pytest
 
 from finchshed.control.background import Background
-from finchshed.control.peer_links import PeerLinks
-from finchshed.control.peer_messages import ForwardOutcome, ForwardReply, PeerHello, PeerMessage
+from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_messages import (
+    ForwardOutcome,
+    ForwardReply,
+    PeerHello,
+    PeerMessage,
+)
 from finchshed.link import lines
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import FIRST_LINE_BYTES
--- a/tests/control/test_platform_list.py
+++ b/tests/control/test_platform_list.py
@@ -2,7 +2,7 @@
 import pytest
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.control.platform_list import (
+from finchshed.control.daemons.platform_list import (
     Instance,
     InstanceState,
     PlatformList,
--- a/tests/control/test_quota_service.py
+++ b/tests/control/test_quota_service.py
@@ -6,17 +6,17 @@
 from finchshed.configuration.changes import Change
 from finchshed.configuration.resources import Tenant
 from finchshed.configuration.store import BOOTSTRAP_OPERATOR
-from finchshed.control import quota_service
-from finchshed.control.commands import (
+from finchshed.control.daemons import quota_service
+from finchshed.control.daemons.quota_service import CONFIRMED_SECONDS, QuotaService
+from finchshed.control.raft.node_messages import ForwardedQuota, QuotaReply
+from finchshed.control.state.commands import (
     ApplyChange,
     Command,
     LogEntry,
     NoteQuotaHolders,
     encode_entry,
 )
-from finchshed.control.peer_messages import ForwardedQuota, QuotaReply
-from finchshed.control.quota_service import CONFIRMED_SECONDS, QuotaService
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.quota.messages import (
     HeldShare,
     QuotaAnswer,
--- a/tests/control/test_raft_host.py
+++ b/tests/control/test_raft_host.py
@@ -9,12 +9,12 @@
 
 from finchshed.consensus.options import RaftOptions
 from finchshed.control.background import Background
-from finchshed.control.commands import NoteAction
-from finchshed.control.group_log import GroupLog
-from finchshed.control.peer_links import PeerLinks
-from finchshed.control.peer_messages import PeerHello
-from finchshed.control.raft_host import RaftHost
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.raft.group_log import GroupLog
+from finchshed.control.raft.host import RaftHost
+from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_messages import PeerHello
+from finchshed.control.state.commands import NoteAction
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.storage.log_store import LogStore, WriteOutcome
 from finchshed.storage.records import Write
 from tests.control.group import free_addresses
--- a/tests/control/test_replacement.py
+++ b/tests/control/test_replacement.py
@@ -1,6 +1,6 @@
 from finchshed.consensus.membership import AddMember, RemoveMember
-from finchshed.control.replacement import Replacement, next_step
-from finchshed.control.replicated_log import MemberRole, MemberStatus
+from finchshed.control.operators.replacement import Replacement, next_step
+from finchshed.control.raft.replicated_log import MemberRole, MemberStatus
 
 
 def members(*texts: str) -> list[MemberStatus]:
--- a/tests/control/test_state_machine.py
+++ b/tests/control/test_state_machine.py
@@ -6,14 +6,14 @@
 from finchshed.configuration.changes import Accepted, Change
 from finchshed.configuration.resources import Operator, Policy, Service
 from finchshed.configuration.store import CommittedRevision
-from finchshed.control.commands import (
+from finchshed.control.state.commands import (
     ApplyChange,
     BeginRequest,
     Command,
     LogEntry,
     encode_entry,
 )
-from finchshed.control.state_machine import ControlStateMachine
+from finchshed.control.state.machine import ControlStateMachine
 from finchshed.ledger.keys import new_key
 from finchshed.ledger.results import (
     Granted,
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from finchshed.control.state_machine import StateSnapshot
+from finchshed.control.state.machine import StateSnapshot
 from finchshed.ctl.connection import CONTROL_VARIABLE, TOKEN_VARIABLE
 from finchshed.distribution.messages import Decision
 from finchshed.quarantine.messages import Crash, CrashNews, CrashRecord
--- a/tests/ctl/test_recovery.py
+++ b/tests/ctl/test_recovery.py
@@ -13,7 +13,7 @@
 from finchshed.configuration.changes import Accepted, Conflict
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Service
-from finchshed.control.recovery import REVISION_GAP
+from finchshed.control.raft.recovery import REVISION_GAP
 from finchshed.ctl.changes import read_in_force, submit
 from finchshed.ctl.connection import CONTROL_VARIABLE, TOKEN_VARIABLE
 from finchshed.distribution.messages import LedgerCompleted, LedgerGranted, LedgerUnknown
--- a/tests/daemon/lone_callee.py
+++ b/tests/daemon/lone_callee.py
@@ -4,10 +4,10 @@
 from unittest.mock import Mock
 
 from finchshed.admission.paths import PathThresholds
-from finchshed.daemon.accounts import ServedRequests
-from finchshed.daemon.callee import Callee
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
+from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.callee import Callee
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import Signatures
 
--- a/tests/daemon/scripted_peer.py
+++ b/tests/daemon/scripted_peer.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.outcomes import Answered
 from finchshed.configuration.resources import Endpoint
 from finchshed.link.digests import digest_of
@@ -11,7 +12,6 @@
     Call,
     Cancel,
     Hello,
-    LoadReport,
     PeerMessage,
     Ping,
     Pong,
--- a/tests/daemon/test_admitted_share.py
+++ b/tests/daemon/test_admitted_share.py
@@ -8,8 +8,8 @@
 from finchshed.admission.rank import POSITIONS, class_floor
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
-from finchshed.daemon.accounts import ServedRequests
-from finchshed.daemon.callee import Callee
+from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.callee import Callee
 from finchshed.link.messages import Call
 from tests.daemon.lone_callee import lone_callee
 
--- a/tests/daemon/test_backend_watch.py
+++ b/tests/daemon/test_backend_watch.py
@@ -3,14 +3,14 @@
 import asyncio
 from collections.abc import Callable
 
-from finchshed.daemon.backend import (
+from finchshed.daemon.backend.client import (
     BackendAnswer,
     BackendBroken,
     BackendRequest,
     BackendResult,
     BackendUnreached,
 )
-from finchshed.daemon.backend_watch import (
+from finchshed.daemon.backend.health import (
     IDLE_POLL_SECONDS,
     TIMEOUT_SECONDS,
     BackendWatch,
--- a/tests/daemon/test_crash_watch.py
+++ b/tests/daemon/test_crash_watch.py
@@ -5,8 +5,8 @@
 from typing import Any
 from unittest.mock import AsyncMock, Mock
 
-from finchshed.daemon.backend_http import HttpBackend
-from finchshed.daemon.crash_watch import BrokenRun, CrashWatch
+from finchshed.daemon.backend.http_client import HttpBackend
+from finchshed.daemon.serving.crash_watch import BrokenRun, CrashWatch
 from tests.daemon.scripted_backend import ScriptedBackend, echo, well
 
 
--- a/tests/daemon/test_host_front.py
+++ b/tests/daemon/test_host_front.py
@@ -15,11 +15,11 @@
     Service,
     host_route_name,
 )
-from finchshed.daemon.accounts import ServedRequests
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.host_front import HostFront
+from finchshed.daemon.ingress.host_handler import HostFront
 from finchshed.daemon.request import Request
+from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.runtime import clock
 from finchshed.tenancy.lease import KeyLease
--- a/tests/daemon/test_known_endpoints.py
+++ b/tests/daemon/test_known_endpoints.py
@@ -4,7 +4,7 @@
 
 from loguru import logger
 
-from finchshed.daemon.endpoints import MAX_LOGGED, KnownEndpoints
+from finchshed.daemon.calling.endpoints import MAX_LOGGED, KnownEndpoints
 from finchshed.directory.registration import InstanceState, Registration
 from finchshed.distribution.messages import DirectoryUpdate
 
--- a/tests/daemon/test_pins.py
+++ b/tests/daemon/test_pins.py
@@ -8,7 +8,7 @@
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered, RefusalReason, Refused
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.pins import SessionPins, told_place
+from finchshed.daemon.calling.pins import SessionPins, told_place
 from finchshed.daemon.request import Request
 from finchshed.routing.table import RoutingTable
 
--- a/tests/daemon/test_platform_hints.py
+++ b/tests/daemon/test_platform_hints.py
@@ -3,7 +3,7 @@
 import signal
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.platform_hints import OwnListing, PlatformHints
+from finchshed.daemon.calling.platform_hints import OwnListing, PlatformHints
 from finchshed.distribution.messages import Hints, LeavingHint
 from finchshed.routing.endpoint import LeavingSign
 from finchshed.routing.table import RoutingTable
--- a/tests/daemon/test_quarantine.py
+++ b/tests/daemon/test_quarantine.py
@@ -8,8 +8,8 @@
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.request import Request
+from finchshed.daemon.serving.suspect_queue import MAX_WAITING, SuspectQueue, Turn
 from finchshed.daemon.signatures import Signatures
-from finchshed.daemon.suspect_queue import MAX_WAITING, SuspectQueue, Turn
 from finchshed.quarantine.messages import CrashNews
 from finchshed.quarantine.register import Standing
 
--- a/tests/daemon/test_quota_gate.py
+++ b/tests/daemon/test_quota_gate.py
@@ -8,7 +8,7 @@
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.configuration.resources import Tenant
 from finchshed.daemon.catalogue import Catalogue
-from finchshed.daemon.quota_gate import ANSWER_SECONDS, QuotaGate
+from finchshed.daemon.ingress.quota_gate import ANSWER_SECONDS, QuotaGate
 from finchshed.quota.messages import (
     GrantedShare,
     QuotaAnswer,
--- a/tests/daemon/test_return_after_leaving.py
+++ b/tests/daemon/test_return_after_leaving.py
@@ -3,8 +3,8 @@
 import asyncio
 import signal
 
-from finchshed.daemon.backend import BackendAnswer, BackendBroken, BackendUnreached
-from finchshed.daemon.backend_return import STEADY_SECONDS, ReturnWatch
+from finchshed.daemon.backend.client import BackendAnswer, BackendBroken, BackendUnreached
+from finchshed.daemon.backend.return_detection import STEADY_SECONDS, ReturnWatch
 from tests.daemon.deployment import Deployment, deployment, eventually
 from tests.daemon.scripted_backend import Received, answer
 
--- a/tests/daemon/test_suspension.py
+++ b/tests/daemon/test_suspension.py
@@ -14,9 +14,9 @@
 
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.configuration.resources import Policy
-from finchshed.daemon.guarded import GuardedRuns
-from finchshed.daemon.lease_renewal import LeaseRenewal
-from finchshed.daemon.work import Work
+from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
+from finchshed.daemon.serving.guarded import GuardedRuns
+from finchshed.daemon.serving.work import Work
 from finchshed.distribution.messages import LeaseRenewed, LedgerGranted
 from finchshed.quota.messages import GrantedShare, QuotaReport, QuotaShares
 from tests.daemon.test_host_front import Front, route
--- a/tests/daemon/test_unconfirmed_daemon.py
+++ b/tests/daemon/test_unconfirmed_daemon.py
@@ -11,7 +11,7 @@
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import RefusalReason, Refused
-from finchshed.daemon.accounts import ServedRequests
+from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.link.messages import Call, Reply
 from finchshed.retry.policy import is_redirect
 from tests.daemon.lone_callee import lone_callee
--- a/tests/daemon/test_unframed_answers.py
+++ b/tests/daemon/test_unframed_answers.py
@@ -5,9 +5,14 @@
 import struct
 
 from finchshed.common.outcomes import Answered
-from finchshed.daemon.backend import BackendAnswer, BackendBroken, BackendRequest, BackendResult
-from finchshed.daemon.backend_call import outcome_of
-from finchshed.daemon.backend_http import HttpBackend
+from finchshed.daemon.backend.client import (
+    BackendAnswer,
+    BackendBroken,
+    BackendRequest,
+    BackendResult,
+)
+from finchshed.daemon.backend.http_client import HttpBackend
+from finchshed.daemon.backend.request import outcome_of
 from finchshed.http.message import Response, encode_response
 from tests.daemon.scripted_backend import Received, ScriptedBackend, well
 
--- a/tests/forms/codecs.py
+++ b/tests/forms/codecs.py
@@ -16,14 +16,14 @@
 from finchshed.configuration.resources import Policy
 from finchshed.consensus.membership import Membership, decode_membership, encode_membership
 from finchshed.consensus.messages import Envelope
-from finchshed.control.audit import AuditEntry
-from finchshed.control.commands import CommandResult, LogEntry, decode_entry, encode_entry
-from finchshed.control.peer_messages import PeerMessage as ControlPeerMessage
-from finchshed.control.platform_list import Instance, decode_instances
-from finchshed.control.raft_storage import open_durable_state, open_log_folder
-from finchshed.control.state_machine import ControlStateMachine, StateSnapshot
-from finchshed.control.whole_configuration import Document
-from finchshed.daemon.responses import OutcomeBody
+from finchshed.control.daemons.platform_list import Instance, decode_instances
+from finchshed.control.operators.whole_configuration import Document
+from finchshed.control.raft.node_messages import PeerMessage as ControlPeerMessage
+from finchshed.control.raft.storage import open_durable_state, open_log_folder
+from finchshed.control.state.audit import AuditEntry
+from finchshed.control.state.commands import CommandResult, LogEntry, decode_entry, encode_entry
+from finchshed.control.state.machine import ControlStateMachine, StateSnapshot
+from finchshed.daemon.ingress.responses import OutcomeBody
 from finchshed.distribution.effects import FollowerRecord
 from finchshed.distribution.messages import ControlToDaemon, DaemonToControl
 from finchshed.distribution.record import RecordFile
--- a/tests/link/strategies.py
+++ b/tests/link/strategies.py
@@ -4,6 +4,7 @@
 
 from hypothesis import strategies as st
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered, Failed, FailureReason, RefusalReason, Refused
@@ -15,7 +16,6 @@
     Cancel,
     Draining,
     Hello,
-    LoadReport,
     PeerMessage,
     Ping,
     Pong,
--- a/tests/link/test_compression.py
+++ b/tests/link/test_compression.py
@@ -7,6 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.errors import ProtocolError
 from finchshed.common.outcomes import Answered
 from finchshed.link.compression import PIECE_BYTES, LineCompressor, LineDecompressor
@@ -14,7 +15,13 @@
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import LineProtocol
 from finchshed.link.listener import AcceptedLink
-from finchshed.link.messages import Call, Hello, LoadReport, PeerMessage, Ping, Reply
+from finchshed.link.messages import (
+    Call,
+    Hello,
+    PeerMessage,
+    Ping,
+    Reply,
+)
 from finchshed.link.peer import PeerLink
 from finchshed.link.states import ReplyCallback, SendResult
 from tests.link.strategies import EPOCH, cut, messages
--- a/tests/link/test_listener.py
+++ b/tests/link/test_listener.py
@@ -7,6 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered
@@ -15,7 +16,13 @@
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import FIRST_LINE_BYTES
 from finchshed.link.listener import AcceptedLink, LinkListener
-from finchshed.link.messages import Call, Hello, LoadReport, PeerMessage, Ping, Reply
+from finchshed.link.messages import (
+    Call,
+    Hello,
+    PeerMessage,
+    Ping,
+    Reply,
+)
 from finchshed.quarantine.messages import CrashNews
 from tests.link.strategies import EPOCH, garbage, messages
 from tests.link.transport import MemoryTransport
--- a/tests/link/test_peer.py
+++ b/tests/link/test_peer.py
@@ -8,12 +8,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered
 from finchshed.distribution.messages import Delta
 from finchshed.link.encoding import encode_line
-from finchshed.link.messages import Hello, LoadReport, PeerMessage, Ping, Reply
+from finchshed.link.messages import (
+    Hello,
+    PeerMessage,
+    Ping,
+    Reply,
+)
 from finchshed.link.peer import PeerLink
 from finchshed.link.states import LinkState, SendResult
 from finchshed.quarantine.messages import CrashNews
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -16,7 +16,7 @@
     Service,
     Tenant,
 )
-from finchshed.control.whole_configuration import Document
+from finchshed.control.operators.whole_configuration import Document
 from finchshed.tenancy.keys import digest_of_key
 from finchshed_platform.documents import read_document
 from finchshed_platform.heartbeats import PATH, read_heartbeat
--- a/tests/routing/test_near_or_better.py
+++ b/tests/routing/test_near_or_better.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Refused
 from finchshed.common.results import CallResult
 from finchshed.configuration.resources import Endpoint
-from finchshed.link.messages import LoadReport
 from finchshed.routing.table import RoutingTable
 
 CONTEXT = CallContext("root", Importance.NORMAL, 1.0)
--- a/tests/routing/test_service_floor.py
+++ b/tests/routing/test_service_floor.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import HOLD_SECONDS, VALIDITY_SECONDS, PathThreshold
 from finchshed.admission.rank import POSITIONS, admitted_share, class_floor, faded
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.configuration.resources import Endpoint
-from finchshed.link.messages import LoadReport
 from finchshed.routing.table import RoutingTable
 
 NORMAL_FLOOR = class_floor(Importance.NORMAL)
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -5,12 +5,12 @@
 
 import pytest
 
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.common.results import CallResult
 from finchshed.configuration.resources import WARM_UP_SECONDS, Endpoint, EndpointState
-from finchshed.link.messages import LoadReport
 from finchshed.routing.endpoint import LATENCY_MEMORY_SECONDS, LeavingSign
 from finchshed.routing.table import EJECT_AFTER_FAILURES, LINK_RETRY_MAX_SECONDS, RoutingTable
 
--- a/tests/simulation/system.py
+++ b/tests/simulation/system.py
@@ -10,11 +10,11 @@
 
 from finchshed.admission.effects import GateEffect, Start
 from finchshed.admission.gate import Gate
+from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import HEADER_DOWNSTREAM, CallContext
 from finchshed.common.outcomes import Answered, Failed, FailureReason, Outcome, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Endpoint
-from finchshed.link.messages import LoadReport
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.routing.caller import CallerEffect, CallerLogic, Finish, Send, SetTimer, Withdraw
--- a/tests/tls/test_control_peers.py
+++ b/tests/tls/test_control_peers.py
@@ -10,8 +10,8 @@
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import Envelope, PreVoteReply
 from finchshed.control.background import Background
-from finchshed.control.peer_links import PeerLinks
-from finchshed.control.peer_messages import PeerHello, PeerMessage, RaftLine
+from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
 from finchshed.distribution.status import InForceReport
 from finchshed.link.encoding import encode_line
 from finchshed.tls.credentials import Credentials
