--- a/src/finchshed/admission/paths.py
+++ b/src/finchshed/admission/paths.py
@@ -17,6 +17,7 @@
 import msgspec
 
 from finchshed.admission.rank import faded
+from finchshed.common.units import MILLISECONDS
 
 DEPENDENCY_WEIGHT = 0.05
 """Weight of one answered request in the share of requests that make a call."""
@@ -27,8 +28,6 @@
 REFRESH_SECONDS = 0.01
 """How long thresholds worked out are used again."""
 
-MILLISECONDS = 1000.0
-
 
 HOLD_SECONDS = 0.3
 """A threshold counts in full while the report it comes from is no older than this."""
--- a/src/finchshed/daemon/calling/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing.py
@@ -15,11 +15,15 @@
     RefusalReason,
     Refused,
 )
+from finchshed.common.units import MILLISECONDS
 from finchshed.daemon import metrics
 from finchshed.daemon.calling.attempt import Attempt
 from finchshed.daemon.calling.peers import PeerLinks
 from finchshed.daemon.calling.pins import mixes_editions, told_place
-from finchshed.daemon.decision_log import MILLISECONDS, is_logged, name_of
+from finchshed.daemon.decision_log import (
+    is_logged,
+    name_of,
+)
 from finchshed.daemon.request import Request
 from finchshed.link.digests import digest_of
 from finchshed.link.messages import Reply
--- a/src/finchshed/daemon/calling/peers.py
+++ b/src/finchshed/daemon/calling/peers.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass, field
 
 from finchshed.admission.load_report import LoadReport
+from finchshed.common.backoff import Backoff
 from finchshed.common.outcomes import RefusalReason
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon.calling.attempt import Attempt
@@ -25,6 +26,7 @@
 
 BACKOFF_FIRST_SECONDS = 0.05
 BACKOFF_MAX_SECONDS = 2.0
+DIAL_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
 
 
 @dataclass(slots=True)
@@ -254,9 +256,9 @@
         return settings.compresses_links and is_plain and endpoint.zone != settings.zone
 
     def _back_off(self, peer: _Peer) -> None:
-        bound = min(BACKOFF_MAX_SECONDS, BACKOFF_FIRST_SECONDS * 2.0 ** min(peer.failures, 16))
+        wait = DIAL_BACKOFF.half_jitter(peer.failures, self._rng)
         peer.failures += 1
-        peer.not_before = clock.now() + bound * (0.5 + 0.5 * self._rng.random())
+        peer.not_before = clock.now() + wait
 
     def _send_on(self, link: PeerLink, attempt: Attempt) -> None:
         remaining = attempt.deadline - clock.now()
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -12,6 +12,7 @@
 
 from finchshed.admission.paths import PathThresholds
 from finchshed.common.outcomes import RefusalReason
+from finchshed.common.units import MILLISECONDS
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon import metrics
 from finchshed.daemon.backend.http_client import HttpBackend
@@ -55,7 +56,6 @@
 from finchshed.tls.names import Role
 
 SLOW_TICK_SECONDS = 0.5
-MILLISECONDS = 1000.0
 
 IDLE_SLACK_SECONDS = 2.0
 """A connection is kept a little longer than callers were told, so that none of theirs crosses."""
--- a/src/finchshed/daemon/decision_log.py
+++ b/src/finchshed/daemon/decision_log.py
@@ -10,6 +10,7 @@
 from finchshed.admission.rank import rank_of
 from finchshed.common.outcomes import Answered, Failed, Outcome, RefusalReason, Refused
 from finchshed.common.results import SERVER_ERROR
+from finchshed.common.units import MILLISECONDS
 from finchshed.configuration.resources import HostRoute
 from finchshed.daemon.request import Request
 from finchshed.daemon.serving.work import Work
@@ -17,8 +18,6 @@
 from finchshed.observability.decisions import Attempt, BackendEnded, CallEnded, RequestEnded
 from finchshed.runtime import clock
 
-MILLISECONDS = 1000.0
-
 SIGNED_REFUSALS = frozenset({RefusalReason.QUARANTINED, RefusalReason.SUSPECTS_WAIT})
 """Refusals that are due to the request itself."""
 
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -20,6 +20,7 @@
     RefusalReason,
     Refused,
 )
+from finchshed.common.units import MILLISECONDS
 from finchshed.configuration.resources import HostRoute, Tenant
 from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue
@@ -45,8 +46,6 @@
 from finchshed.tenancy.gate import tenant_of
 from finchshed.tenancy.lease import KeyLease
 
-MILLISECONDS = 1000.0
-
 _REFUSAL_STATUS = {
     RefusalReason.UNKNOWN_ROUTE: STATUS_NOT_FOUND,
     RefusalReason.REQUEST_TOO_LARGE: STATUS_CONTENT_TOO_LARGE,
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -24,6 +24,7 @@
     CallContext,
 )
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
+from finchshed.common.units import MILLISECONDS
 from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue, Matched
 from finchshed.daemon.ingress.responses import malformed_response, response_of
@@ -35,7 +36,6 @@
 from finchshed.runtime import clock
 
 ROOT_PREFIX_BYTES = 8
-MILLISECONDS = 1000.0
 
 _ACCOUNT = HEADER_ACCOUNT.encode("ascii")
 _CALLER = HEADER_CALLER.encode("ascii")
--- a/src/finchshed/distribution/addresses.py
+++ b/src/finchshed/distribution/addresses.py
@@ -2,13 +2,15 @@
 
 Nodes of the own zone come first, the others in an order of the daemon's own, so that the daemons
 of a lost control node spread over the rest. A node that failed is tried again after a delay that
-doubles, with jitter over its whole length ("full jitter", Brooker, AWS Architecture Blog, 2015).
+doubles, with jitter over the upper half of it.
 """
 
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from finchshed.common.backoff import Backoff
+
 FIRST_BACKOFF_SECONDS = 0.2
 LONGEST_BACKOFF_SECONDS = 5.0
 FIRST_CONNECT_SECONDS = 0.15
@@ -20,6 +22,9 @@
 LONGEST_CONNECT_SECONDS = 0.75
 """Longest wait for a connection, once shorter ones have failed: a slow node, a far region."""
 
+RECONNECT_BACKOFF = Backoff(FIRST_BACKOFF_SECONDS, LONGEST_BACKOFF_SECONDS)
+CONNECT_PATIENCE = Backoff(FIRST_CONNECT_SECONDS, LONGEST_CONNECT_SECONDS)
+
 STABLE_SECONDS = 10.0
 """A connection that lived this long counts as a success, and the delay starts anew."""
 
@@ -108,14 +113,14 @@
         record = self._records[address]
         if lived_seconds >= STABLE_SECONDS:
             record.failures = 0
-        bound = min(FIRST_BACKOFF_SECONDS * 2.0**record.failures, LONGEST_BACKOFF_SECONDS)
+        failures = record.failures
         record.failures += 1
         record.rank = self._rng.random()
-        record.ready_at = now + bound * (0.5 + 0.5 * self._rng.random())
+        record.ready_at = now + RECONNECT_BACKOFF.half_jitter(failures, self._rng)
 
     def _connect_seconds(self, address: ControlAddress) -> float:
         failures = self._records[address].failures
-        return float(min(FIRST_CONNECT_SECONDS * 2.0**failures, LONGEST_CONNECT_SECONDS))
+        return CONNECT_PATIENCE.bound(failures)
 
     def _add(self, address: ControlAddress) -> None:
         self._records[address] = _Record(0, 0.0, self._rng.random())
--- a/src/finchshed/fleet/path_times.py
+++ b/src/finchshed/fleet/path_times.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
+from finchshed.common.units import MILLISECONDS
 from finchshed.fleet.summary import percentile
 from finchshed.proof.checks.index import Index
 from finchshed.proof.history import CallBegan, CallResult
 
-MILLISECONDS = 1000.0
 NESTED = "calls on"
 
 
--- a/src/finchshed/fleet/replay.py
+++ b/src/finchshed/fleet/replay.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from finchshed.common.units import MILLISECONDS
 from finchshed.emulator import acts as emulated_acts
 from finchshed.emulator.callers import Arrival as EmulatedArrival
 from finchshed.emulator.callers import ClientPolicy
@@ -31,7 +32,6 @@
 RUN_FOLDER = "run"
 PHASE = "all"
 LEAST_SECONDS = 0.1
-MILLISECONDS = 1000.0
 
 
 class Play(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/finchshed/quarantine/register.py
+++ b/src/finchshed/quarantine/register.py
@@ -17,6 +17,7 @@
 
 import msgspec
 
+from finchshed.common.backoff import Backoff
 from finchshed.quarantine.messages import MAX_CRASHES, Crash, CrashRecord
 
 QUARANTINE_CRASHES = 3
@@ -39,6 +40,8 @@
 QUARANTINE_MAX_SECONDS = 6 * 3600.0
 """Longest refusal: a request that still crashes ends a back end four times a day."""
 
+QUARANTINE_BACKOFF = Backoff(QUARANTINE_SECONDS, QUARANTINE_MAX_SECONDS)
+
 REFUTED_SECONDS = 60.0
 """How long it is remembered that a request was cleared, so that late news don't revive crashes:
 longer than a cut-off zone's news are under way after its return."""
@@ -107,7 +110,7 @@
         if not self.is_convicted():
             return 0.0
         doublings = max(0, self.counted() - QUARANTINE_CRASHES_TOGETHER)
-        return min(QUARANTINE_MAX_SECONDS, QUARANTINE_SECONDS * 2.0**doublings)
+        return QUARANTINE_BACKOFF.bound(doublings)
 
     def kept_seconds(self) -> float:
         """Return for how long after its last crash the record is kept."""
--- a/src/finchshed/retry/policy.py
+++ b/src/finchshed/retry/policy.py
@@ -2,6 +2,7 @@
 
 import random
 
+from finchshed.common.backoff import Backoff
 from finchshed.common.outcomes import (
     Answered,
     Failed,
@@ -18,6 +19,8 @@
 BACKOFF_MAX_SECONDS = 0.1
 """Upper bound of any wait before a retry."""
 
+RETRY_BACKOFF = Backoff(BACKOFF_BASE_SECONDS, BACKOFF_MAX_SECONDS)
+
 RETRY_AFTER_BASE_SECONDS = 0.25
 """Mean time until a client is told to come back when nothing is overloaded."""
 
@@ -78,8 +81,7 @@
 
 def backoff(retry: int, rng: random.Random) -> float:
     """Return the wait before retry number ``retry`` (from 0), seconds, with full jitter."""
-    bound = min(BACKOFF_MAX_SECONDS, BACKOFF_BASE_SECONDS * 2.0 ** min(retry, 16))
-    return rng.random() * bound
+    return RETRY_BACKOFF.full_jitter(retry, rng)
 
 
 def retry_after(overload: float, rng: random.Random) -> float:
--- a/src/finchshed/routing/table.py
+++ b/src/finchshed/routing/table.py
@@ -12,6 +12,7 @@
 from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import NO_THRESHOLD, PathThreshold
 from finchshed.admission.rank import RANKS, admitted_share, rank_of
+from finchshed.common.backoff import Backoff
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.common.results import CallResult
@@ -29,6 +30,8 @@
 EJECTION_MAX_SECONDS = 30.0
 """Longest ejection."""
 
+EJECTION_BACKOFF = Backoff(EJECTION_SECONDS, EJECTION_MAX_SECONDS)
+
 EJECTED_SHARE_MAX = 0.34
 """Largest share of a service's endpoints that may be ejected at a time."""
 
@@ -38,6 +41,8 @@
 LINK_RETRY_MAX_SECONDS = 4.0
 """Longest time an endpoint is left alone; it doubles each time the link can't be opened."""
 
+LINK_BACKOFF = Backoff(LINK_RETRY_SECONDS, LINK_RETRY_MAX_SECONDS)
+
 
 GOOD_SHARE = 0.4
 """Part of a call's target latency that a near endpoint may be expected to take."""
@@ -281,8 +286,7 @@
             self._refresh(view, now)
 
     def _hold_back(self, view: EndpointView, now: float) -> None:
-        doubled = LINK_RETRY_SECONDS * 2.0 ** min(view.link_failures, 8)
-        view.link_down_until = now + min(LINK_RETRY_MAX_SECONDS, doubled)
+        view.link_down_until = now + LINK_BACKOFF.bound(view.link_failures)
         self._refresh(view, now)
 
     def _eject(self, view: EndpointView, now: float) -> None:
@@ -291,7 +295,7 @@
         allowed = max(1, int(len(pool) * EJECTED_SHARE_MAX)) if len(pool) > 1 else 0
         if pool.ejected(now) >= allowed:
             return
-        duration = min(EJECTION_MAX_SECONDS, EJECTION_SECONDS * 2.0**view.ejections)
+        duration = EJECTION_BACKOFF.bound(view.ejections)
         view.ejections += 1
         view.ejected_until = now + duration
         pool.refresh(view, now)
--- a/tests/distribution/test_addresses.py
+++ b/tests/distribution/test_addresses.py
@@ -67,3 +67,15 @@
         book.on_ended(attempt.address, 0.0, now)
     assert waits[:2] == [FIRST_CONNECT_SECONDS, 2 * FIRST_CONNECT_SECONDS]
     assert waits[-1] == LONGEST_CONNECT_SECONDS
+
+
+def test_a_node_that_is_never_reached_is_tried_for_ever() -> None:
+    """A daemon without control for over an hour still follows it when it is back."""
+    book = AddressBook(NODES[:1], "z1", random.Random(1))
+    now = 0.0
+    for _ in range(2_000):
+        book.on_ended(NODES[0], 0.0, now)
+        attempt = book.next_attempt(now)
+        assert attempt.wait_seconds <= LONGEST_BACKOFF_SECONDS
+        assert attempt.connect_seconds <= LONGEST_CONNECT_SECONDS
+        now += attempt.wait_seconds
