--- a/src/finchshed/daemon/peers.py
+++ b/src/finchshed/daemon/calling/peers.py
@@ -8,13 +8,17 @@
 import random
 from dataclasses import dataclass, field
 
+from finchshed.admission.load_report import LoadReport
+from finchshed.common.backoff import Backoff
 from finchshed.common.outcomes import RefusalReason
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.attempt import Attempt
-from finchshed.daemon.peers_owner import PeersOwner
+from finchshed.daemon.calling.attempt import Attempt
+from finchshed.daemon.calling.peers_owner import PeersOwner
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.distribution.messages import Delta
-from finchshed.link.messages import Hello, LoadReport
+from finchshed.link.messages import (
+    Hello,
+)
 from finchshed.link.peer import PeerLink
 from finchshed.link.states import Connect, LinkState, SendResult
 from finchshed.quarantine.messages import CrashNews
@@ -22,6 +26,7 @@
 
 BACKOFF_FIRST_SECONDS = 0.05
 BACKOFF_MAX_SECONDS = 2.0
+DIAL_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
 
 
 @dataclass(slots=True)
@@ -251,9 +256,9 @@
         return settings.compresses_links and is_plain and endpoint.zone != settings.zone
 
     def _back_off(self, peer: _Peer) -> None:
-        bound = min(BACKOFF_MAX_SECONDS, BACKOFF_FIRST_SECONDS * 2.0 ** min(peer.failures, 16))
+        wait = DIAL_BACKOFF.half_jitter(peer.failures, self._rng)
         peer.failures += 1
-        peer.not_before = clock.now() + bound * (0.5 + 0.5 * self._rng.random())
+        peer.not_before = clock.now() + wait
 
     def _send_on(self, link: PeerLink, attempt: Attempt) -> None:
         remaining = attempt.deadline - clock.now()
--- a/src/finchshed/daemon/host_front.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -20,14 +20,15 @@
     RefusalReason,
     Refused,
 )
+from finchshed.common.units import MILLISECONDS
 from finchshed.configuration.resources import HostRoute, Tenant
-from finchshed.daemon.accounts import ServedRequest, ServedRequests
-from finchshed.daemon.caller import Caller
+from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.decision_log import log_refusal
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.quota_gate import QuotaGate
+from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.request import MAX_ANSWER_BYTES_BY_HOST, Request, end_to_end_headers
+from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.http.status import (
     STATUS_BAD_GATEWAY,
@@ -45,8 +46,6 @@
 from finchshed.tenancy.gate import tenant_of
 from finchshed.tenancy.lease import KeyLease
 
-MILLISECONDS = 1000.0
-
 _REFUSAL_STATUS = {
     RefusalReason.UNKNOWN_ROUTE: STATUS_NOT_FOUND,
     RefusalReason.REQUEST_TOO_LARGE: STATUS_CONTENT_TOO_LARGE,
