--- a/src/finchshed/limit/concurrency.py
+++ b/src/finchshed/limit/concurrency.py
@@ -23,7 +23,7 @@
 """One slot in so many, rounded up, is left free where a back end has enough of them.
 
 With two of 20 left free, not one, a service that was full took 5 in 100 fewer calls (scale-2 in
-docs/NEW-CUSTOMER.md). None left free was not tried."""
+docs/design/compared-policies.md). None left free was not tried."""
 
 HEADROOM_SLOTS_LEAST = 12
 
--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -78,3 +78,62 @@
 )
 def test_a_wrong_command_is_found(text: str) -> None:
     assert problems_of(text) != []
+
+
+PLACES = ("", "src/finchshed", "platform", "platform/finchshed_platform", "docs", "tests")
+"""Folders that pages name files from."""
+
+NAMED_PATH = re.compile(r"`((?:[a-z0-9_-]+/)+(?:[A-Za-z0-9_.-]+\.(?:py|md|toml|txt|sh|proto))?)`")
+"""A folder with its slash, or a file with one folder at least, in a code span."""
+
+MADE_BY_A_RUN = (
+    "run/",
+    "results/",
+    "target/",
+    "build/",
+    "journal/",
+    "declarations/",
+    "records/",
+    "data/",
+)
+"""Folders that a run, a build or an operator makes."""
+
+
+def paths_missing(text: str, page: Path) -> list[str]:
+    places = [page.parent, *(ROOT / place for place in PLACES)]
+    return [
+        path
+        for path in NAMED_PATH.findall(text)
+        if not path.startswith(MADE_BY_A_RUN)
+        and not any((place / path).exists() for place in places)
+    ]
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_paths_that_a_page_names_exist(page: Path) -> None:
+    assert paths_missing(page.read_text(), page) == []
+
+
+def test_a_wrong_path_is_found() -> None:
+    assert paths_missing("see `admission/gatee.py` and `admision/`", PAGES[0]) != []
+
+
+NAMED_TEST = re.compile(r"`(tests/[a-z0-9_/]+\.py)::(\w+)`")
+
+
+def missing_tests(text: str) -> list[str]:
+    missing = []
+    for path, name in NAMED_TEST.findall(text):
+        file = ROOT / path
+        if not file.is_file() or f"def {name}(" not in file.read_text():
+            missing.append(f"{path}::{name}")
+    return missing
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+def test_tests_that_a_page_names_exist(page: Path) -> None:
+    assert missing_tests(page.read_text()) == []
+
+
+def test_a_wrong_test_is_found() -> None:
+    assert missing_tests("`tests/docs/test_pages.py::test_that_is_not_there`") != []
