--- a/src/finchshed/admission/gate.py
+++ b/src/finchshed/admission/gate.py
@@ -85,7 +85,6 @@
         self._running: dict[int, _Running] = {}
         self._order = 0
         self._refused_share = 0.0
-        self.draining = False
 
     @property
     def running(self) -> int:
@@ -112,8 +111,6 @@
         floor
             Rank below which calls that the request makes would be refused.
         """
-        if self.draining:
-            return [self._refusal(token, RefusalReason.DRAINING)]
         rank = rank_of(context)
         if rank < floor and not context.is_admitted:
             return [self._refusal(token, RefusalReason.OVERLOAD)]
@@ -164,7 +161,6 @@
             queue_delay=queued * self._seconds_per_finish(),
             in_flight=len(self._running) + queued,
             limit=self._concurrency.limit,
-            draining=self.draining,
             paths=paths,
         )
 
