--- a/src/finchshed/bench/command.py
+++ b/src/finchshed/bench/command.py
@@ -7,9 +7,6 @@
 import msgspec
 
 from finchshed.bench.consensus_log import measure_log
-from finchshed.bench.control_placement import placement
-from finchshed.bench.control_plane import control
-from finchshed.bench.daemon_slopes import slopes
 from finchshed.bench.decisions import decisions
 from finchshed.bench.experiment import cases_of, load
 from finchshed.bench.paired_latency import latency
@@ -63,8 +60,5 @@
     "summary": summarize,
     "latency": latency,
     "log": measure_log,
-    "control": control,
-    "placement": placement,
-    "slopes": slopes,
     "decisions": decisions,
 }
--- a/src/finchshed/bench/consensus_log.py
+++ b/src/finchshed/bench/consensus_log.py
@@ -32,13 +32,18 @@
 MEMORY_SIZES = (1_000, 2_000, 4_000, 8_000, 16_000)
 ENDPOINT_COUNTS = (0, 250, 500, 1_100, 2_200)
 RESTART_SIZES = (500, 2_000, 8_000, 32_000)
+"""Changes made before a restart; snapshots are taken from the third on."""
+
 REPEATS = 40
+"""Times each point is measured; the median counts. Chosen, not measured."""
+
 RESTARTS = 3
+"""As REPEATS, of restarts, which take longer."""
 
 _MICROSECONDS = 1e6
 
 
-class Point(msgspec.Struct, frozen=True, tag="point"):
+class LogPoint(msgspec.Struct, frozen=True, tag="point"):
     """One measured value of a series: ``value`` at the size ``at``."""
 
     quantity: str
@@ -46,8 +51,8 @@
     value: float
 
 
-class Conditions(msgspec.Struct, frozen=True, tag="conditions"):
-    """How busy the machine was during the run, and where the files lay."""
+class LogConditions(msgspec.Struct, frozen=True, tag="conditions"):
+    """How busy the machine was during the run, and the size of one entry."""
 
     load: MachineLoad
     entry_bytes: int
@@ -79,7 +84,7 @@
     finally:
         shutil.rmtree(work)
     entry_bytes = len(next(later_changes(1)))
-    lines.append(Conditions(meter.load(), entry_bytes))
+    lines.append(LogConditions(meter.load(), entry_bytes))
     encoder = msgspec.json.Encoder()
     Path(out).write_bytes(b"".join(encoder.encode(line) + b"\n" for line in lines))
     print(encoder.encode(lines[-1]).decode())
@@ -101,7 +106,7 @@
                 began = time.perf_counter()
                 store.write([Write(entries=entries)])
                 taken.append(time.perf_counter() - began)
-            points.append(Point("sync_seconds", size, statistics.median(taken)))
+            points.append(LogPoint("sync_seconds", size, statistics.median(taken)))
     finally:
         folder.close()
     return _with_fit(points)
@@ -113,7 +118,9 @@
     for size in BATCH_SIZES:
         meter = LeaderMeter()
         taken = [meter.seconds_for(list(later_changes(size))) for _ in range(REPEATS)]
-        points.append(Point("leader_microseconds", size, statistics.median(taken) * _MICROSECONDS))
+        points.append(
+            LogPoint("leader_microseconds", size, statistics.median(taken) * _MICROSECONDS)
+        )
     return _with_fit(points)
 
 
@@ -128,7 +135,7 @@
         held, _peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         del log
-        points.append(Point("memory_bytes", size, float(held)))
+        points.append(LogPoint("memory_bytes", size, float(held)))
     return _with_fit(points)
 
 
@@ -144,7 +151,7 @@
             machine.apply(index, data)
             taken.append(time.thread_time() - began)
         value = statistics.median(taken) * _MICROSECONDS
-        points.append(Point("apply_microseconds", SERVICES + endpoints, value))
+        points.append(LogPoint("apply_microseconds", SERVICES + endpoints, value))
     return _with_fit(points)
 
 
@@ -158,11 +165,11 @@
         measured = measure_restart(place, size, with_snapshots, RESTARTS)
         shutil.rmtree(place)
         lines.append(measured)
-        points.append(Point(name, size, measured.seconds))
+        points.append(LogPoint(name, size, measured.seconds))
     return [*lines, *_with_fit(points)]
 
 
-def _with_fit(points: Sequence[Point]) -> list[msgspec.Struct]:
+def _with_fit(points: Sequence[LogPoint]) -> list[msgspec.Struct]:
     at = [float(point.at) for point in points]
     terms: Mapping[str, Sequence[float]] = {"constant": [1.0] * len(at), "each": at}
     lines: list[msgspec.Struct] = list(points)
@@ -179,7 +186,7 @@
 
 
 def _text_of(line: msgspec.Struct) -> str:
-    if isinstance(line, Point):
+    if isinstance(line, LogPoint):
         return f"{line.quantity} at {line.at}: {line.value:.6g}"
     if isinstance(line, RestartPoint):
         return (
--- a/src/finchshed/bench/daemon_system.py
+++ b/src/finchshed/bench/daemon_system.py
@@ -1,6 +1,7 @@
-"""Daemon processes for measurements: an edge, daemons beside back ends, one fixed control node.
+"""Processes whose latency is measured: a back end, its daemon, an edge, and byte relays.
 
-Only the loopback interface is used, with ports that the kernel gave as free.
+Owns the processes and a control node that serves one configuration; stops them all when the context
+is left. Only the loopback interface is used, with ports that the kernel gave as free.
 """
 
 import asyncio
@@ -18,14 +19,26 @@
 from finchshed.configuration.resources import Endpoint, Policy, Route, Service
 
 SERVICE = "bench"
+ENDPOINT = "bench-1"
 ZONE = "zone-1"
 REGION = "region-1"
+SLOTS = 64
+"""More than are ever in use at the rates measured, so that admission holds no call back."""
+
+DEADLINE_SECONDS = 10.0
+"""Chosen, not measured: long enough that no call ends by its deadline."""
+
 START_SECONDS = 20.0
-PATIENT_FLAGS = {"connect-timeout-seconds": "5", "silence-seconds": "5"}
-"""A machine that is busy with other work must not break links; nothing measured rests on these."""
+"""How long a process may take to listen; chosen, not measured."""
 
-POLL_SECONDS = 0.02
 STOP_SECONDS = 10.0
+"""How long all processes together may take to end; chosen, not measured."""
+
+POLL_SECONDS = 0.02
+"""Between two attempts to connect to a process that starts; chosen, not measured."""
+
+PATIENT_FLAGS = {"connect-timeout-seconds": "5", "silence-seconds": "5"}
+"""A machine that is busy with other work must not break links; nothing measured rests on these."""
 
 
 class MeasurementError(FinchshedError):
@@ -48,22 +61,20 @@
         return self.process.pid
 
 
+def _new_process(name: str) -> MeasuredProcess:
+    return MeasuredProcess(name, _free_address(), _free_address())
+
+
 @dataclass
 class DaemonSystem:
-    """Control, back ends, their daemons and an edge.
+    """Control, a back end with its daemon, an edge, and byte relays.
 
     Parameters
     ----------
-    backends
-        Number of back ends, each with a daemon.
-    body_bytes, backend_seconds
-        Size of each answer, and the time a back end takes for it.
-    flags
-        Flags of every daemon, over the defaults.
-    peers
-        Endpoints to declare in place of the daemons' own.
-    relays
-        Number of processes that only pass bytes, in a row before the first back end.
+    body_bytes
+        Size of each answer.
+    relay_count
+        Number of processes that only pass bytes, in a row before the back end.
     wrapper
         Returns the command a daemon is run by, given its name and arguments.
     keys
@@ -71,20 +82,15 @@
         they are written to; None: plain text.
     """
 
-    backends: int = 1
     body_bytes: int = 100
-    backend_seconds: float = 0.0
-    slots: int = 64
-    flags: Mapping[str, str] = field(default_factory=dict)
-    relays: int = 0
-    peers: tuple[Endpoint, ...] = ()
+    relay_count: int = 0
     wrapper: Callable[[str, list[str]], list[str]] | None = None
     keys: BenchKeys | None = None
     control: FixedControl = field(default_factory=FixedControl)
-    backend_processes: list[MeasuredProcess] = field(default_factory=list)
-    daemons: list[MeasuredProcess] = field(default_factory=list)
-    relay_processes: list[MeasuredProcess] = field(default_factory=list)
-    edge: MeasuredProcess | None = None
+    backend: MeasuredProcess = field(default_factory=lambda: _new_process("backend"))
+    daemon: MeasuredProcess = field(default_factory=lambda: _new_process(ENDPOINT))
+    edge: MeasuredProcess = field(default_factory=lambda: _new_process("edge"))
+    relays: list[MeasuredProcess] = field(default_factory=list)
 
     async def __aenter__(self) -> "DaemonSystem":
         try:
@@ -101,60 +107,49 @@
         if self.keys is not None:
             self.control.credentials = self.keys.control()
         await self.control.start()
-        for number in range(1, self.backends + 1):
-            backend = MeasuredProcess(f"backend-{number}", _free_address())
-            self._launch_backend(backend)
-            self.backend_processes.append(backend)
-            daemon = MeasuredProcess(f"bench-{number}", _free_address(), _free_address())
-            self.daemons.append(daemon)
-        self.edge = MeasuredProcess("edge", _free_address(), _free_address())
         self.control.resources = self._resources()
-        for daemon, backend in zip(self.daemons, self.backend_processes, strict=True):
-            beside = {
-                "service": SERVICE,
-                "endpoint": daemon.name,
-                "backend-address": backend.http_address,
-            }
-            self._launch_daemon(daemon, beside)
+        self._launch_backend()
+        beside = {
+            "service": SERVICE,
+            "endpoint": self.daemon.name,
+            "backend-address": self.backend.http_address,
+        }
+        self._launch_daemon(self.daemon, beside)
         self._launch_daemon(self.edge, {})
         self._launch_relays()
-        started = [*self.backend_processes, *self.relay_processes, *self.daemons, self.edge]
-        for process in started:
+        for process in (self.backend, *self.relays, self.daemon, self.edge):
             await _wait_listening(process)
 
     def _resources(self) -> tuple[Service | Policy | Endpoint, ...]:
-        service = Service(name=SERVICE, routes=(Route(prefix="/"),), deadline_seconds=10.0)
-        endpoints = [
-            Endpoint(
-                name=daemon.name,
-                service=SERVICE,
-                region=REGION,
-                zone=ZONE,
-                address=daemon.link_address,
-                slots=self.slots,
-            )
-            for daemon in self.daemons
-        ]
-        return (service, Policy(), *(self.peers or endpoints))
-
-    def _launch_backend(self, backend: MeasuredProcess) -> None:
-        port = backend.http_address.rpartition(":")[2]
-        module = "finchshed.bench.echo_backend"
-        arguments = [port, str(self.body_bytes), str(self.backend_seconds)]
-        backend.process = _launch([sys.executable, "-m", module, *arguments])
+        routes = (Route(prefix="/"),)
+        endpoint = Endpoint(
+            name=self.daemon.name,
+            service=SERVICE,
+            region=REGION,
+            zone=ZONE,
+            address=self.daemon.link_address,
+            slots=SLOTS,
+        )
+        service = Service(name=SERVICE, routes=routes, deadline_seconds=DEADLINE_SECONDS)
+        return (service, Policy(), endpoint)
+
+    def _launch_backend(self) -> None:
+        port = self.backend.http_address.rpartition(":")[2]
+        arguments = ["-m", "finchshed.bench.echo_backend", port, str(self.body_bytes)]
+        self.backend.process = _launch([sys.executable, *arguments])
 
     def _launch_relays(self) -> None:
-        onward = self.backend_processes[0].http_address
-        for number in range(1, self.relays + 1):
-            relay = MeasuredProcess(f"relay-{number}", _free_address())
+        onward = self.backend.http_address
+        for number in range(1, self.relay_count + 1):
+            relay = _new_process(f"relay-{number}")
             port = relay.http_address.rpartition(":")[2]
-            module = "finchshed.bench.byte_relay"
-            relay.process = _launch([sys.executable, "-m", module, port, onward])
-            self.relay_processes.append(relay)
+            arguments = ["-m", "finchshed.bench.byte_relay", port, onward]
+            relay.process = _launch([sys.executable, *arguments])
+            self.relays.append(relay)
             onward = relay.http_address
 
     def _launch_daemon(self, daemon: MeasuredProcess, beside: Mapping[str, str]) -> None:
-        named = {
+        flags = {
             "node": daemon.name,
             "region": REGION,
             "zone": ZONE,
@@ -162,23 +157,21 @@
             "link-address": daemon.link_address,
             "control-addresses": self.control.address,
             **PATIENT_FLAGS,
-            **self.flags,
             **beside,
         }
         if self.keys is not None:
-            named.update(self.keys.flags_of(daemon.name, ZONE, beside.get("endpoint", "")))
+            flags.update(self.keys.flags_of(daemon.name, ZONE, beside.get("endpoint", "")))
         arguments = ["-m", "finchshed", "daemon"]
-        arguments += [f"--{name}={value}" for name, value in named.items()]
+        arguments += [f"--{name}={value}" for name, value in flags.items()]
         if self.wrapper is None:
             daemon.process = _launch([sys.executable, *arguments])
         else:
             daemon.process = _launch(self.wrapper(daemon.name, arguments))
 
     def _stop(self) -> None:
-        edge = [] if self.edge is None else [self.edge]
         processes = [
             measured.process
-            for measured in [*edge, *self.daemons, *self.relay_processes, *self.backend_processes]
+            for measured in (self.edge, self.daemon, *self.relays, self.backend)
             if measured.process is not None
         ]
         for process in processes:
--- a/src/finchshed/bench/decisions.py
+++ b/src/finchshed/bench/decisions.py
@@ -15,12 +15,12 @@
 from pathlib import Path
 
 import msgspec
-import numpy as np
 
 from finchshed import __version__
 from finchshed.admission.fairness import FairPositions
 from finchshed.admission.gate import Gate
 from finchshed.admission.load_report import LoadReport
+from finchshed.bench.linear_fit import fit
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
@@ -34,17 +34,25 @@
 from finchshed.session.table import SessionTable
 
 SIZES = (10, 100, 400, 1100)
+"""Up to the back ends of the design size (docs/CAPACITY.md)."""
+
 BATCHES = 15
+"""Batches a size is timed in; the least counts. Chosen, not measured."""
+
 BATCH_SECONDS = 0.02
+"""Length of a batch; chosen, not measured."""
+
 MICROSECONDS = 1e6
 SERVICES = 52
+"""Services of the design size (docs/CAPACITY.md)."""
+
 ANSWER = Answered(200, (), b"")
 REPORT = LoadReport(limit=8)
 
 Step = Callable[[], None]
 
 
-class Point(msgspec.Struct, frozen=True):
+class DecisionPoint(msgspec.Struct, frozen=True):
     """One size: least and median microseconds of a decision, and bytes of state for each item."""
 
     size: int
@@ -53,23 +61,29 @@
     bytes_per_item: float
 
 
-class Fit(msgspec.Struct, frozen=True):
-    """One decision over sizes. ``residual`` is the largest deviation from the line, us."""
+class DecisionCost(msgspec.Struct, frozen=True):
+    """One decision over sizes, and the line through its least times.
+
+    Attributes
+    ----------
+    residual_microseconds
+        Largest deviation from the line.
+    """
 
     decision: str
-    points: tuple[Point, ...]
+    points: tuple[DecisionPoint, ...]
     intercept_microseconds: float
     slope_microseconds: float
     residual_microseconds: float
 
 
-class Report(msgspec.Struct, frozen=True):
+class DecisionReport(msgspec.Struct, frozen=True):
     """All decisions, and where they were measured."""
 
     version: str
     processor: str
     python: str
-    fits: tuple[Fit, ...]
+    fits: tuple[DecisionCost, ...]
 
 
 def context_of(number: int) -> CallContext:
@@ -213,7 +227,7 @@
 """Decisions, by what they are and what their size counts."""
 
 
-def measure_point(make: Callable[[int], Step], size: int) -> Point:
+def measure_point(make: Callable[[int], Step], size: int) -> DecisionPoint:
     """Time one decision at one size."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -224,16 +238,18 @@
     count = max(1, int(BATCH_SECONDS / max(_seconds_of(step, 20) / 20, 1e-8)))
     times = sorted(_seconds_of(step, count) / count for _ in range(BATCHES))
     median = times[len(times) // 2]
-    return Point(size, times[0] * MICROSECONDS, median * MICROSECONDS, held / size)
+    return DecisionPoint(size, times[0] * MICROSECONDS, median * MICROSECONDS, held / size)
 
 
-def fit_of(decision: str, points: tuple[Point, ...]) -> Fit:
+def cost_of(decision: str, points: tuple[DecisionPoint, ...]) -> DecisionCost:
     """Fit a line through the least times."""
-    sizes = np.array([point.size for point in points], dtype=float)
-    times = np.array([point.microseconds for point in points])
-    slope, intercept = np.polyfit(sizes, times, 1)
-    residual = np.abs(times - (intercept + slope * sizes)).max()
-    return Fit(decision, points, float(intercept), float(slope), float(residual))
+    terms = {
+        "intercept": [1.0] * len(points),
+        "slope": [float(point.size) for point in points],
+    }
+    line = fit(decision, terms, [point.microseconds for point in points])
+    intercept, slope = (item.value for item in line.coefficients)
+    return DecisionCost(decision, points, intercept, slope, line.worst_residual)
 
 
 def decisions(out: str = "") -> int:
@@ -244,18 +260,20 @@
     out
         File for the figures as JSON; none if empty.
     """
-    fits: list[Fit] = []
+    costs: list[DecisionCost] = []
     print(
         f"{'decision':<46}" + "".join(f"{size:>9}" for size in SIZES) + "   slope us   bytes/item"
     )
     for name, make in DECISIONS.items():
         points = tuple(measure_point(make, size) for size in SIZES)
-        fit = fit_of(name, points)
-        fits.append(fit)
+        cost = cost_of(name, points)
+        costs.append(cost)
         row = "".join(f"{point.microseconds:>9.2f}" for point in points)
-        print(f"{name:<46}{row}{fit.slope_microseconds:>11.5f}{points[-1].bytes_per_item:>13.0f}")
+        print(f"{name:<46}{row}{cost.slope_microseconds:>11.5f}{points[-1].bytes_per_item:>13.0f}")
         sys.stdout.flush()
-    report = Report(__version__, platform.machine(), platform.python_version(), tuple(fits))
+    report = DecisionReport(
+        __version__, platform.machine(), platform.python_version(), tuple(costs)
+    )
     if out:
         Path(out).write_bytes(msgspec.json.encode(report) + b"\n")
     return ExitCode.OK
--- a/src/finchshed/bench/echo_backend.py
+++ b/src/finchshed/bench/echo_backend.py
@@ -2,7 +2,7 @@
 
 The request is parsed by httptools; nothing else is done, so that the time of a call through the
 daemons isn't hidden behind the time of its back end. Run as a process of its own:
-``python -m finchshed.bench.echo_backend PORT BODY_BYTES [SECONDS]``.
+``python -m finchshed.bench.echo_backend PORT BODY_BYTES``.
 """
 
 import asyncio
@@ -14,11 +14,10 @@
 
 
 class EchoConnection(asyncio.Protocol):
-    """One connection; each whole request gets the answer after ``delay`` seconds."""
+    """One connection; each whole request gets the answer at once."""
 
-    def __init__(self, answer: bytes, delay: float) -> None:
+    def __init__(self, answer: bytes) -> None:
         self._answer = answer
-        self._delay = delay
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
 
@@ -36,12 +35,6 @@
 
     def on_message_complete(self) -> None:
         """Answer (parser callback)."""
-        if self._delay:
-            asyncio.get_running_loop().call_later(self._delay, self._write)
-        else:
-            self._write()
-
-    def _write(self) -> None:
         if self._transport is not None:
             self._transport.write(self._answer)
 
@@ -52,14 +45,13 @@
     return head.encode() + b"x" * body_bytes
 
 
-async def serve(port: int, body_bytes: int, delay: float) -> None:
+async def serve(port: int, body_bytes: int) -> None:
     """Answer requests until the process is ended."""
     answer = answer_of(body_bytes)
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(lambda: EchoConnection(answer, delay), "127.0.0.1", port)
+    server = await loop.create_server(lambda: EchoConnection(answer), "127.0.0.1", port)
     await server.serve_forever()
 
 
 if __name__ == "__main__":
-    seconds = float(sys.argv[3]) if len(sys.argv) > 3 else 0.0
-    uvloop.run(serve(int(sys.argv[1]), int(sys.argv[2]), seconds))
+    uvloop.run(serve(int(sys.argv[1]), int(sys.argv[2])))
--- a/src/finchshed/bench/fixed_control.py
+++ b/src/finchshed/bench/fixed_control.py
@@ -19,6 +19,8 @@
 from finchshed.tls.handshakes import Server, listening, serve
 
 HEARTBEAT_SECONDS = 0.5
+"""As a control node with its default settings sends them."""
+
 REVISION = 1
 
 
@@ -50,10 +52,6 @@
         for lines in list(self._lines):
             lines.abort()
 
-    def traffic(self) -> int:
-        """Return the bytes exchanged with daemons so far, in both directions."""
-        return sum(lines.bytes_sent + lines.bytes_received for lines in self._lines)
-
     def _make_protocol(self) -> LineProtocol[DaemonToControl]:
         return LineProtocol(
             DaemonToControl,
--- a/src/finchshed/bench/linear_fit.py
+++ b/src/finchshed/bench/linear_fit.py
@@ -22,7 +22,7 @@
     residual_rms, worst_residual
         Root of the mean square, and the largest size, of what the model misses, in units of y.
     explained
-        Share of the variance of y that the model explains (R squared).
+        Fraction of the variance of y that the model explains (R squared).
     """
 
     quantity: str
@@ -32,10 +32,6 @@
     worst_residual: float
     explained: float
 
-    def predict(self, terms: Mapping[str, float]) -> float:
-        """Return y for these terms; every coefficient's term must be given."""
-        return sum(item.value * terms[item.name] for item in self.coefficients)
-
 
 def fit(quantity: str, terms: Mapping[str, Sequence[float]], values: Sequence[float]) -> Fit:
     """Fit ``values`` by the ``terms``, each a series as long as ``values``.
@@ -73,18 +69,3 @@
         worst_residual=float(np.abs(residuals).max()),
         explained=1.0 - float(residuals @ residuals) / spread if spread else 0.0,
     )
-
-
-def table_of(fits: Sequence[Fit]) -> str:
-    """Return the fits as lines for people."""
-    lines = []
-    for item in fits:
-        lines.append(
-            f"{item.quantity}: {item.points} points, residual rms {item.residual_rms:.4g}, "
-            f"worst {item.worst_residual:.4g}, explained {item.explained:.3f}"
-        )
-        lines += [
-            f"    {term.name:<38}{term.value:>12.4g} +- {term.standard_error:.2g}"
-            for term in item.coefficients
-        ]
-    return "\n".join(lines)
--- a/src/finchshed/bench/process_usage.py
+++ b/src/finchshed/bench/process_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, and load of the machine, as the kernel counts them.
+"""Processor time of processes, and load of the machine, as the kernel counts them.
 
 Processor time is read from ``/proc/PID/task/*/schedstat``, which counts nanoseconds; the ticks of
 ``/proc/PID/stat`` are 10 ms long, too coarse for a run of a few seconds (proc(5)).
@@ -10,7 +10,6 @@
 import msgspec
 
 NANOSECONDS = 1e-9
-_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class MachineLoad(msgspec.Struct, frozen=True):
@@ -37,12 +36,6 @@
     return total * NANOSECONDS
 
 
-def resident_bytes(pid: int) -> int:
-    """Return the resident memory of a process, bytes."""
-    fields = pathlib.Path(f"/proc/{pid}/statm").read_text().split()
-    return int(fields[1]) * _PAGE_BYTES
-
-
 class MachineMeter:
     """Measures the load of the machine from its creation on."""
 
@@ -53,8 +46,8 @@
         """Return the load since the creation."""
         busy, total = _ticks()
         cores = os.cpu_count() or 1
-        share = (busy - self._busy) / max(1, total - self._total)
-        return MachineLoad(cores, round(share * cores, 2), round(os.getloadavg()[0], 2))
+        busy_fraction = (busy - self._busy) / max(1, total - self._total)
+        return MachineLoad(cores, round(busy_fraction * cores, 2), round(os.getloadavg()[0], 2))
 
 
 def _ticks() -> tuple[int, int]:
--- a/tests/bench/test_linear_fit.py
+++ b/tests/bench/test_linear_fit.py
@@ -3,12 +3,13 @@
 import numpy as np
 import pytest
 
-from finchshed.bench.linear_fit import fit, table_of
+from finchshed.bench.linear_fit import fit
 
 
 def test_the_slopes_of_an_exact_line_are_found_with_no_residual() -> None:
     found = fit("y", {"constant": [1.0] * 4, "x": [1.0, 2.0, 5.0, 9.0]}, [5.0, 8.0, 17.0, 29.0])
-    assert found.predict({"constant": 1.0, "x": 100.0}) == pytest.approx(302.0)
+    slopes = {item.name: item.value for item in found.coefficients}
+    assert slopes == pytest.approx({"constant": 2.0, "x": 3.0})
     assert found.worst_residual < 1e-9
     assert found.explained == pytest.approx(1.0)
 
@@ -31,11 +32,3 @@
         fit("y", {"x": [1.0], "constant": [1.0]}, [1.0])
     with pytest.raises(ValueError, match="is 0 at every point"):
         fit("y", {"x": [0.0, 0.0]}, [1.0, 2.0])
-
-
-def test_the_table_names_each_term_with_its_slope() -> None:
-    found = fit("y", {"constant": [1.0] * 4, "x": [1.0, 2.0, 5.0, 9.0]}, [5.0, 8.0, 17.0, 29.0])
-    head, constant, slope = table_of([found]).splitlines()
-    assert head.startswith("y: 4 points")
-    assert constant.split()[:2] == ["constant", "2"]
-    assert slope.split()[:2] == ["x", "3"]
--- a/tests/bench/test_paired_latency.py
+++ b/tests/bench/test_paired_latency.py
@@ -3,8 +3,9 @@
 from collections.abc import Callable
 
 from finchshed.bench.daemon_system import DaemonSystem
-from finchshed.bench.paired_latency import BODY_BYTES, PairedRun, measure
-from finchshed.bench.process_usage import MachineMeter, processor_seconds, resident_bytes
+from finchshed.bench.paired_latency import measure
+from finchshed.bench.paired_run import BODY_BYTES, PairedRun
+from finchshed.bench.process_usage import MachineMeter, processor_seconds
 from finchshed.daemon.backend.client import (
     BackendAnswer,
     BackendBroken,
@@ -65,7 +66,6 @@
 async def test_usage_of_a_process_is_told() -> None:
     meter = MachineMeter()
     async with DaemonSystem() as system:
-        pid = system.daemons[0].pid
+        pid = system.daemon.pid
         assert processor_seconds(pid) > 0.0
-        assert resident_bytes(pid) > 1 << 20
     assert meter.load().cores >= 1
