--- a/src/finchshed/fleet/command.py
+++ b/src/finchshed/fleet/command.py
@@ -6,19 +6,12 @@
 
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.errors import SettingsError
-from finchshed.fleet.comparison import (
-    EMULATED_SEEDS,
-    run_emulations,
-    run_fleets,
-    table_of,
-)
 from finchshed.fleet.demo import demo_run
 from finchshed.fleet.fault_run import FaultRun
 from finchshed.fleet.interruption import run_interruptible
 from finchshed.fleet.results import markdown_of, read_verdicts
 from finchshed.fleet.scenario import read_scenario
 from finchshed.fleet.storm_runs import run_storms
-from finchshed.fleet.suite import run_suite, scripts_of
 
 DEFAULT_RUN_FOLDER = "run"
 
@@ -63,20 +56,6 @@
     return run_interruptible(run_storms(source, folder, seed_range(seeds)))
 
 
-def suite(deployment: str, scripts: str = "", out: str = "", seed: int = 1) -> int:
-    """Run the fault scripts of a deployment one after another, and print a table of the results.
-
-    DEPLOYMENT is a folder such as examples/brazos, SCRIPTS names of its scripts with commas
-    between (default all). OUT keeps each run in a folder of its own. SEED is as for run.
-    Exit code 0 only if no run failed.
-    """
-    source = pathlib.Path(deployment)
-    names = [name for name in scripts.split(",") if name]
-    chosen = scripts_of(source, names)
-    folder = run_folder(out, f"{source.name}-suite")
-    return run_interruptible(run_suite(source, folder, chosen, seed))
-
-
 def results(folder: str) -> int:
     """Print a table of the results of all fault runs below FOLDER, in Markdown."""
     print(markdown_of(read_verdicts(pathlib.Path(folder))))
@@ -97,28 +76,6 @@
     return range(int(first), int(last) + 1)
 
 
-def compare(
-    deployment: str, faults: str, out: str = "", seeds: int = 3, emulated: int = EMULATED_SEEDS
-) -> int:
-    """Run the same overload on real processes and in the emulator, and compare the measures.
-
-    DEPLOYMENT and FAULTS are as for run; the script may hold acts of kind slow only, and its phase
-    of the highest factor is what is measured. SEEDS real runs and EMULATED emulated ones are made,
-    with callers made alike: no downloads, hard repeats, one deadline. OUT keeps each real run.
-    """
-    source = pathlib.Path(deployment)
-    scenario = read_scenario(pathlib.Path(faults))
-    folder = run_folder(out, f"{source.name}-{scenario.name}-compared")
-    emulations = run_emulations(source, scenario, emulated)
-
-    async def work() -> int:
-        fleets = await run_fleets(source, folder, scenario, seeds)
-        print(table_of([fleets, emulations]))
-        return ExitCode.OK
-
-    return run_interruptible(work())
-
-
 async def _exit_code_of(run: FaultRun) -> int:
     verdict = await run.run()
     return ExitCode.OK if verdict.passed else ExitCode.FAILED
@@ -142,8 +99,6 @@
 fleet: Mapping[str, Callable[..., int]] = {
     "demo": demo,
     "run": run,
-    "suite": suite,
     "results": results,
     "storm": storm,
-    "compare": compare,
 }
--- a/src/finchshed/fleet/fault_run.py
+++ b/src/finchshed/fleet/fault_run.py
@@ -4,16 +4,14 @@
 import os
 import pathlib
 import time
-from collections.abc import Callable, Iterable, Mapping
-
-import msgspec
+from collections.abc import Iterable
 
 from finchshed.common.errors import SettingsError
 from finchshed.fleet import editions, final_configuration, process_table
 from finchshed.fleet.acts import Edition
 from finchshed.fleet.bring_up import bring_up, plan_fleet
 from finchshed.fleet.coverage import CASES
-from finchshed.fleet.deployment import Deployment, read_deployment
+from finchshed.fleet.deployment import read_deployment
 from finchshed.fleet.expectations import unmet
 from finchshed.fleet.faults import FaultInjector
 from finchshed.fleet.histories import Records, build_history, read_all
@@ -30,8 +28,7 @@
 from finchshed.fleet.watch import FleetWatch
 from finchshed.proof.checks import CHECKS, violations_of
 from finchshed.proof.checks.index import Index
-from finchshed.proof.history import Event, History, NodeStarted
-from finchshed.standins.arrivals import Arrival
+from finchshed.proof.history import History, NodeStarted
 from finchshed.standins.records import CallerOutcome
 
 CALLERS_MARGIN_SECONDS = 40.0
@@ -42,11 +39,6 @@
 PROBLEMS_FILE = "problems.txt"
 
 
-def as_it_is(deployment: Deployment) -> Deployment:
-    """Change nothing."""
-    return deployment
-
-
 class FaultRun:
     """One run: the fleet, what is done to it, and what is collected.
 
@@ -56,10 +48,6 @@
         Seed of arrivals, service times and keys. Processes race, so a seed doesn't fix the run.
     relayed
         Whether links go through the relay also where no act needs it.
-    adapt
-        Changes the deployment read from ``source``.
-    arrivals
-        Arrivals to play, by the name of the group of callers; others draw their own.
     """
 
     def __init__(
@@ -70,8 +58,6 @@
         seed: int,
         *,
         relayed: bool = False,
-        adapt: Callable[[Deployment], Deployment] = as_it_is,
-        arrivals: Mapping[str, tuple[Arrival, ...]] | None = None,
     ) -> None:
         self._scenario = scenario
         self._seed = seed
@@ -81,14 +67,11 @@
             load_factor=scenario.load_factor,
             phases=scenario.phase,
             platform_lag_seconds=scenario.platform_lag_seconds,
-            arrivals=arrivals or {},
         )
-        self._deployment = adapt(read_deployment(source))
+        self._deployment = read_deployment(source)
         self._fleet = plan_fleet(source, self._deployment, folder, options)
         self._folder = folder
         self._journal = FaultJournal(time.monotonic())
-        self._history: History | None = None
-        self._callers_began = 0.0
         self._final: final_configuration.FinalConfiguration | None = None
         self._first_revision = 0
         self._behind: list[str] = []
@@ -111,16 +94,6 @@
                 await links.close()
         return self._judge()
 
-    def history_from_start(self) -> History:
-        """Return the run's history with times that count from when the callers began."""
-        assert self._history is not None, "the run is not over"
-        began = self._callers_began
-        events: list[Event] = [
-            msgspec.structs.replace(event, time=event.time - began)
-            for event in self._history.events
-        ]
-        return History(self._history.header, events)
-
     async def _run_with(self, links: FleetLinks) -> None:
         fleet = self._fleet
         _say(f"{self._deployment.name}, {self._scenario.name}: {len(fleet.processes)} processes")
@@ -144,7 +117,7 @@
         self, links: FleetLinks, operator: Operator, watch: FleetWatch
     ) -> None:
         injector = FaultInjector(self._fleet, operator, self._journal, links, watch)
-        self._callers_began = await self._fleet.start_callers() - self._journal.began
+        await self._fleet.start_callers()
         total = sum(phase.duration_seconds for phase in self._scenario.phase)
         async with asyncio.TaskGroup() as group:
             faults = group.create_task(injector.run(self._scenario.act))
@@ -172,7 +145,6 @@
             self._fleet.plan, records, self._journal, self._scenario, self._seed
         )
         history.write(self._folder / HISTORY_FILE)
-        self._history = history
         self._journal.write(self._folder / PROBLEMS_FILE)
         rows = rows_of(records.callers)
         verdict = Verdict(
--- a/src/finchshed/fleet/operator.py
+++ b/src/finchshed/fleet/operator.py
@@ -9,7 +9,6 @@
 from finchshed.common.errors import FinchshedError
 from finchshed.fleet.plan import FleetPlan
 
-STATUS_POLL_SECONDS = 0.1
 APPLY_TIMEOUT_SECONDS = 30.0
 
 
@@ -25,12 +24,6 @@
     errors: str
 
 
-class _Members(msgspec.Struct, frozen=True):
-    """What is read of ``ctl members --json``."""
-
-    leader: str
-
-
 class Operator:
     """Runs operator's commands, each as a process of its own like a person would."""
 
@@ -80,20 +73,6 @@
             )
         return result.output
 
-    async def leader(self) -> str:
-        """Return the name of the control group's leader.
-
-        Raises
-        ------
-        OperatorError
-            If no control node knows one.
-        """
-        output = await self.must("members", "--json")
-        leader: str = msgspec.json.decode(output, type=_Members).leader
-        if not leader:
-            raise OperatorError("no control node knows a leader")
-        return leader
-
     async def apply_declarations(self) -> str:
         """Apply the deployment's declarations as one change."""
         timeout = f"--timeout={APPLY_TIMEOUT_SECONDS}"
--- a/src/finchshed/fleet/plan_options.py
+++ b/src/finchshed/fleet/plan_options.py
@@ -1,10 +1,7 @@
 """What a run changes of the deployment that it plans."""
 
-from collections.abc import Mapping
-
 import msgspec
 
-from finchshed.standins.arrivals import Arrival
 from finchshed.standins.settings import Phase
 
 
@@ -17,8 +14,6 @@
         Whether internal links go through the fleet's relay, so that they can be cut.
     load_factor
         Multiplies the rate of every load.
-    arrivals
-        Arrivals to play, by the name of the group of callers; others draw their own.
     """
 
     seed: int = 1
@@ -26,5 +21,4 @@
     load_factor: float = 1.0
     phases: tuple[Phase, ...] = ()
     platform_lag_seconds: float | None = None
-    arrivals: Mapping[str, tuple[Arrival, ...]] = {}
     drain_seconds: float = 30.0
--- a/src/finchshed/fleet/planner.py
+++ b/src/finchshed/fleet/planner.py
@@ -24,7 +24,6 @@
 from finchshed.fleet.plan_options import PlanOptions
 from finchshed.fleet.processes import ProcessSpec, Role
 from finchshed.fleet.toml_writer import to_toml
-from finchshed.standins.arrivals import write_arrivals
 from finchshed.standins.settings import (
     BackendSettings,
     CallerSettings,
@@ -217,19 +216,10 @@
             ),
             phases=self._options.phases or self._deployment.phase,
             client_delay_seconds=self._deployment.client_delay_seconds,
-            arrivals_path=self._arrivals_path(group.name),
             seed=self._seed(group.name),
         )
         self._add_standin(group.name, Role.CALLER, settings, "")
 
-    def _arrivals_path(self, group: str) -> str:
-        arrivals = self._options.arrivals.get(group)
-        if arrivals is None:
-            return ""
-        path = self._folder / "settings" / f"{group}-arrivals.jsonl"
-        write_arrivals(path, arrivals)
-        return str(path)
-
     def _add_daemon(self, name: str, role: Role, settings: DaemonSettings) -> None:
         spec = ProcessSpec(
             name=name,
--- a/src/finchshed/fleet/processes.py
+++ b/src/finchshed/fleet/processes.py
@@ -25,7 +25,6 @@
     CONTROL = "control"
     BACKEND = "backend"
     DAEMON = "daemon"
-    HOLLOW = "hollow"
     EDGE = "edge"
     CALLER = "caller"
     OPERATOR = "operator"
--- a/src/finchshed/fleet/runner.py
+++ b/src/finchshed/fleet/runner.py
@@ -36,6 +36,8 @@
 """Processes that end by themselves when their work is done."""
 
 LOG_TAIL_BYTES = 2000
+INCARNATION = "1"
+"""A run replaces no machine, so each endpoint's stays the first one."""
 
 
 class FleetError(FinchshedError):
@@ -55,7 +57,6 @@
             spec.name: FleetProcess(spec, self.log_path(spec.name)) for spec in plan.specs
         }
         self._leaving: set[str] = set()
-        self._incarnations = {endpoint.name: 1 for endpoint in plan.endpoints}
         self.http: aiohttp.ClientSession
 
     async def __aenter__(self) -> "Fleet":
@@ -94,8 +95,8 @@
                     process.start()
                 await self.wait_ready(process.spec for process in chosen)
 
-    async def start_callers(self) -> float:
-        """Start all callers; return when they begin to send, on the monotonic clock.
+    async def start_callers(self) -> None:
+        """Start all callers and return when they begin to send.
 
         They are given time to start in, so that all begin together and faults that are timed from
         the same moment meet the phase they are meant for.
@@ -104,7 +105,6 @@
         for process in self.of_role(Role.CALLER):
             process.start(f"--begin_at={begin_at}")
         await asyncio.sleep(begin_at - time.monotonic())
-        return begin_at
 
     async def wait_ready(self, specs: Iterable[ProcessSpec]) -> None:
         """Wait until the processes of ``specs`` take connections.
@@ -127,7 +127,7 @@
             Instance(
                 name=endpoint.name,
                 address=endpoint.address,
-                incarnation=str(self._incarnations[endpoint.name]),
+                incarnation=INCARNATION,
                 state=(
                     InstanceState.LEAVING if endpoint.name in self._leaving else InstanceState.LIVE
                 ),
@@ -152,12 +152,6 @@
         self._leaving.add(endpoint)
         await self.publish_instances()
 
-    async def mark_replaced(self, endpoint: str) -> None:
-        """Have the platform say that a new machine stands in an endpoint's place."""
-        self._leaving.discard(endpoint)
-        self._incarnations[endpoint] += 1
-        await self.publish_instances()
-
     async def command_backend(self, endpoint: str, act: str, value: str = "") -> None:
         """Have a stand-in back end change how it behaves."""
         address = self.plan.backend_addresses[endpoint]
@@ -221,12 +215,6 @@
         """Return where a process writes its standard output and error."""
         return self.plan.folder / "logs" / f"{name}.log"
 
-    def record_paths_of(self, role: Role) -> list[pathlib.Path]:
-        """Return the record files of the stand-ins in ``role``."""
-        folder = self.plan.folder / "records"
-        named = [process.spec.endpoint or process.spec.name for process in self.of_role(role)]
-        return [folder / f"{name}.jsonl" for name in named]
-
     def tail(self, spec: ProcessSpec) -> str:
         """Return the end of a process's log."""
         path = self.log_path(spec.name)
--- a/src/finchshed/fleet/summary.py
+++ b/src/finchshed/fleet/summary.py
@@ -1,12 +1,11 @@
 """What a run's callers got, by load and phase, from their records."""
 
 import collections
-import pathlib
 from collections.abc import Iterable, Sequence
 
 import msgspec
 
-from finchshed.standins.records import CallerOutcome, CallerRecord, read_records
+from finchshed.standins.records import CallerOutcome, CallerRecord
 
 HEADINGS = (
     "phase",
@@ -83,12 +82,6 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def read_caller_records(paths: Iterable[pathlib.Path]) -> list[CallerRecord]:
-    """Return all records of callers in order of time."""
-    records = [record for path in paths for record in read_records(path, CallerRecord)]
-    return sorted(records, key=lambda record: record.begun)
-
-
 def rows_of(records: Iterable[CallerRecord]) -> list[Row]:
     """Return the counts by phase, in order of time, and load."""
     rows: dict[tuple[str, str], Row] = {}
--- a/src/finchshed/replay/command.py
+++ b/src/finchshed/replay/command.py
@@ -1,8 +1,6 @@
 """``finchshed replay`` and ``finchshed record``."""
 
-import importlib
 from pathlib import Path
-from typing import Protocol
 
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.errors import SettingsError
@@ -19,24 +17,11 @@
 from finchshed.replay.recording import outcomes_of, trace_of_history, trace_of_plan
 from finchshed.replay.trace import Trace, read_trace
 
-EMULATOR = "emulator"
-FLEET = "fleet"
-FLEET_DRIVER = "finchshed.fleet.replay"
 PROBLEMS_SHOWN = 5
 
 
-class FleetDriver(Protocol):
-    """What replay needs of real processes."""
-
-    def play(self, trace: Trace, folder: Path) -> History:
-        """Play ``trace`` on real processes, with their files in ``folder``."""
-        ...
-
-
-def replay(
-    trace: str, expect: str = "", *, on: str = EMULATOR, folder: str = "", history: str = ""
-) -> int:
-    """Replay a trace and judge it against stated outcomes.
+def replay(trace: str, expect: str = "", *, history: str = "") -> int:
+    """Replay a trace in simulated time and judge it against stated outcomes.
 
     Exit code 1 if a statement didn't hold. Without outcomes only the properties that must always
     hold are judged.
@@ -47,16 +32,12 @@
         File of the trace.
     expect
         File of the stated outcomes.
-    on
-        ``emulator``, or ``fleet`` for real processes on this machine.
-    folder
-        Folder of a fleet's files.
     history
         File that gets the history of the replay.
     """
     loaded = read_trace(Path(trace))
     outcomes = read_outcomes(Path(expect), loaded) if expect else None
-    recorded = _play(loaded, on, folder)
+    recorded = emulated.play(loaded)
     if history:
         recorded.write(Path(history))
     print(f"{loaded.header.name}: {len(recorded.events)} events, history {recorded.digest()}")
@@ -107,20 +88,6 @@
     return ExitCode.OK
 
 
-def _play(trace: Trace, on: str, folder: str) -> History:
-    if on == EMULATOR:
-        return emulated.play(trace)
-    if on != FLEET:
-        raise SettingsError([f"flag --on = {on!r}: allowed are {EMULATOR} and {FLEET}"])
-    if not folder:
-        raise SettingsError(["flag --folder: a fleet needs a folder for its files"])
-    try:
-        driver: FleetDriver = importlib.import_module(FLEET_DRIVER)
-    except ModuleNotFoundError as error:
-        raise SettingsError([f"flag --on = {on!r}: not built in: {error}"]) from error
-    return driver.play(trace, Path(folder))
-
-
 def _judge_properties(recorded: History) -> int:
     violations = violations_of(recorded)
     for violation in violations[:PROBLEMS_SHOWN]:
--- a/tests/fleet/test_results.py
+++ b/tests/fleet/test_results.py
@@ -6,12 +6,9 @@
 
 from finchshed.common.errors import SettingsError
 from finchshed.fleet.results import HEADINGS, markdown_of, read_verdicts
-from finchshed.fleet.suite import scripts_of
 from finchshed.fleet.verdict import Check, Verdict
 from finchshed.proof.checks import answers, leaving
 
-EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
-
 
 def written(folder: pathlib.Path, script: str, *problems: str) -> None:
     run = folder / script
@@ -43,11 +40,3 @@
 def test_a_folder_without_runs_is_told(tmp_path: pathlib.Path) -> None:
     with pytest.raises(SettingsError, match=r"no verdict.json"):
         read_verdicts(tmp_path)
-
-
-def test_a_suite_takes_all_scripts_or_those_named() -> None:
-    source = EXAMPLES / "manila"
-    assert len(scripts_of(source, [])) == len(list((source / "faults").glob("*.toml")))
-    assert [path.stem for path in scripts_of(source, ["leaving", "calm"])] == ["leaving", "calm"]
-    with pytest.raises(SettingsError, match="no script nothing"):
-        scripts_of(source, ["calm", "nothing"])
--- a/tests/replay/test_trace.py
+++ b/tests/replay/test_trace.py
@@ -132,10 +132,3 @@
     assert f"FAILED {expect}:3" in told
     assert "it was answered" in told
     assert main.run(["replay", str(trace)]) == ExitCode.OK
-
-
-def test_a_missing_fleet_folder_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    trace = write(tmp_path, HEADER, ARRIVAL)
-    assert main.run(["replay", str(trace), "--on=fleet"]) == ExitCode.USAGE
-    assert "--folder" in capsys.readouterr().err
-    assert main.run(["replay", str(trace), "--on=paper"]) == ExitCode.USAGE
