--- /dev/null
+++ b/src/finchshed/daemon/assembly.py
@@ -0,0 +1,290 @@
+"""Builds the parts of a daemon, in the one order in which each finds what it relies on.
+
+1. State that others ask and that asks nobody: identity, drain, served requests, routing table.
+2. The connection to control, and with it the quarantine.
+3. The serving side: back-end client and callee. It comes before the links, which bring it calls.
+4. The links, both ways, and who may be called over them.
+5. Who tells callers of a drain, on those links, and who watches the back end for it.
+6. The calling side and the listeners for requests, which need all of the above.
+
+No part is handed another one after it was built. Where events go against that order, the earlier
+part keeps a list of followers that the later ones put themselves on: :class:`BackendEvents` (calls
+show the state of the back end), :class:`CrashNewsLinks` (the quarantine sends over links), and the
+control client, whose messages each part subscribes to in its own constructor.
+"""
+
+import random
+import secrets
+import time
+from collections.abc import Callable
+from pathlib import Path
+
+from finchshed.admission.paths import PathThresholds
+from finchshed.common.outcomes import RefusalReason
+from finchshed.common.units import MILLISECONDS
+from finchshed.daemon.backend.health import BackendHealthMonitor
+from finchshed.daemon.backend.http_client import HttpBackend
+from finchshed.daemon.backend.registration import RegisteredBackend
+from finchshed.daemon.calling.caller import Caller
+from finchshed.daemon.calling.endpoints import KnownEndpoints
+from finchshed.daemon.calling.peers import DaemonLinks
+from finchshed.daemon.calling.platform_hints import OwnListing, PlatformHints
+from finchshed.daemon.draining import DrainAnnouncer, DrainState
+from finchshed.daemon.endpoint_identity import EndpointIdentity
+from finchshed.daemon.header_names import HeaderNames
+from finchshed.daemon.ingress.host_handler import HostRequestHandler
+from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
+from finchshed.daemon.ingress.quota_gate import QuotaGate
+from finchshed.daemon.ingress.service_handler import ServiceRequestHandler
+from finchshed.daemon.link_handler import LinkHandler
+from finchshed.daemon.parts import (
+    BackendStateParts,
+    DaemonParts,
+    IngressParts,
+    LinkParts,
+    ServingParts,
+    SharedState,
+)
+from finchshed.daemon.quarantine import Quarantine
+from finchshed.daemon.serving.callee import Callee
+from finchshed.daemon.serving.control_ledger import ControlLedger
+from finchshed.daemon.serving.guarded import GuardedRuns
+from finchshed.daemon.settings import DaemonSettings
+from finchshed.daemon.signatures import Signatures
+from finchshed.directory.registrar import Registrar
+from finchshed.distribution.addresses import parse_control_address
+from finchshed.distribution.driver import FollowerDriver, FollowerListener
+from finchshed.distribution.identity import ClientIdentity
+from finchshed.http.server import HttpServer
+from finchshed.http.spool import SpoolBudget
+from finchshed.link.listener import LinkListener
+from finchshed.quarantine.messages import CrashNews
+from finchshed.routing.table import RoutingTable
+from finchshed.runtime import clock
+from finchshed.tls.credentials import credentials_of
+from finchshed.tls.handshakes import Connector
+from finchshed.tls.names import Role
+
+SEED_BITS = 64
+"""Bits of the seed of a daemon's random draws."""
+
+
+def build_parts(
+    settings: DaemonSettings,
+    names: HeaderNames,
+    follower_listener: FollowerListener,
+    not_ready_reason: Callable[[], RefusalReason | None],
+) -> DaemonParts:
+    """Build the parts of a daemon; nothing runs yet.
+
+    Parameters
+    ----------
+    names
+        Names of the headers of requests by host.
+    follower_listener
+        Acts on the configuration, once the driver runs.
+    not_ready_reason
+        Returns the reason why no request may be taken now, or None.
+    """
+    state = _shared_state(settings, names)
+    driver = _driver(state, follower_listener)
+    quarantine = Quarantine(driver.client, state.crash_news_links.send)
+    serving = _serving_parts(state, driver, quarantine)
+    linked = _link_parts(state, driver, quarantine, serving)
+    backend_state = _backend_state_parts(state, driver, serving, linked)
+    ingress = _ingress_parts(state, driver, quarantine, linked, not_ready_reason)
+    return DaemonParts(state, driver, quarantine, serving, linked, backend_state, ingress)
+
+
+def _shared_state(settings: DaemonSettings, names: HeaderNames) -> SharedState:
+    rng = random.Random(secrets.randbits(SEED_BITS))
+    awaits_registration = bool(settings.backend_address) and settings.registers_backend
+    table = RoutingTable(
+        settings.zone,
+        settings.region,
+        rng,
+        owner=settings.node,
+        subset_size=settings.subset_size,
+    )
+    return SharedState(
+        settings=settings,
+        names=names,
+        rng=rng,
+        started_ms=int(time.time() * MILLISECONDS),
+        identity=EndpointIdentity(settings.endpoint, settings.service),
+        drain=DrainState.before_registration() if awaits_registration else DrainState(),
+        credentials=credentials_of(settings),
+        table=table,
+        paths=PathThresholds(table.floor),
+        signatures=Signatures(names),
+    )
+
+
+def _driver(state: SharedState, listener: FollowerListener) -> FollowerDriver:
+    settings = state.settings
+    identity = ClientIdentity(
+        node=settings.node,
+        incarnation=state.identity.incarnation,
+        service=settings.service,
+        zone=settings.zone,
+        endpoint=settings.endpoint,
+    )
+    addresses = [parse_control_address(text) for text in settings.control_addresses]
+    folder = Path(settings.data_folder) if settings.data_folder else None
+    connect = Connector(state.credentials, Role.CONTROL)
+    return FollowerDriver(identity, addresses, listener, state.rng, folder, connect=connect)
+
+
+def _serving_parts(
+    state: SharedState, driver: FollowerDriver, quarantine: Quarantine
+) -> ServingParts | None:
+    settings = state.settings
+    if not settings.backend_address:
+        return None
+    backend = HttpBackend(
+        settings.backend_address,
+        settings.max_connections,
+        settings.connect_timeout_seconds,
+        state.names,
+    )
+    callee = Callee(
+        settings,
+        backend=backend,
+        guarded=GuardedRuns(settings, ControlLedger(driver.client), state.rng),
+        served=state.served,
+        paths=state.paths,
+        rng=state.rng,
+        drain=state.drain,
+        events=state.events,
+        revision=lambda: driver.follower.revision,
+        names=state.names,
+        signatures=state.signatures,
+        quarantine=quarantine,
+    )
+    return ServingParts(backend, callee)
+
+
+def _link_parts(
+    state: SharedState,
+    driver: FollowerDriver,
+    quarantine: Quarantine,
+    serving: ServingParts | None,
+) -> LinkParts:
+    settings = state.settings
+    platform = PlatformHints(state.table)
+    handler = LinkHandler(
+        settings,
+        driver,
+        state.table,
+        platform,
+        quarantine,
+        callee=None if serving is None else serving.callee,
+        identity=state.identity,
+        drain=state.drain,
+        rng=state.rng,
+    )
+    links = DaemonLinks(settings, handler, state.rng, Connector(state.credentials))
+    listener = LinkListener(
+        handler,
+        settings.peer_networks,
+        silence_seconds=settings.accepted_silence_seconds,
+        max_unsent_bytes=settings.max_unsent_bytes,
+    )
+
+    def tell_callers(news: CrashNews) -> None:
+        for link in listener.links():
+            link.tell_crash_news(news)
+
+    state.crash_news_links.add(links.tell_crash_news)
+    state.crash_news_links.add(tell_callers)
+    return LinkParts(links, listener, platform, KnownEndpoints(state.table, links))
+
+
+def _backend_state_parts(
+    state: SharedState,
+    driver: FollowerDriver,
+    serving: ServingParts | None,
+    linked: LinkParts,
+) -> BackendStateParts:
+    own_listing = OwnListing(state.settings.endpoint, clock.now())
+    announcer = DrainAnnouncer(state.drain, state.identity, own_listing, linked.listener)
+    if serving is None:
+        return BackendStateParts(announcer, None, None)
+    monitor = BackendHealthMonitor(
+        serving.backend, announcer.on_backend_draining, announcer.on_backend_returned
+    )
+    state.events.subscribe_answers(monitor.on_answer)
+    registered = _registered_backend(state, driver, serving, linked, announcer)
+    return BackendStateParts(announcer, monitor, registered)
+
+
+def _registered_backend(
+    state: SharedState,
+    driver: FollowerDriver,
+    serving: ServingParts,
+    linked: LinkParts,
+    announcer: DrainAnnouncer,
+) -> RegisteredBackend | None:
+    settings = state.settings
+    if not settings.registers_backend:
+        return None
+    registrar = Registrar(
+        settings.link_address,
+        settings.zone,
+        settings.region,
+        epoch=state.started_ms,
+        silence_seconds=settings.backend_silence_seconds,
+    )
+    return RegisteredBackend(
+        registrar,
+        serving.callee,
+        identity=state.identity,
+        drain=state.drain,
+        announcer=announcer,
+        listener=linked.listener,
+        client=driver.client,
+        backend=serving.backend,
+        events=state.events,
+        names=state.names,
+    )
+
+
+def _ingress_parts(
+    state: SharedState,
+    driver: FollowerDriver,
+    quarantine: Quarantine,
+    linked: LinkParts,
+    not_ready_reason: Callable[[], RefusalReason | None],
+) -> IngressParts:
+    caller = Caller(
+        state.table,
+        linked.links,
+        state.served,
+        state.paths,
+        state.rng,
+        signatures=state.signatures,
+        quarantine=quarantine,
+    )
+    service_handler = ServiceRequestHandler(caller, state.served, state.rng, not_ready_reason)
+    lease_renewal = LeaseRenewal(driver.client)
+    quotas = QuotaGate(driver.client, state.identity.incarnation, state.started_ms, state.rng)
+    host_handler = HostRequestHandler(
+        caller,
+        state.served,
+        state.names,
+        state.rng,
+        lease=lease_renewal.lease,
+        quotas=quotas,
+        own_service=lambda: state.identity.service,
+        not_ready_reason=not_ready_reason,
+    )
+    spool = SpoolBudget(state.settings.max_spooled_bytes)
+    return IngressParts(
+        caller=caller,
+        service_handler=service_handler,
+        host_handler=host_handler,
+        lease_renewal=lease_renewal,
+        quotas=quotas,
+        service_server=HttpServer(service_handler, spool),
+        host_server=HttpServer(host_handler, spool),
+    )
--- a/src/finchshed/daemon/backend/health.py
+++ b/src/finchshed/daemon/backend/health.py
@@ -14,7 +14,7 @@
     BackendRequest,
     BackendResult,
 )
-from finchshed.daemon.backend.return_detection import ReturnWatch
+from finchshed.daemon.backend.return_detection import ReturnDetector
 from finchshed.runtime import clock
 
 HEALTH_PATH = "/health"
@@ -27,14 +27,14 @@
 MAX_HEALTH_BYTES = 65_536
 
 
-class BackendWatch:
+class BackendHealthMonitor:
     """Watches one back end.
 
     Parameters
     ----------
     backend
         Client to the back end.
-    on_leaving
+    on_draining
         Called when the back end is found to be leaving.
     on_returned
         Called when a back end that was leaving takes work again.
@@ -43,56 +43,56 @@
     def __init__(
         self,
         backend: Backend,
-        on_leaving: Callable[[], None],
+        on_draining: Callable[[], None],
         on_returned: Callable[[], None],
     ) -> None:
-        self.is_leaving = False
+        self.is_draining = False
         self._backend = backend
-        self._on_leaving = on_leaving
+        self._on_draining = on_draining
         self._on_returned = on_returned
-        self._return = ReturnWatch()
+        self._return = ReturnDetector()
         self._has_answered = False
 
     def on_answer(self, answer: BackendAnswer) -> None:
         """Note an answer to a call."""
         self._has_answered = True
         if answer.draining:
-            self._leaves()
+            self._on_sign()
 
     async def run(self) -> None:
         """Watch for as long as the daemon runs."""
         while True:
-            await asyncio.sleep(RETURN_POLL_SECONDS if self.is_leaving else IDLE_POLL_SECONDS)
+            await asyncio.sleep(RETURN_POLL_SECONDS if self.is_draining else IDLE_POLL_SECONDS)
             await self.look()
 
     async def look(self) -> None:
         """Look once for what the back end does not say by itself."""
-        if self.is_leaving:
+        if self.is_draining:
             await self._look_for_return()
         elif self._has_answered:
             self._has_answered = False
         else:
-            await self._look_for_leaving()
+            await self._look_for_draining()
 
-    async def _look_for_leaving(self) -> None:
+    async def _look_for_draining(self) -> None:
         result = await check_health(self._backend)
         # An answer that came meanwhile is the better witness.
         if isinstance(result, BackendAnswer) and result.draining and not self._has_answered:
-            self._leaves()
+            self._on_sign()
 
     async def _look_for_return(self) -> None:
         result = await check_health(self._backend)
         if not self._return.has_returned(result, clock.now()):
             return
-        self.is_leaving = False
+        self.is_draining = False
         self._on_returned()
 
-    def _leaves(self) -> None:
-        if self.is_leaving:
+    def _on_sign(self) -> None:
+        if self.is_draining:
             return
-        self.is_leaving = True
-        self._return = ReturnWatch()
-        self._on_leaving()
+        self.is_draining = True
+        self._return = ReturnDetector()
+        self._on_draining()
 
 
 async def check_health(backend: Backend, path: str = HEALTH_PATH) -> BackendResult:
--- a/src/finchshed/daemon/backend/return_detection.py
+++ b/src/finchshed/daemon/backend/return_detection.py
@@ -14,7 +14,7 @@
 """How long a back end that was never seen gone must say that it is well."""
 
 
-class ReturnWatch:
+class ReturnDetector:
     """Decides from answers to health checks whether a leaving back end has returned."""
 
     def __init__(self) -> None:
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -12,7 +12,7 @@
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
 from finchshed.daemon.calling.outgoing import OutgoingCall
-from finchshed.daemon.calling.peers import PeerLinks
+from finchshed.daemon.calling.peers import DaemonLinks
 from finchshed.daemon.calling.pins import SessionPins
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.decision_log import is_signed, log_request
@@ -55,7 +55,7 @@
     def __init__(
         self,
         table: RoutingTable,
-        links: PeerLinks,
+        links: DaemonLinks,
         served: ServedRequests,
         paths: PathThresholds,
         rng: random.Random,
--- a/src/finchshed/daemon/calling/endpoints.py
+++ b/src/finchshed/daemon/calling/endpoints.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.calling.peers import PeerLinks
+from finchshed.daemon.calling.peers import DaemonLinks
 from finchshed.directory.registration import Registration
 from finchshed.directory.table import Directory
 from finchshed.distribution.messages import DirectoryUpdate
@@ -25,7 +25,7 @@
 class KnownEndpoints:
     """Keeps routing table and links in step with declarations and registrations."""
 
-    def __init__(self, table: RoutingTable, links: PeerLinks) -> None:
+    def __init__(self, table: RoutingTable, links: DaemonLinks) -> None:
         self._table = table
         self._links = links
         self._directory = Directory(FORGET_SECONDS)
--- a/src/finchshed/daemon/calling/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing.py
@@ -18,7 +18,7 @@
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon import metrics
 from finchshed.daemon.calling.attempt import Attempt
-from finchshed.daemon.calling.peers import PeerLinks
+from finchshed.daemon.calling.peers import DaemonLinks
 from finchshed.daemon.calling.pins import mixes_editions, told_place
 from finchshed.daemon.decision_log import (
     is_logged,
@@ -52,7 +52,7 @@
         self,
         request: Request,
         logic: CallerLogic,
-        links: PeerLinks,
+        links: DaemonLinks,
         on_finish: Callable[["OutgoingCall", Outcome, int], None],
         retry_after: Callable[[], float],
         *,
--- a/src/finchshed/daemon/calling/peers.py
+++ b/src/finchshed/daemon/calling/peers.py
@@ -38,7 +38,7 @@
     not_before: float = 0.0
 
 
-class PeerLinks:
+class DaemonLinks:
     """Links to the daemons of endpoints, by endpoint name.
 
     ``connect`` opens connections; None: the event loop does.
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -1,64 +1,38 @@
-"""The daemon: its parts, and what each tells the others."""
+"""The daemon process's work: it runs the parts that :mod:`finchshed.daemon.assembly` builds.
+
+Owns start, planned stop and the regular upkeep, and hands each configuration that comes into force
+to the parts that act on it. Relies on the parts for everything that happens to a single request.
+"""
 
 import asyncio
-import random
-import secrets
-import time
 from collections.abc import Coroutine, Iterable
-from pathlib import Path
 from typing import Any
 
 from loguru import logger
 
-from finchshed.admission.paths import PathThresholds
 from finchshed.common.outcomes import RefusalReason
-from finchshed.common.units import MILLISECONDS
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon import metrics
-from finchshed.daemon.backend.http_client import HttpBackend
-from finchshed.daemon.backend.registration import OwnBackend
-from finchshed.daemon.calling.caller import Caller
-from finchshed.daemon.calling.endpoints import KnownEndpoints
-from finchshed.daemon.calling.peers import PeerLinks
-from finchshed.daemon.calling.platform_hints import PlatformHints
+from finchshed.daemon.assembly import build_parts
+from finchshed.daemon.backend.registration import RegisteredBackend
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.ingress.host_handler import HostAdmitted, HostFront
-from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
-from finchshed.daemon.ingress.quota_gate import QuotaGate
-from finchshed.daemon.ingress.service_handler import Admitted, Front
-from finchshed.daemon.leaving import Leaving, new_incarnation
-from finchshed.daemon.link_side import LinkSide
 from finchshed.daemon.listeners import Listeners
-from finchshed.daemon.quarantine import Quarantine
-from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.callee import Callee
-from finchshed.daemon.serving.control_ledger import ControlLedger
-from finchshed.daemon.serving.guarded import GuardedRuns
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.daemon.signatures import Signatures
-from finchshed.directory.registrar import Registrar
-from finchshed.distribution.addresses import parse_control_address
-from finchshed.distribution.driver import FollowerDriver
 from finchshed.distribution.effects import ServingGround
-from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import DirectoryUpdate, Hints
 from finchshed.distribution.snapshot import Configuration
-from finchshed.http.server import HttpServer
-from finchshed.http.spool import SpoolBudget
-from finchshed.link.listener import LinkListener
-from finchshed.quarantine.messages import CrashNews
-from finchshed.routing.table import RoutingTable
 from finchshed.runtime import clock, garbage
 from finchshed.runtime.waiting import wait_while
-from finchshed.tls.credentials import credentials_of
-from finchshed.tls.handshakes import Connector
-from finchshed.tls.names import Role
 
-SLOW_TICK_SECONDS = 0.5
+UPKEEP_SECONDS = 0.5
+"""Seconds between rounds of upkeep (idle connections, lost links, silence); chosen, not
+measured."""
 
 IDLE_SLACK_SECONDS = 2.0
-"""A connection is kept a little longer than callers were told, so that none of theirs crosses."""
+"""Seconds that a connection is kept longer than callers were told, so that none of their requests
+crosses its end; chosen, not measured."""
 
 
 class Daemon:
@@ -68,131 +42,76 @@
     ----------
     names
         Names of the headers of requests by host.
-
-    Attributes
-    ----------
-    own_backend
-        Takes the back end's heartbeats; None where its endpoint is declared, and on an edge.
     """
 
     def __init__(self, settings: DaemonSettings, names: HeaderNames | None = None) -> None:
         self._settings = settings
-        self._names = names or HeaderNames()
-        self._rng = random.Random(secrets.randbits(64))
-        self._incarnation = new_incarnation()
-        self._started_ms = int(time.time() * MILLISECONDS)
         self._is_serving = False
-        self._leaving = Leaving(settings.endpoint)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._served = ServedRequests()
-        self._table = RoutingTable(
-            settings.zone,
-            settings.region,
-            self._rng,
-            owner=settings.node,
-            subset_size=settings.subset_size,
-        )
-        self._platform = PlatformHints(self._table)
-        self._credentials = credentials_of(settings)
-        self._driver = self._make_driver()
-        self._driver.client.on_hints = self._on_hints
-        self._signatures = Signatures(self._names)
-        self._quarantine = Quarantine(self._driver.client, self._tell_links)
-        self._side = LinkSide(
-            settings,
-            self._driver,
-            self._table,
-            self._platform,
-            self._quarantine,
-            incarnation=self._incarnation,
-            takes_nothing=self._leaving.takes_nothing,
-            rng=self._rng,
-        )
-        self._links = PeerLinks(settings, self._side, self._rng, Connector(self._credentials))
-        self._endpoints = KnownEndpoints(self._table, self._links)
-        self._paths = PathThresholds(self._table.floor)
-        self._caller = Caller(
-            self._table,
-            self._links,
-            self._served,
-            self._paths,
-            self._rng,
-            signatures=self._signatures,
-            quarantine=self._quarantine,
-        )
-        self._front = Front(self._caller, self._served, self._rng, self._why_not)
-        self._lease_renewal = LeaseRenewal(self._driver.client)
-        self._quotas = QuotaGate(
-            self._driver.client, self._incarnation, self._started_ms, self._rng
-        )
-        self._host_front = HostFront(
-            self._caller,
-            self._served,
-            self._names,
-            self._rng,
-            lease=self._lease_renewal.lease,
-            quotas=self._quotas,
-            own_service=lambda: self._side.service,
-            why_not=self._why_not,
-        )
-        spool = SpoolBudget(settings.max_spooled_bytes)
-        self._http: HttpServer[Admitted] = HttpServer(self._front, spool)
-        self._host_http: HttpServer[HostAdmitted] = HttpServer(self._host_front, spool)
-        self._listener = LinkListener(
-            self._side,
-            settings.peer_networks,
-            silence_seconds=settings.accepted_silence_seconds,
-            max_unsent_bytes=settings.max_unsent_bytes,
-        )
-        self._backend: HttpBackend | None = None
-        self._callee = self._make_callee()
-        self._side.callee = self._callee
-        self._leaving.attach(self._callee, self._side, self._listener)
-        self.own_backend = self._make_own_backend()
-        self._driver.client.on_directory = self._on_directory
         self._listeners = Listeners()
+        parts = build_parts(settings, names or HeaderNames(), self, self._not_ready_reason)
+        self._parts = parts
+        self._drain = parts.state.drain
+        self._links = parts.linked.links
+        self._ingress = parts.ingress
+        client = parts.driver.client
+        client.on_hints = self._on_hints
+        client.on_directory = self._on_directory
 
     @property
     def is_serving(self) -> bool:
         """Whether new work is taken."""
-        return self._is_serving and not self._leaving.is_stopping
+        return self._is_serving and not self._drain.is_stopping
 
     @property
     def state_detail(self) -> str:
         """What a daemon that takes no new work waits for."""
-        if self._leaving.is_stopping:
+        if self._drain.is_stopping:
             return "draining"
         return "" if self._is_serving else "waiting for a confirmed configuration"
 
+    @property
+    def registered_backend(self) -> RegisteredBackend | None:
+        """Takes the back end's heartbeats; None where its endpoint is declared, and on an edge."""
+        return self._parts.backend_state.registered
+
+    @property
+    def _callee(self) -> Callee | None:
+        serving = self._parts.serving
+        return None if serving is None else serving.callee
+
     async def start(self) -> None:
         """Follow the configuration and listen."""
         settings = self._settings
-        self._spawn(self._driver.run())
-        self._spawn(self._tick_seldom())
-        if self._leaving.watch is not None and self.own_backend is None:
-            self._spawn(self._leaving.watch.run())
-        make_link = self._listener.make_protocol
-        await self._listeners.open(settings.link_address, make_link, self._credentials)
+        parts = self._parts
+        self._spawn(parts.driver.run())
+        self._spawn(self._keep_up())
+        monitor = parts.backend_state.monitor
+        if monitor is not None and self.registered_backend is None:
+            self._spawn(monitor.run())
+        make_link = parts.linked.listener.make_protocol
+        await self._listeners.open(settings.link_address, make_link, parts.state.credentials)
         if settings.host_address:
-            await self._listeners.open(settings.host_address, self._host_http.make_protocol)
+            make_connection = self._ingress.host_server.make_protocol
+            await self._listeners.open(settings.host_address, make_connection)
 
     async def stop(self) -> None:
         """Take no new work, finish what is in progress, and close.
 
-        Callers are told first, and what they sent before they heard of it still comes in. New
+        Callers are told first, and what they sent before they were told still comes in. New
         connections go to a successor, if one listens already. Sessions may use all of the time a
         drain has; those that are left then are sent away, which moves them to other endpoints.
         """
         settings = self._settings
-        self._leaving.is_stopping = True
+        self._drain.is_stopping = True
         metrics.DRAINING.set(1)
         logger.info("draining")
         self._listeners.prefer_successor()
-        self._http.closing = True
-        self._host_http.closing = True
+        self._ingress.service_server.closing = True
+        self._ingress.host_server.closing = True
         serving_seconds = min(settings.drain_serving_seconds, settings.drain_notice_seconds)
         await asyncio.sleep(serving_seconds)
-        self._leaving.tell()
+        self._parts.backend_state.announcer.announce()
         await asyncio.sleep(settings.drain_notice_seconds - serving_seconds)
         self._listeners.close()
         await wait_while(self._is_busy, settings.drain_seconds)
@@ -202,26 +121,28 @@
             await wait_while(self._is_busy, settings.drain_notice_seconds)
         await self._close()
 
-    # What the configuration tells.
+    # What the configuration changes.
 
     def add_control_addresses(self, addresses: Iterable[str]) -> None:
-        """Take in control nodes that the settings name by now."""
-        self._driver.client.add_addresses(addresses)
+        """Use control nodes that the settings name by now as well."""
+        self._parts.driver.client.add_addresses(addresses)
 
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
         """Act on ``current`` from now on."""
         metrics.REVISION.set(current.revision)
         catalogue = Catalogue(current.resources.values(), current.revision)
         logger.info("configuration {} in force, before {}", current.revision, previous.revision)
-        self._endpoints.declare(catalogue.endpoints)
-        self._caller.configure(catalogue)
-        self._front.catalogue = catalogue
-        self._host_front.configure(catalogue)
-        self._lease_renewal.configure(catalogue)
-        self._quotas.configure(catalogue)
-        self._host_http.limits.max_head_bytes = catalogue.limits.max_head_bytes
-        self._host_http.limits.read_seconds = catalogue.limits.head_seconds
-        self._host_http.limits.idle_seconds = catalogue.limits.idle_seconds + IDLE_SLACK_SECONDS
+        self._parts.linked.endpoints.declare(catalogue.endpoints)
+        ingress = self._ingress
+        ingress.caller.configure(catalogue)
+        ingress.service_handler.catalogue = catalogue
+        ingress.host_handler.configure(catalogue)
+        ingress.lease_renewal.configure(catalogue)
+        ingress.quotas.configure(catalogue)
+        limits = ingress.host_server.limits
+        limits.max_head_bytes = catalogue.limits.max_head_bytes
+        limits.read_seconds = catalogue.limits.head_seconds
+        limits.idle_seconds = catalogue.limits.idle_seconds + IDLE_SLACK_SECONDS
         if self._callee is not None:
             self._callee.configure(catalogue)
 
@@ -229,7 +150,7 @@
         """Ask a peer for its configuration."""
         if self._links.fetch(peer, revision):
             return
-        for link in self._listener.links():
+        for link in self._parts.linked.listener.links():
             if link.peer is not None and link.peer.node == peer:
                 link.fetch(revision)
                 return
@@ -246,137 +167,79 @@
         self._is_serving = True
         if self._settings.http_address:
             # Not before: a successor shares its address with a process that does answer.
-            self._spawn(self._listeners.open(self._settings.http_address, self._http.make_protocol))
+            make_connection = self._ingress.service_server.make_protocol
+            self._spawn(self._listeners.open(self._settings.http_address, make_connection))
         if self._callee is not None:
             self._callee.start_serving()
-        if self.own_backend is not None:
-            service = self._front.catalogue.service(self._settings.service)
+        if self.registered_backend is not None:
+            service = self._ingress.service_handler.catalogue.service(self._settings.service)
             if service is not None:
-                self._spawn(self.own_backend.identify(service.name, service.health_path))
+                self._spawn(self.registered_backend.identify(service.name, service.health_path))
 
     def _on_directory(self, update: DirectoryUpdate) -> None:
-        self._endpoints.on_update(update)
-        self._caller.share_with(len(self._endpoints))
-        held = self._endpoints.registration_of(self._settings.link_address)
-        if self.own_backend is not None and held is not None:
-            self.own_backend.on_own_registration(held)
+        endpoints = self._parts.linked.endpoints
+        endpoints.on_update(update)
+        self._ingress.caller.share_with(len(endpoints))
+        held = endpoints.registration_of(self._settings.link_address)
+        if self.registered_backend is not None and held is not None:
+            self.registered_backend.on_own_registration(held)
 
     def _on_hints(self, hints: Hints) -> None:
-        self._platform.on_hints(hints, clock.now())
-        self._leaving.on_hints(hints)
-
-    # Construction and upkeep.
+        self._parts.linked.platform.on_hints(hints, clock.now())
+        self._parts.backend_state.announcer.on_hints(hints)
 
-    def _make_driver(self) -> FollowerDriver:
-        settings = self._settings
-        identity = ClientIdentity(
-            node=settings.node,
-            incarnation=self._incarnation,
-            service=settings.service,
-            zone=settings.zone,
-            endpoint=settings.endpoint,
-        )
-        addresses = [parse_control_address(text) for text in settings.control_addresses]
-        folder = Path(settings.data_folder) if settings.data_folder else None
-        connect = Connector(self._credentials, Role.CONTROL)
-        return FollowerDriver(identity, addresses, self, self._rng, folder, connect=connect)
-
-    def _make_callee(self) -> Callee | None:
-        settings = self._settings
-        if not settings.backend_address:
-            return None
-        self._backend = HttpBackend(
-            settings.backend_address,
-            settings.max_connections,
-            settings.connect_timeout_seconds,
-            self._names,
-        )
-        watch = self._leaving.watch_backend(self._backend)
-        guarded = GuardedRuns(settings, ControlLedger(self._driver.client), self._rng)
-        return Callee(
-            settings,
-            backend=self._backend,
-            guarded=guarded,
-            served=self._served,
-            paths=self._paths,
-            rng=self._rng,
-            on_backend_answer=watch.on_answer,
-            revision=self._side.revision,
-            names=self._names,
-            signatures=self._signatures,
-            quarantine=self._quarantine,
-        )
-
-    def _make_own_backend(self) -> OwnBackend | None:
-        settings = self._settings
-        if self._callee is None or self._backend is None or not settings.registers_backend:
-            return None
-        registrar = Registrar(
-            settings.link_address,
-            settings.zone,
-            settings.region,
-            epoch=self._started_ms,
-            silence_seconds=settings.backend_silence_seconds,
-        )
-        return OwnBackend(
-            registrar,
-            self._callee,
-            side=self._side,
-            leaving=self._leaving,
-            listener=self._listener,
-            client=self._driver.client,
-            backend=self._backend,
-            names=self._names,
-        )
-
-    def _tell_links(self, news: CrashNews) -> None:
-        self._links.tell_crash_news(news)
-        for link in self._listener.links():
-            link.tell_crash_news(news)
+    # Upkeep.
 
-    def _why_not(self) -> RefusalReason | None:
+    def _not_ready_reason(self) -> RefusalReason | None:
         return None if self._is_serving else RefusalReason.NO_CONFIGURATION
 
     def _is_busy(self) -> bool:
-        if self._http.is_busy or self._host_http.is_busy or self._caller.in_progress:
+        ingress = self._ingress
+        if ingress.service_server.is_busy or ingress.host_server.is_busy:
+            return True
+        if ingress.caller.in_progress:
             return True
         return self._callee is not None and (
             self._callee.in_progress > 0 or self._callee.sessions > 0
         )
 
-    async def _tick_seldom(self) -> None:
+    async def _keep_up(self) -> None:
         while True:
-            await asyncio.sleep(SLOW_TICK_SECONDS)
-            self._http.sweep()
-            self._host_http.sweep()
-            if self.own_backend is not None:
-                self.own_backend.tick()
-            self._caller.expire_sessions()
-            self._quarantine.tick()
+            await asyncio.sleep(UPKEEP_SECONDS)
+            self._ingress.service_server.sweep()
+            self._ingress.host_server.sweep()
+            if self.registered_backend is not None:
+                self.registered_backend.tick()
+            self._ingress.caller.expire_sessions()
+            self._parts.quarantine.tick()
             self._links.close_idle()
             self._links.reopen_lost()
-            if not self._driver.client.is_connected:
+            if not self._parts.driver.client.is_connected:
                 # Other daemons are the only source of configuration then.
                 self._links.ask_revisions()
-            self._listener.close_silent(clock.now())
-            metrics.IN_PROGRESS.labels("caller").set(self._caller.in_progress)
+            self._parts.linked.listener.close_silent(clock.now())
             if self._callee is not None:
                 self._callee.expire_sessions()
-                metrics.IN_PROGRESS.labels("callee").set(self._callee.in_progress)
-                load = self._callee.load_report()
-                metrics.LIMIT.set(load.limit)
-                metrics.THRESHOLD.set(load.threshold)
+            self._set_gauges()
+
+    def _set_gauges(self) -> None:
+        metrics.IN_PROGRESS.labels("caller").set(self._ingress.caller.in_progress)
+        if self._callee is not None:
+            metrics.IN_PROGRESS.labels("callee").set(self._callee.in_progress)
+            load = self._callee.load_report()
+            metrics.LIMIT.set(load.limit)
+            metrics.THRESHOLD.set(load.threshold)
 
     async def _close(self) -> None:
         self._listeners.close()
-        self._http.close()
-        self._host_http.close()
-        self._lease_renewal.close()
-        self._quotas.close()
+        self._ingress.service_server.close()
+        self._ingress.host_server.close()
+        self._ingress.lease_renewal.close()
+        self._ingress.quotas.close()
         self._links.close()
-        self._listener.close()
-        if self._backend is not None:
-            await self._backend.close()
+        self._parts.linked.listener.close()
+        if self._parts.serving is not None:
+            await self._parts.serving.backend.close()
         for task in list(self._tasks):
             task.cancel()
 
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -74,7 +74,7 @@
     tenant: Tenant | None = None
 
 
-class HostFront:
+class HostRequestHandler:
     """Answers requests by host and path (the listener's handler).
 
     Parameters
@@ -85,7 +85,7 @@
         Has requests of limited tenants get tokens.
     own_service
         Returns the service of the back end beside this daemon.
-    why_not
+    not_ready_reason
         Returns the reason why no request may be taken now, or None.
     """
 
@@ -99,7 +99,7 @@
         lease: KeyLease,
         quotas: QuotaGate,
         own_service: Callable[[], str],
-        why_not: Callable[[], RefusalReason | None],
+        not_ready_reason: Callable[[], RefusalReason | None],
     ) -> None:
         self._caller = caller
         self._served = served
@@ -108,7 +108,7 @@
         self._lease = lease
         self._quotas = quotas
         self._own_service = own_service
-        self._why_not = why_not
+        self._not_ready_reason = not_ready_reason
         self._always_dropped = names.set_here()
         self._dropped = self._always_dropped
         self._api_key = names.api_key.encode("ascii")
@@ -137,7 +137,7 @@
     def _judge(
         self, request: InboundRequest, host: str, route: HostRoute | None
     ) -> HostAdmitted | Refused:
-        reason = self._why_not()
+        reason = self._not_ready_reason()
         if reason is not None:
             return self.refusal(reason)
         if route is None:
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -57,12 +57,12 @@
     served: ServedRequest | None
 
 
-class Front:
+class ServiceRequestHandler:
     """Answers HTTP requests (the listener's handler).
 
     Parameters
     ----------
-    why_not
+    not_ready_reason
         Returns the reason why no request may be taken now, or None.
     """
 
@@ -71,7 +71,7 @@
         caller: Caller,
         served: ServedRequests,
         rng: random.Random,
-        why_not: Callable[[], RefusalReason | None],
+        not_ready_reason: Callable[[], RefusalReason | None],
     ) -> None:
         self._caller = caller
         self._served = served
@@ -79,12 +79,12 @@
         self._root_prefix = secrets.token_hex(ROOT_PREFIX_BYTES)
         self._roots = itertools.count()
         self._fair = FairPositions(clock.now())
-        self._why_not = why_not
+        self._not_ready_reason = not_ready_reason
         self.catalogue = Catalogue()
 
     def admit(self, request: InboundRequest) -> Admitted | Refused:
         """Judge a request by its head, before its body is read."""
-        reason = self._why_not()
+        reason = self._not_ready_reason()
         if reason is not None:
             return self.refusal(reason)
         service_name = request.header(_SERVICE)
--- a/src/finchshed/daemon/link_side.py
+++ b/src/finchshed/daemon/link_handler.py
@@ -1,11 +1,16 @@
-"""What links tell this daemon and ask of it, at both of their ends."""
+"""What links report to this daemon and ask of it, at both of their ends.
+
+Owns nothing: passes calls to the serving side, load and revisions of peers to the routing table and
+the follower of the configuration, news of crashes to the quarantine.
+"""
 
 import random
-from collections.abc import Callable
 
 from finchshed.admission.load_report import LoadReport
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.daemon.calling.platform_hints import PlatformHints
+from finchshed.daemon.draining import DrainState
+from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.serving.callee import Callee
 from finchshed.daemon.settings import DaemonSettings
@@ -23,22 +28,15 @@
 from finchshed.runtime import clock
 
 
-class LinkSide:
+class LinkHandler:
     """Owner of the links this daemon opens and of those it accepts.
 
     Parameters
     ----------
-    incarnation
-        What peers tell one life of this endpoint from the next by.
-    takes_nothing
-        Tells whether any sign says that this endpoint leaves.
-
-    Attributes
-    ----------
     callee
-        Takes the calls that come in; None on an edge.
-    endpoint, service
-        Name and service of the endpoint as others know it; empty on an edge.
+        Serves the calls that come in; None on an edge.
+    identity
+        Who this endpoint is, as peers are told.
     """
 
     def __init__(
@@ -49,32 +47,31 @@
         platform: PlatformHints,
         quarantine: Quarantine,
         *,
-        incarnation: str,
-        takes_nothing: Callable[[], bool],
+        callee: Callee | None,
+        identity: EndpointIdentity,
+        drain: DrainState,
         rng: random.Random,
     ) -> None:
-        self.incarnation = incarnation
-        self.endpoint = settings.endpoint
-        self.service = settings.service
-        self.callee: Callee | None = None
         self._settings = settings
         self._driver = driver
         self._table = table
         self._platform = platform
         self._quarantine = quarantine
-        self._takes_nothing = takes_nothing
+        self._callee = callee
+        self._identity = identity
+        self._drain = drain
         self._rng = rng
 
     def hello(self, epoch: str) -> Hello:
         """Return this daemon's first line."""
         return Hello(
-            node=self.endpoint or self._settings.node,
-            incarnation=self.incarnation,
+            node=self._identity.name or self._settings.node,
+            incarnation=self._identity.incarnation,
             epoch=epoch,
-            service=self.service,
+            service=self._identity.service,
             zone=self._settings.zone,
             revision=self.revision(),
-            draining=self._takes_nothing(),
+            draining=self._drain.is_draining,
         )
 
     def revision(self) -> int:
@@ -86,7 +83,7 @@
         return self._driver.follower.answer_fetch(revision)
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Take what a peer tells of requests that crash back ends."""
+        """Merge what a peer reports of requests that crash back ends."""
         self._quarantine.on_link_news(news.records)
 
     def crash_news(self) -> CrashNews | None:
@@ -94,15 +91,15 @@
         return self._quarantine.news_for_link()
 
     def load_report(self) -> LoadReport:
-        """Return the load to tell with a heartbeat."""
-        if self.callee is None:
-            return LoadReport(draining=self._takes_nothing())
-        return self.callee.load_report()
+        """Return the load to report with a heartbeat."""
+        if self._callee is None:
+            return LoadReport(draining=self._drain.is_draining)
+        return self._callee.load_report()
 
     def call_received(self, link: AcceptedLink, call: Call) -> None:
-        """Take a call of another daemon; an edge has nothing to answer it with."""
-        if self.callee is not None:
-            self.callee.take(link, call)
+        """Serve a call of another daemon; an edge has nothing to answer it with."""
+        if self._callee is not None:
+            self._callee.on_call(link, call)
             return
         refused = Refused(RefusalReason.UNKNOWN_ROUTE, retry_after(0.0, self._rng))
         spare = call.context.spare_attempts
@@ -110,8 +107,8 @@
 
     def call_cancelled(self, link: AcceptedLink, call: int) -> None:
         """Drop a call of another daemon."""
-        if self.callee is not None:
-            self.callee.give_up(link, call)
+        if self._callee is not None:
+            self._callee.give_up(link, call)
 
     def accepted_revision_seen(self, link: AcceptedLink, revision: int) -> None:
         """Note the revision a calling daemon holds; fetch it if it is higher."""
@@ -119,7 +116,7 @@
             self._driver.on_peer_revision(link.peer.node, revision)
 
     def accepted_delta_received(self, link: AcceptedLink, delta: Delta) -> None:
-        """Take configuration from a calling daemon."""
+        """Offer the follower configuration from a calling daemon."""
         if link.peer is not None:
             self._driver.on_peer_delta(link.peer.node, delta)
 
@@ -138,7 +135,7 @@
         self._table.mark_draining(endpoint, clock.now())
 
     def peer_load(self, endpoint: str, load: LoadReport) -> None:
-        """Note the load an endpoint told with a heartbeat."""
+        """Note the load an endpoint reported with a heartbeat."""
         self._table.on_report(endpoint, load, clock.now())
 
     def peer_revision(self, peer: str, revision: int) -> None:
@@ -146,5 +143,5 @@
         self._driver.on_peer_revision(peer, revision)
 
     def peer_delta(self, peer: str, delta: Delta) -> None:
-        """Take configuration from an endpoint's daemon."""
+        """Offer the follower configuration from an endpoint's daemon."""
         self._driver.on_peer_delta(peer, delta)
--- a/src/finchshed/daemon/serving/call_admission.py
+++ b/src/finchshed/daemon/serving/call_admission.py
@@ -1,11 +1,17 @@
-"""Judges a call that came in by the configuration, the drain and the sessions."""
+"""Judges a call that came in by the configuration, the drain and the sessions.
+
+Owns the sessions pinned to the back end and which instance of it is served. Relies on the drain
+state, and on the configuration it was given last.
+"""
 
 import random
 
 import msgspec
 
 from finchshed.common.outcomes import RefusalReason, Refused
-from finchshed.daemon.catalogue import Catalogue
+from finchshed.configuration.resources import Service
+from finchshed.daemon.catalogue import Catalogue, Matched
+from finchshed.daemon.draining import DrainState
 from finchshed.daemon.request import MAX_ANSWER_BYTES_BY_HOST
 from finchshed.daemon.serving.ledger_port import scoped_key
 from finchshed.daemon.serving.work import Work
@@ -27,22 +33,20 @@
         Service of the back end.
     instance
         Start of the back end that registered, or empty; calls taken by host are meant for it alone.
-    draining
-        Whether no new work is taken.
     catalogue
         The configuration in force.
     sessions
         Sessions pinned to this back end.
     """
 
-    def __init__(self, settings: DaemonSettings, rng: random.Random) -> None:
+    def __init__(self, settings: DaemonSettings, drain: DrainState, rng: random.Random) -> None:
         self.may_serve = False
         self.service = settings.service
         self.instance = ""
-        self.draining = False
         self.catalogue = Catalogue()
         self.sessions = SessionTable()
         self._settings = settings
+        self._drain = drain
         self._rng = rng
         self._next_token = 1
 
@@ -56,6 +60,12 @@
         matched = self.catalogue.match(call.service, call.path)
         if matched is None or call.service != self.service:
             return self.refused(RefusalReason.UNKNOWN_ROUTE)
+        return self._admit_by_service(link, call, matched, now)
+
+    def _admit_by_service(
+        self, link: AcceptedLink, call: Call, matched: Matched, now: float
+    ) -> Work | Refused:
+        """Judge a call under a route of its service: size, key, drain, session."""
         route, service = matched.route, matched.service
         if len(call.body) > service.max_body_bytes:
             return self.refused(RefusalReason.REQUEST_TOO_LARGE)
@@ -63,24 +73,11 @@
         if ledger_key is None:
             return self.refused(RefusalReason.KEY_INVALID, "a UUID of version 7 is needed")
         session = call.context.session if route.session else ""
-        opens_session = False
-        if self.draining and not (session and self.sessions.get(session)):
+        if self._drain.is_announced and not (session and self.sessions.get(session)):
             return self.refused(RefusalReason.DRAINING)
-        if session:
-            if self.sessions.get(session) is None:
-                self.sessions.expire(now)
-            opened = self.sessions.open(
-                session,
-                service.name,
-                self._settings.endpoint,
-                max_sessions=service.max_sessions,
-                idle_seconds=service.session_idle_seconds,
-                now=now,
-            )
-            if isinstance(opened, NotOpened):
-                return self.refused(opened.reason)
-            opens_session = opened.is_new
-            self.sessions.on_request(session, now)
+        opens_session = self._enter_session(session, service, now) if session else False
+        if isinstance(opens_session, Refused):
+            return opens_session
         context = call.context
         if opens_session:
             # A session that it opens is not running yet.
@@ -100,9 +97,26 @@
             ledger_key=ledger_key,
         )
 
+    def _enter_session(self, session: str, service: Service, now: float) -> bool | Refused:
+        """Note a request of a session; return whether it opens it, or why it may not."""
+        if self.sessions.get(session) is None:
+            self.sessions.expire(now)
+        opened = self.sessions.open(
+            session,
+            service.name,
+            self._settings.endpoint,
+            max_sessions=service.max_sessions,
+            idle_seconds=service.session_idle_seconds,
+            now=now,
+        )
+        if isinstance(opened, NotOpened):
+            return self.refused(opened.reason)
+        self.sessions.on_request(session, now)
+        return opened.is_new
+
     def _admit_by_host(self, link: AcceptedLink, call: Call, now: float) -> Work | Refused:
         """Take a call that the calling daemon found the route of."""
-        if self.draining or not self.instance or call.service != self.service:
+        if self._drain.is_announced or not self.instance or call.service != self.service:
             # What was called here has gone: whatever is here now was not meant.
             return self.refused(RefusalReason.DRAINING)
         return Work(
--- a/src/finchshed/daemon/serving/crash_watch.py
+++ b/src/finchshed/daemon/serving/crash_detection.py
@@ -23,7 +23,7 @@
     then: Callable[[], None]
 
 
-class CrashWatch:
+class CrashDetector:
     """Gathers broken runs and looks whether the back end is still there.
 
     Parameters
--- /dev/null
+++ b/src/finchshed/daemon/serving/replies.py
@@ -0,0 +1,94 @@
+"""Sends the outcome of each call back on its link, with the load, and logs and counts it."""
+
+from collections.abc import Callable
+
+import msgspec
+
+from finchshed.admission.load_report import LoadReport
+from finchshed.common.outcomes import Answered, Outcome, Refused
+from finchshed.daemon import metrics
+from finchshed.daemon.decision_log import is_signed, log_call
+from finchshed.daemon.draining import DrainState
+from finchshed.daemon.quarantine import Quarantine
+from finchshed.daemon.serving.call_admission import CallAdmission
+from finchshed.daemon.serving.gate_runner import GateRunner
+from finchshed.daemon.serving.work import Work
+from finchshed.link.digests import digest_of
+from finchshed.link.listener import AcceptedLink
+from finchshed.link.messages import Call, Reply
+from finchshed.quarantine.messages import CrashRecord
+
+
+class ReplySender:
+    """Answers calls; who calls it sees to it that each is answered once.
+
+    Parameters
+    ----------
+    admission
+        Knows the instance that calls are served by.
+    gate
+        Gives the load.
+    revision
+        Returns the revision in force.
+    """
+
+    def __init__(
+        self,
+        admission: CallAdmission,
+        gate: GateRunner,
+        *,
+        drain: DrainState,
+        quarantine: Quarantine,
+        revision: Callable[[], int],
+    ) -> None:
+        self._admission = admission
+        self._gate = gate
+        self._drain = drain
+        self._quarantine = quarantine
+        self._revision = revision
+
+    def load_report(self) -> LoadReport:
+        """Return the load that is reported to callers."""
+        report = self._gate.load_report()
+        if self._drain.is_announced:
+            return msgspec.structs.replace(report, draining=True)
+        return report
+
+    def refuse(self, link: AcceptedLink, call: Call, refused: Refused) -> None:
+        """Answer a call that was not admitted."""
+        self._send(link, call, refused, call.context.spare_attempts, self.load_report())
+
+    def reply(self, work: Work, outcome: Outcome, spare: int) -> None:
+        """Answer an admitted call; ``spare`` are the spare attempts that are left of it."""
+        load = self.load_report()
+        signature = work.signature() if is_signed(outcome) else ""
+        log_call(
+            work, outcome, self._admission.instance, load, self._gate.running, signature=signature
+        )
+        record = self._quarantine.record_of(work.signature)
+        self._send(work.link, work.call, outcome, spare, load, crash_record=record)
+
+    def _send(
+        self,
+        link: AcceptedLink,
+        call: Call,
+        outcome: Outcome,
+        spare: int,
+        load: LoadReport,
+        *,
+        crash_record: CrashRecord | None = None,
+    ) -> None:
+        digest = digest_of(outcome.body) if isinstance(outcome, Answered) else ""
+        link.reply(
+            Reply(
+                epoch=call.epoch,
+                call=call.call,
+                outcome=outcome,
+                spare_attempts=spare,
+                load=load,
+                digest=digest,
+                revision=self._revision(),
+                crash_record=crash_record,
+            )
+        )
+        metrics.count_served(call.service, call.context.importance, outcome)
--- a/tests/daemon/lone_callee.py
+++ b/tests/daemon/lone_callee.py
@@ -4,6 +4,8 @@
 from unittest.mock import Mock
 
 from finchshed.admission.paths import PathThresholds
+from finchshed.daemon.backend.events import BackendEvents
+from finchshed.daemon.draining import DrainState
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.serving.accounts import ServedRequests
@@ -34,7 +36,8 @@
         served=served,
         paths=paths,
         rng=random.Random(1),
-        on_backend_answer=Mock(),
+        drain=DrainState(),
+        events=BackendEvents(),
         revision=lambda: 1,
         names=HeaderNames(),
         signatures=signatures,
--- a/tests/daemon/test_admitted_share.py
+++ b/tests/daemon/test_admitted_share.py
@@ -36,7 +36,7 @@
     served = ServedRequests()
     context = CallContext("r1", Importance.NORMAL, 1.0, position=POSITIONS - 1, admitted_share=told)
     call = Call("e", 1, "sales", "GET", "/look/", (), b"", "", context, 1, ROUTE, True, "r1")
-    callee(served).take(Mock(epoch="e"), call)
+    callee(served).on_call(Mock(epoch="e"), call)
     request = served.get_by_identity("r1")
     assert request is not None
     assert request.context.admitted_share == pytest.approx(passed_on)
--- a/tests/daemon/test_backend_watch.py
+++ b/tests/daemon/test_backend_watch.py
@@ -13,7 +13,7 @@
 from finchshed.daemon.backend.health import (
     IDLE_POLL_SECONDS,
     TIMEOUT_SECONDS,
-    BackendWatch,
+    BackendHealthMonitor,
 )
 from tests.daemon.deployment import deployment, eventually
 from tests.daemon.scripted_backend import HEALTH_PATH, Received, answer
@@ -33,7 +33,7 @@
         self.meanwhile: Callable[[], None] = lambda: None
         self.checks = 0
         self.told: list[str] = []
-        self.watch = BackendWatch(
+        self.watch = BackendHealthMonitor(
             self, lambda: self.told.append("leaving"), lambda: self.told.append("returned")
         )
 
@@ -59,7 +59,7 @@
     await backend.watch.look()
     await backend.watch.look()
     assert backend.told == ["leaving"]
-    assert backend.watch.is_leaving
+    assert backend.watch.is_draining
 
 
 async def test_a_back_end_that_answers_is_not_asked() -> None:
@@ -92,7 +92,7 @@
     backend.result = WELL
     await backend.watch.look()
     assert backend.told == ["leaving", "returned"]
-    assert not backend.watch.is_leaving
+    assert not backend.watch.is_draining
 
 
 async def test_callers_hear_of_a_back_end_that_leaves_without_any_call() -> None:
--- a/tests/daemon/test_crash_watch.py
+++ b/tests/daemon/test_crash_watch.py
@@ -6,14 +6,14 @@
 from unittest.mock import AsyncMock, Mock
 
 from finchshed.daemon.backend.http_client import HttpBackend
-from finchshed.daemon.serving.crash_watch import BrokenRun, CrashWatch
+from finchshed.daemon.serving.crash_detection import BrokenRun, CrashDetector
 from tests.daemon.scripted_backend import ScriptedBackend, echo, well
 
 
-def watch(refuses: bool | Callable[[], bool], crashes: list[Any]) -> CrashWatch:
+def watch(refuses: bool | Callable[[], bool], crashes: list[Any]) -> CrashDetector:
     backend = Mock()
     backend.refuses_connections = AsyncMock(return_value=refuses)
-    return CrashWatch(backend, lambda *told: crashes.append(told))
+    return CrashDetector(backend, lambda *told: crashes.append(told))
 
 
 async def test_what_broke_together_is_told_as_one_crash_before_anything_goes_on() -> None:
--- a/tests/daemon/test_host_front.py
+++ b/tests/daemon/test_host_front.py
@@ -17,7 +17,7 @@
 )
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.ingress.host_handler import HostFront
+from finchshed.daemon.ingress.host_handler import HostRequestHandler
 from finchshed.daemon.request import Request
 from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.http.message import InboundRequest, Response
@@ -93,7 +93,7 @@
         self.quotas = FakeQuotas()
         self.lease = confirmed_lease() if lease is None else lease
         self.reason: RefusalReason | None = None
-        self.front = HostFront(
+        self.front = HostRequestHandler(
             self.caller,  # type: ignore[arg-type]
             self.served,
             NAMES,
@@ -101,7 +101,7 @@
             lease=self.lease,
             quotas=self.quotas,  # type: ignore[arg-type]
             own_service=lambda: "ledger",
-            why_not=lambda: self.reason,
+            not_ready_reason=lambda: self.reason,
         )
         self.configure(*resources)
 
--- a/tests/daemon/test_return_after_leaving.py
+++ b/tests/daemon/test_return_after_leaving.py
@@ -4,7 +4,7 @@
 import signal
 
 from finchshed.daemon.backend.client import BackendAnswer, BackendBroken, BackendUnreached
-from finchshed.daemon.backend.return_detection import STEADY_SECONDS, ReturnWatch
+from finchshed.daemon.backend.return_detection import STEADY_SECONDS, ReturnDetector
 from tests.daemon.deployment import Deployment, deployment, eventually
 from tests.daemon.scripted_backend import Received, answer
 
@@ -25,7 +25,7 @@
 
 
 def test_back_end_that_was_gone_has_returned_with_its_first_good_answer() -> None:
-    watch = ReturnWatch()
+    watch = ReturnDetector()
     assert not watch.has_returned(LEAVING, 1.0)
     assert not watch.has_returned(BackendUnreached("refused"), 2.0)
     assert not watch.has_returned(BackendBroken("reset"), 2.5)
@@ -33,7 +33,7 @@
 
 
 def test_good_answers_of_a_back_end_never_seen_gone_must_last() -> None:
-    watch = ReturnWatch()
+    watch = ReturnDetector()
     assert not watch.has_returned(WELL, 1.0)
     assert not watch.has_returned(LEAVING, 1.0 + STEADY_SECONDS - 0.1)
     assert not watch.has_returned(WELL, 1.0 + STEADY_SECONDS)
