--- a/src/finchshed/bench/control_group.py
+++ b/src/finchshed/bench/control_group.py
@@ -17,7 +17,8 @@
 from finchshed.ctl.changes import submit
 from finchshed.ctl.client import OperatorClient
 from finchshed.distribution.addresses import ControlAddress
-from finchshed.distribution.client import ClientHandlers, ControlClient
+from finchshed.distribution.client import ControlClient
+from finchshed.distribution.client_handlers import ClientHandlers
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import Delta
 from finchshed.rpc.generated import finchshed_pb2 as pb
--- a/src/finchshed/bench/control_load.py
+++ b/src/finchshed/bench/control_load.py
@@ -92,12 +92,12 @@
     """Begin and complete ``key``; add the seconds of each step that was answered."""
     loop = asyncio.get_running_loop()
     started = loop.time()
-    granted = await user.client.begin(key, key[-12:], TIMEOUT_SECONDS)
+    granted = await user.client.ledger.begin(key, key[-12:], TIMEOUT_SECONDS)
     begun = loop.time()
     if not isinstance(granted, LedgerGranted):
         return
     begins.append(begun - started)
-    if await user.client.complete(key, key[-12:], ANSWER, TIMEOUT_SECONDS):
+    if await user.client.ledger.complete(key, key[-12:], ANSWER, TIMEOUT_SECONDS):
         completes.append(loop.time() - begun)
 
 
--- a/src/finchshed/control/daemons/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -15,7 +15,9 @@
 from finchshed.control.raft.replicated_log import ReplicatedLog
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.addresses import ControlAddress
-from finchshed.distribution.client import ClientHandlers, Connect, ControlClient
+from finchshed.distribution.client import ControlClient
+from finchshed.distribution.client_handlers import ClientHandlers
+from finchshed.distribution.control_dialer import Connect
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.ledger_requests import LedgerAnswer
 from finchshed.distribution.messages import (
@@ -87,18 +89,20 @@
 
     async def begin(self, key: str, attempt: str, timeout_seconds: float) -> LedgerAnswer:
         """Ask leave to run the request under ``key``."""
-        return await self._client.begin(key, attempt, timeout_seconds)
+        return await self._client.ledger.begin(key, attempt, timeout_seconds)
 
     async def cancel(self, key: str, attempt: str, timeout_seconds: float) -> bool:
         """Free the key of an attempt that was not sent; True once committed."""
-        return await self._client.cancel(key, attempt, timeout_seconds)
+        return await self._client.ledger.cancel(key, attempt, timeout_seconds)
 
     async def complete(self, request: LedgerRequest, timeout_seconds: float) -> bool:
         """Record an answer; True once committed."""
         answer = getattr(request, "answer", None)
         if answer is None:
             return False
-        return await self._client.complete(request.key, request.attempt, answer, timeout_seconds)
+        return await self._client.ledger.complete(
+            request.key, request.attempt, answer, timeout_seconds
+        )
 
     def close(self) -> None:
         """End the connection."""
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -292,7 +292,7 @@
             self._names,
         )
         watch = self._leaving.watch_backend(self._backend)
-        guarded = GuardedRuns(settings, ControlLedger(self._driver.client), self._rng)
+        guarded = GuardedRuns(settings, ControlLedger(self._driver.client.ledger), self._rng)
         return Callee(
             settings,
             backend=self._backend,
--- a/src/finchshed/daemon/serving/control_ledger.py
+++ b/src/finchshed/daemon/serving/control_ledger.py
@@ -6,37 +6,37 @@
 
 from finchshed.common.outcomes import Answered
 from finchshed.daemon.serving.ledger_port import LedgerCallback
-from finchshed.distribution.client import ControlClient
+from finchshed.distribution.ledger_requests import LedgerRequests
 
 
 class ControlLedger:
-    """Turns the client's coroutines into callbacks of calls in progress."""
+    """Turns the coroutines of the requests to control into callbacks of calls in progress."""
 
-    def __init__(self, client: ControlClient) -> None:
-        self._client = client
+    def __init__(self, requests: LedgerRequests) -> None:
+        self._requests = requests
         self._tasks: set[asyncio.Task[None]] = set()
 
     def begin(self, key: str, attempt: str, timeout: float, done: LedgerCallback) -> None:
         """Ask leave to run the request under ``key``."""
-        client = self._client
+        requests = self._requests
 
         async def run() -> None:
-            done(await client.begin(key, attempt, timeout))
+            done(await requests.begin(key, attempt, timeout))
 
         self._spawn(run())
 
     def cancel(self, key: str, attempt: str, timeout: float) -> None:
         """Say that the attempt was never sent."""
-        self._spawn(_ignore(self._client.cancel(key, attempt, timeout)))
+        self._spawn(_ignore(self._requests.cancel(key, attempt, timeout)))
 
     def complete(
         self, key: str, attempt: str, answer: Answered, *, timeout: float, done: LedgerCallback
     ) -> None:
         """Record the whole answer of the attempt."""
-        client = self._client
+        requests = self._requests
 
         async def run() -> None:
-            await client.complete(key, attempt, answer, timeout)
+            await requests.complete(key, attempt, answer, timeout)
             done(None)
 
         self._spawn(run())
--- a/src/finchshed/distribution/client.py
+++ b/src/finchshed/distribution/client.py
@@ -1,26 +1,25 @@
 """A daemon's connection to control: one at a time, to whichever control node serves.
 
-Real daemons and hollow ones of the scale run use this class alike. It opens the connection,
-subscribes, notices a control node that is cut off in silence by its missing heartbeats, moves to
-another, and carries ledger requests, which are sent again on the next connection until they are
-answered or their time is up.
+Owns the connection in use, its subscription and its heartbeats: a control node that is cut off in
+silence is noticed by the lines that are missing, and left for another. Control nodes use it too,
+for the ledger of another group.
+
+Relies on :class:`~finchshed.distribution.addresses.AddressBook` for the node to try next, on
+:mod:`finchshed.distribution.control_dialer` for opening connections, and on
+:class:`~finchshed.distribution.ledger_requests.LedgerRequests`, which sends a request again on the
+next connection until it is answered or its time is up.
 """
 
 import asyncio
 import random
-from collections.abc import Awaitable, Callable, Iterable
-from dataclasses import dataclass
-from typing import TypeAlias
+from collections.abc import Callable, Iterable
 
-from finchshed.common.outcomes import Answered
 from finchshed.directory.registration import Registration
-from finchshed.distribution.addresses import (
-    LONGEST_CONNECT_SECONDS,
-    AddressBook,
-    ControlAddress,
-)
+from finchshed.distribution.addresses import AddressBook, ControlAddress
+from finchshed.distribution.client_handlers import ClientHandlers
+from finchshed.distribution.control_dialer import Connect, Connection, ControlDialer
 from finchshed.distribution.identity import ClientIdentity
-from finchshed.distribution.ledger_requests import LedgerAnswer, LedgerRequest, LedgerRequests
+from finchshed.distribution.ledger_requests import LedgerRequest, LedgerRequests
 from finchshed.distribution.messages import (
     Announce,
     ControlNodes,
@@ -42,10 +41,6 @@
 from finchshed.quarantine.messages import CrashNews
 from finchshed.quota.messages import QuotaAnswer, QuotaRequest, QuotaShares, QuotaTokens
 
-Connection: TypeAlias = LineProtocol[ControlToDaemon]
-Connect: TypeAlias = Callable[[Callable[[], Connection], str, int], Awaitable[object]]
-"""Opens a connection for the protocol made by the first argument to a host and port."""
-
 SILENCE_SECONDS = 1.5
 """A control node that sent nothing for this long is left; it sends each half second.
 
@@ -53,30 +48,14 @@
 that can't be reached either.
 """
 
-NEARER_SECONDS = 60.0
-"""A daemon linked to another zone's control node tries its own zone's after one to two of these.
-
-Without it a control node that was restarted would serve nobody, and a zone would hang on links to
-others that may be cut.
-"""
-
 HEARTBEAT_SECONDS = 1.0
-CHECK_SECONDS = 0.25
-MAX_LINE_BYTES = 96 << 20
+"""Longest time between two reports of the revision in force. Chosen, not measured."""
 
+CHECK_SECONDS = 0.25
+"""Time between looks for silence and for a report that is due. Chosen, not measured."""
 
-@dataclass(frozen=True, slots=True)
-class ClientHandlers:
-    """What the client tells its owner.
-
-    ``revision_held`` and ``revision_in_force`` are read for subscriptions and heartbeats.
-    """
-
-    on_delta: Callable[[Delta], None]
-    on_connected: Callable[[], None]
-    on_lost: Callable[[], None]
-    revision_held: Callable[[], int]
-    revision_in_force: Callable[[], int]
+MAX_LINE_BYTES = 96 << 20
+"""Longest line taken from control, bytes: a whole configuration or a completed call's answer."""
 
 
 class ControlClient:
@@ -97,6 +76,8 @@
 
     Attributes
     ----------
+    ledger
+        The daemon's requests to the at-most-once ledger.
     on_hints
         Called with the platform's list as control read it; set by the daemon.
     on_explain
@@ -122,7 +103,7 @@
         connect: Connect | None = None,
     ) -> None:
         self._identity = identity
-        self._connect = connect or _connect_by_loop
+        self._dialer = ControlDialer(connect)
         self._handlers = handlers
         self._rng = rng
         self._book = AddressBook(addresses, identity.zone, rng)
@@ -132,8 +113,7 @@
         self._is_subscribed = False
         self._heard_at = 0.0
         self._heartbeat_due = 0.0
-        self._ledger = LedgerRequests(identity.node, self._send_ledger_request)
-        self._bytes_before = (0, 0)
+        self.ledger = LedgerRequests(identity.node, self._send_ledger_request)
         self.connections_made = 0
         self.on_hints: Callable[[Hints], None] | None = None
         self.on_explain: Callable[[ExplainRequest], tuple[Decision, ...]] | None = None
@@ -153,13 +133,6 @@
         """Address of the control node in use, or empty."""
         return "" if self._connection is None else self._connection.peer_address
 
-    def bytes_moved(self) -> tuple[int, int]:
-        """Return bytes received and sent since the start."""
-        received, sent = self._bytes_before
-        if self._connection is None:
-            return received, sent
-        return received + self._connection.bytes_received, sent + self._connection.bytes_sent
-
     async def run(self) -> None:
         """Stay connected until cancelled."""
         loop = asyncio.get_running_loop()
@@ -173,8 +146,8 @@
 
     def report_in_force(self, revision: int) -> None:
         """Tell the control node which revision is in force here."""
-        if self._connection is not None and self._is_subscribed:
-            self._connection.send(InForce(revision))
+        self._send_subscribed(InForce(revision))
+        if self._is_subscribed:
             self._heartbeat_due = asyncio.get_running_loop().time() + HEARTBEAT_SECONDS
 
     def announce(self) -> None:
@@ -184,21 +157,15 @@
 
     def renew_lease(self, question: int) -> None:
         """Send a question for the daemon's lease."""
-        if self._connection is not None and self._is_subscribed:
-            self._connection.send(RenewLease(question))
+        self._send_subscribed(RenewLease(question))
 
     def send_quota(self, request: QuotaRequest) -> bool:
         """Send a report or an ask to the leader; return whether there was a way to send it."""
-        return (
-            self._connection is not None
-            and self._is_subscribed
-            and self._connection.send(request) > 0
-        )
+        return self._send_subscribed(request)
 
     def send_crash_news(self, news: CrashNews) -> None:
         """Tell the control node of requests that back ends ended under."""
-        if self._connection is not None and self._is_subscribed:
-            self._connection.send(news)
+        self._send_subscribed(news)
 
     def add_addresses(self, addresses: Iterable[str]) -> None:
         """Take in further control nodes."""
@@ -209,44 +176,25 @@
         if self._connection is not None:
             self._connection.send(Fetch(revision))
 
-    async def begin(self, key: str, attempt: str, timeout_seconds: float) -> LedgerAnswer:
-        """Ask the ledger for leave; see :meth:`LedgerRequests.begin`."""
-        return await self._ledger.begin(key, attempt, timeout_seconds)
-
-    async def cancel(self, key: str, attempt: str, timeout_seconds: float) -> bool:
-        """Free a key; see :meth:`LedgerRequests.cancel`."""
-        return await self._ledger.cancel(key, attempt, timeout_seconds)
-
-    async def complete(
-        self, key: str, attempt: str, answer: Answered, timeout_seconds: float
-    ) -> bool:
-        """Record an answer; see :meth:`LedgerRequests.complete`."""
-        return await self._ledger.complete(key, attempt, answer, timeout_seconds)
-
     async def _connect_and_serve(self, address: ControlAddress, connect_seconds: float) -> float:
         """Return for how many seconds the connection served."""
         loop = asyncio.get_running_loop()
-        host, _, port = address.address.rpartition(":")
         self._ended.clear()
-        connection = self._make_protocol()
-        try:
-            opening = self._connect(lambda: connection, host, int(port))
-            await asyncio.wait_for(opening, connect_seconds)
-        except (OSError, TimeoutError):
+        connection: Connection = LineProtocol(
+            ControlToDaemon, self._on_message, None, self._on_close, MAX_LINE_BYTES
+        )
+        if not await self._dialer.open(address, connection, connect_seconds):
             return 0.0
         opened_at = self._heard_at = loop.time()
         self._connection = connection
         self.connections_made += 1
         self._subscribe(connection)
         try:
-            await self._watch(connection, address)
+            await self._wait_until_ended(address)
         finally:
             self._leave(connection)
         return loop.time() - opened_at
 
-    def _make_protocol(self) -> Connection:
-        return LineProtocol(ControlToDaemon, self._on_message, None, self._on_close, MAX_LINE_BYTES)
-
     def _subscribe(self, connection: Connection) -> None:
         identity = self._identity
         connection.send(
@@ -260,9 +208,9 @@
             )
         )
         self.announce()
-        self._ledger.send_again()
+        self.ledger.send_again()
 
-    async def _watch(self, connection: Connection, address: ControlAddress) -> None:
+    async def _wait_until_ended(self, address: ControlAddress) -> None:
         """Return once the connection has ended, is silent, or a nearer node can be reached."""
         nearer = self._book.nearer(address)
         probing = None if nearer is None else asyncio.create_task(self._move_to(nearer))
@@ -290,28 +238,11 @@
 
     async def _move_to(self, nearer: ControlAddress) -> None:
         """End the connection once a nearer control node can be reached."""
-        while True:
-            await asyncio.sleep(NEARER_SECONDS * (1.0 + self._rng.random()))
-            if await self._can_reach(nearer):
-                self._book.on_reachable(nearer)
-                self._ended.set()
-                return
-
-    async def _can_reach(self, address: ControlAddress) -> bool:
-        """Whether a connection to a control node can be opened; it is closed at once."""
-        probe: LineProtocol[ControlToDaemon] = LineProtocol(ControlToDaemon, _ignore)
-        host, _, port = address.address.rpartition(":")
-        try:
-            opening = self._connect(lambda: probe, host, int(port))
-            await asyncio.wait_for(opening, LONGEST_CONNECT_SECONDS)
-        except (OSError, TimeoutError):
-            return False
-        probe.abort()
-        return True
+        await self._dialer.wait_until_reachable(nearer, self._rng)
+        self._book.on_reachable(nearer)
+        self._ended.set()
 
     def _leave(self, connection: Connection) -> None:
-        received, sent = self._bytes_before
-        self._bytes_before = (received + connection.bytes_received, sent + connection.bytes_sent)
         self._connection = None
         connection.abort()
         if self._is_subscribed:
@@ -341,7 +272,7 @@
         elif isinstance(message, Hints | DirectoryUpdate | LeaseRenewed | CrashNews):
             self._pass_on(message)
         else:
-            self._ledger.on_answer(message)
+            self.ledger.on_answer(message)
 
     def _pass_on(self, message: Hints | DirectoryUpdate | LeaseRenewed | CrashNews) -> None:
         """Hand a message to the part of the daemon that waits for it, if there is one."""
@@ -355,17 +286,14 @@
             case CrashNews() if self.on_crash_news is not None:
                 self.on_crash_news(message)
 
+    def _send_subscribed(self, message: InForce | RenewLease | QuotaRequest | CrashNews) -> bool:
+        """Send what only a node that took the subscription reads; return whether it was sent."""
+        connection = self._connection if self._is_subscribed else None
+        return connection is not None and connection.send(message) > 0
+
     def _send_ledger_request(self, request: LedgerRequest) -> bool:
         return self._connection is not None and self._connection.send(request) > 0
 
     def _on_close(self, connection: Connection, error: Exception | None) -> None:
         if connection is self._connection:
             self._ended.set()
-
-
-def _ignore(connection: Connection, message: ControlToDaemon) -> None:
-    """Take nothing from a connection that is only tried."""
-
-
-async def _connect_by_loop(make_protocol: Callable[[], Connection], host: str, port: int) -> object:
-    return await asyncio.get_running_loop().create_connection(make_protocol, host, port)
--- a/src/finchshed/distribution/driver.py
+++ b/src/finchshed/distribution/driver.py
@@ -14,11 +14,9 @@
 from finchshed.common.errors import StorageError
 from finchshed.configuration.resources import Endpoint
 from finchshed.distribution.addresses import ControlAddress
-from finchshed.distribution.client import (
-    ClientHandlers,
-    Connect,
-    ControlClient,
-)
+from finchshed.distribution.client import ControlClient
+from finchshed.distribution.client_handlers import ClientHandlers
+from finchshed.distribution.control_dialer import Connect
 from finchshed.distribution.effects import (
     FetchFromControl,
     FetchFromPeer,
--- a/tests/architecture/decision_modules.py
+++ b/tests/architecture/decision_modules.py
@@ -28,6 +28,7 @@
         "finchshed.configuration.declarations",
         "finchshed.consensus.driver",
         "finchshed.distribution.client",
+        "finchshed.distribution.control_dialer",
         "finchshed.distribution.driver",
         "finchshed.distribution.ledger_requests",
         "finchshed.distribution.record",
--- a/tests/control/daemons.py
+++ b/tests/control/daemons.py
@@ -6,7 +6,8 @@
 from collections.abc import AsyncIterator, Sequence
 
 from finchshed.distribution.addresses import ControlAddress
-from finchshed.distribution.client import ClientHandlers, ControlClient
+from finchshed.distribution.client import ControlClient
+from finchshed.distribution.client_handlers import ClientHandlers
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import Delta
 from tests.control.group import Node
--- a/tests/control/test_ledger_faults.py
+++ b/tests/control/test_ledger_faults.py
@@ -46,17 +46,17 @@
     key = fresh_key(1)
     async with running(daemon):
         await daemon.wait_for(1)
-        assert isinstance(await daemon.client.begin(key, "a", SECONDS), LedgerGranted)
+        assert isinstance(await daemon.client.ledger.begin(key, "a", SECONDS), LedgerGranted)
         leader = await asyncio.to_thread(group.leader)
         group.kill(leader)
-        assert isinstance(await daemon.client.begin(key, "b", SECONDS), LedgerUnknown)
-        assert isinstance(await daemon.client.begin(key, "a", SECONDS), LedgerGranted)
-        assert await daemon.client.complete(key, "a", ANSWER, SECONDS)
+        assert isinstance(await daemon.client.ledger.begin(key, "b", SECONDS), LedgerUnknown)
+        assert isinstance(await daemon.client.ledger.begin(key, "a", SECONDS), LedgerGranted)
+        assert await daemon.client.ledger.complete(key, "a", ANSWER, SECONDS)
         for node in group.nodes:
             if node.process is not None:
                 group.kill(node)
         group.start_all()
-        again = await daemon.client.begin(key, "c", SECONDS)
+        again = await daemon.client.ledger.begin(key, "c", SECONDS)
         assert isinstance(again, LedgerCompleted)
         assert again.answer == ANSWER
 
@@ -71,13 +71,13 @@
         await daemon.wait_for(1)
         for node in others:
             group.freeze(node)
-        refused = await daemon.client.begin(key, "a", 2.0)
+        refused = await daemon.client.ledger.begin(key, "a", 2.0)
         assert isinstance(refused, LedgerRefused)
         assert not refused.expired
         for node in others:
             group.thaw(node)
         await granted_in_the_end(daemon, key)
-        assert isinstance(await daemon.client.begin(key, "a", SECONDS), LedgerUnknown)
+        assert isinstance(await daemon.client.ledger.begin(key, "a", SECONDS), LedgerUnknown)
 
 
 async def test_of_attempts_racing_while_the_leader_is_killed_at_most_one_is_granted(
@@ -91,7 +91,7 @@
 
     async def race(daemon: HollowDaemon, key: str) -> None:
         attempt = str(daemons.index(daemon))
-        if isinstance(await daemon.client.begin(key, attempt, SECONDS), LedgerGranted):
+        if isinstance(await daemon.client.ledger.begin(key, attempt, SECONDS), LedgerGranted):
             granted[key].append(attempt)
 
     async with running(*daemons):
@@ -110,7 +110,7 @@
     """Expect a grant: a refused attempt is cancelled in the background, and frees the key."""
     deadline = clock.now() + SECONDS
     while True:
-        answer = await daemon.client.begin(key, "late", SECONDS)
+        answer = await daemon.client.ledger.begin(key, "late", SECONDS)
         if isinstance(answer, LedgerGranted):
             return
         assert clock.now() < deadline, answer
--- a/tests/control/test_ledger_shards.py
+++ b/tests/control/test_ledger_shards.py
@@ -61,7 +61,7 @@
     granted: dict[str, list[int]] = defaultdict(list)
 
     async def race(number: int, key: str) -> None:
-        answer = await daemons[number].client.begin(key, str(number), SECONDS)
+        answer = await daemons[number].client.ledger.begin(key, str(number), SECONDS)
         if isinstance(answer, LedgerGranted):
             granted[key].append(number)
 
@@ -78,14 +78,14 @@
         assert all(len(attempts) == 1 for attempts in granted.values())
         for key, (number,) in granted.items():
             client = daemons[number].client
-            assert await completed(client.complete, key, str(number))
+            assert await completed(client.ledger.complete, key, str(number))
         for shard in shards:
             shard.kill(shard.nodes[0])
             shard.start(shard.nodes[0])
         for key in granted:
             await expect_answer(daemons[0], key)
         for key in set(keys) - granted.keys():
-            answer = await daemons[1].client.begin(key, "late", SECONDS)
+            answer = await daemons[1].client.ledger.begin(key, "late", SECONDS)
             assert not isinstance(answer, LedgerCompleted)
     held = [await asyncio.to_thread(keys_held, group) for group in shards]
     assert all(count > 0 for count in held)
@@ -102,7 +102,7 @@
 async def expect_answer(daemon: HollowDaemon, key: str) -> None:
     deadline = clock.now() + SECONDS
     while True:
-        answer = await daemon.client.begin(key, "again", SECONDS)
+        answer = await daemon.client.ledger.begin(key, "again", SECONDS)
         assert not isinstance(answer, LedgerGranted | LedgerUnknown)
         if isinstance(answer, LedgerCompleted):
             assert answer.answer == answer_to(key)
--- a/tests/ctl/test_recovery.py
+++ b/tests/ctl/test_recovery.py
@@ -141,9 +141,9 @@
     async with running(daemon):
         await daemon.wait_for(6)
         for name in ("begun", "done"):
-            answer = await daemon.client.begin(keys[name], "a", SECONDS)
+            answer = await daemon.client.ledger.begin(keys[name], "a", SECONDS)
             assert isinstance(answer, LedgerGranted)
-        assert await daemon.client.complete(keys["done"], "a", ANSWER, SECONDS)
+        assert await daemon.client.ledger.complete(keys["done"], "a", ANSWER, SECONDS)
 
 
 async def expect_ledger_after(survivor: Node, keys: dict[str, str]) -> None:
@@ -152,13 +152,15 @@
     daemon.revision = 7
     async with running(daemon):
         await daemon.wait_for(6 + REVISION_GAP)
-        done = await daemon.client.begin(keys["done"], "b", SECONDS)
+        done = await daemon.client.ledger.begin(keys["done"], "b", SECONDS)
         assert isinstance(done, LedgerCompleted)
         assert done.answer == ANSWER
         for name in ("begun", "never"):
-            assert isinstance(await daemon.client.begin(keys[name], "b", SECONDS), LedgerUnknown)
+            assert isinstance(
+                await daemon.client.ledger.begin(keys[name], "b", SECONDS), LedgerUnknown
+            )
         ahead = new_key(time.time() + WINDOW_AHEAD_SECONDS, random.Random(5))
-        assert isinstance(await daemon.client.begin(ahead, "b", SECONDS), LedgerUnknown)
+        assert isinstance(await daemon.client.ledger.begin(ahead, "b", SECONDS), LedgerUnknown)
 
 
 def test_a_group_is_begun_anew_from_a_backup(ctl: Shell, group: Group, tmp_path: Path) -> None:
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -10,6 +10,7 @@
 
 from finchshed.configuration.resources import Endpoint, Service
 from finchshed.distribution import client as client_module
+from finchshed.distribution import control_dialer
 from finchshed.distribution.addresses import ControlAddress
 from finchshed.distribution.driver import FollowerDriver
 from finchshed.distribution.effects import ServingGround
@@ -168,7 +169,7 @@
 async def test_a_daemon_goes_back_to_its_own_zone_once_that_can_be_reached(
     start_node: Starter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_module, "NEARER_SECONDS", 0.3)
+    monkeypatch.setattr(control_dialer, "NEARER_SECONDS", 0.3)
     own, own_address = await start_node()
     other, other_address = await start_node()
     await own.server.close()
@@ -208,9 +209,9 @@
     daemon = Daemon([address])
     client = daemon.driver.client
     await eventually(lambda: client.is_connected)
-    assert isinstance(await client.begin("k1", "a1", 10.0), LedgerGranted)
+    assert isinstance(await client.ledger.begin("k1", "a1", 10.0), LedgerGranted)
     node.answers_ledger = False
-    asking = asyncio.create_task(client.begin("k2", "a2", 10.0))
+    asking = asyncio.create_task(client.ledger.begin("k2", "a2", 10.0))
     await eventually(lambda: len(node.requests) == 2)
     node.answers_ledger = True
     await node.server.close()
@@ -225,6 +226,6 @@
     daemon = Daemon([address])
     client = daemon.driver.client
     await eventually(lambda: client.is_connected)
-    assert isinstance(await client.begin("k", "a", 0.1), LedgerRefused)
+    assert isinstance(await client.ledger.begin("k", "a", 0.1), LedgerRefused)
     await eventually(lambda: isinstance(node.requests[-1], LedgerCancel))
     daemon.task.cancel()
