--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -150,7 +150,7 @@
     callee = Callee(
         settings,
         backend=backend,
-        guarded=GuardedRuns(settings, ControlLedger(driver.client), state.rng),
+        guarded=GuardedRuns(settings, ControlLedger(driver.client.ledger), state.rng),
         served=state.served,
         paths=state.paths,
         rng=state.rng,
