--- a/src/finchshed/bench/experiment.py
+++ b/src/finchshed/bench/experiment.py
@@ -5,13 +5,14 @@
 
 import msgspec
 
-from finchshed.bench.measures import Period, Plan
+from finchshed.bench.measures import Plan
 from finchshed.common.errors import SettingsError
 from finchshed.emulator.acts import SlowService
 from finchshed.emulator.callers import ClientPolicy, Surge
 from finchshed.emulator.deployment import Deployment, hops_of
 from finchshed.emulator.presets import PRESETS
 from finchshed.emulator.run import CONTROLS, RunSpecification
+from finchshed.replay.recovery import Period
 
 
 class Experiment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/finchshed/bench/measures.py
+++ b/src/finchshed/bench/measures.py
@@ -4,7 +4,6 @@
 from bisect import bisect_left
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Sequence
-from typing import Final
 
 import msgspec
 
@@ -15,25 +14,7 @@
     RunBegan,
     RunEnded,
 )
-
-RECOVERY_WINDOW_SECONDS: Final = 0.5
-RECOVERY_STEP_SECONDS: Final = 0.05
-RECOVERY_SUSTAINED_SECONDS: Final = 2.0
-RECOVERED_SHARE: Final = 0.95
-RELAPSE_SHARE: Final = 0.85
-"""Goodput that falls below this part of the former, after it had come back, hadn't come back."""
-
-
-class Period(msgspec.Struct, frozen=True):
-    """A stretch of a run, seconds."""
-
-    start: float
-    end: float
-
-    @property
-    def seconds(self) -> float:
-        """Length of the period."""
-        return self.end - self.start
+from finchshed.replay.recovery import Period, recovery_seconds
 
 
 class Measures(msgspec.Struct, kw_only=True):
@@ -129,65 +110,6 @@
     )
 
 
-def recovery_seconds(
-    finished: list[float],
-    before: float,
-    trigger_end: float,
-    end: float,
-    arrived: Sequence[float] = (),
-) -> float | None:
-    """Return the time from ``trigger_end`` until goodput is 95% of ``before`` and stays there.
-
-    Goodput is counted in windows of half a second; the time is that of the first good window's
-    end, so the smallest figure is half a second. A burst of repeats that answers much for a moment
-    is no recovery: the mean over the sustained time from the window's start must be good as well,
-    and no later stretch of that length may fall below :data:`RELAPSE_SHARE`.
-
-    Parameters
-    ----------
-    finished
-        Sorted times of whole answers.
-    before
-        Answers per second before the trigger.
-    arrived
-        Sorted times of arrivals, if known: a stretch in which little was asked for is no relapse.
-
-    Returns
-    -------
-    float or None
-        Seconds, or None if goodput doesn't recover until ``end``.
-    """
-    needed = RECOVERED_SHARE * before
-    start = max(trigger_end, _last_relapse(finished, before, trigger_end, end, arrived))
-    while start + RECOVERY_SUSTAINED_SECONDS <= end:
-        window = Period(start, start + RECOVERY_WINDOW_SECONDS)
-        sustained = Period(start, start + RECOVERY_SUSTAINED_SECONDS)
-        if all(_count(finished, span) >= needed * span.seconds for span in (window, sustained)):
-            return window.end - trigger_end
-        start += RECOVERY_STEP_SECONDS
-    return None
-
-
-def _last_relapse(
-    finished: list[float],
-    before: float,
-    trigger_end: float,
-    end: float,
-    arrived: Sequence[float],
-) -> float:
-    """Return the start of the last stretch in which goodput was far below the former."""
-    ordinary = before * RECOVERY_SUSTAINED_SECONDS
-    last = trigger_end
-    start = trigger_end
-    while start + RECOVERY_SUSTAINED_SECONDS <= end:
-        stretch = Period(start, start + RECOVERY_SUSTAINED_SECONDS)
-        wanted = min(ordinary, _count(arrived, stretch)) if arrived else ordinary
-        if _count(finished, stretch) < RELAPSE_SHARE * wanted:
-            last = start
-        start += RECOVERY_STEP_SECONDS
-    return last
-
-
 def _count(times: Sequence[float], period: Period) -> int:
     return bisect_left(times, period.end) - bisect_left(times, period.start)
 
--- a/src/finchshed/fleet/comparison.py
+++ b/src/finchshed/fleet/comparison.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from finchshed.bench.experiment import visits_of
-from finchshed.bench.measures import Measures, Period, Plan, measure
+from finchshed.bench.measures import Measures, Plan, measure
 from finchshed.common.errors import SettingsError
 from finchshed.emulator import acts as emulated_acts
 from finchshed.emulator.callers import ClientPolicy, Surge
@@ -19,6 +19,7 @@
 from finchshed.fleet.fault_run import FaultRun
 from finchshed.fleet.model import ATTEMPTS, emulated_deployment, made_alike
 from finchshed.fleet.scenario import Scenario
+from finchshed.replay.recovery import Period
 
 WARM_UP_SECONDS = 2.0
 """Left out of the ordinary time: connections and limits are being made."""
--- a/src/finchshed/replay/judge.py
+++ b/src/finchshed/replay/judge.py
@@ -5,7 +5,6 @@
 
 import msgspec
 
-from finchshed.bench.measures import RECOVERED_SHARE, recovery_seconds
 from finchshed.common.importance import Importance
 from finchshed.proof.checks import CHECKS, violations_of
 from finchshed.proof.history import (
@@ -28,6 +27,7 @@
     RequestOutcome,
     RevisionOutcome,
 )
+from finchshed.replay.recovery import RECOVERED_FRACTION, recovery_seconds
 
 ERROR_STATUS = 400
 P99 = 0.99
@@ -199,7 +199,7 @@
         count = sum(stated.before_begin <= time < stated.before_end for time in finished)
         arrived = sorted(record.arrived for record in self._records.values())
         end = arrived[-1] if arrived else 0.0
-        before = count / length * stated.share / RECOVERED_SHARE
+        before = count / length * stated.share / RECOVERED_FRACTION
         seconds = recovery_seconds(finished, before, stated.after, end, arrived)
         if seconds is None:
             yield "goodput did not come back before the last arrival"
--- a/tests/simulation/test_consistent_rank.py
+++ b/tests/simulation/test_consistent_rank.py
@@ -10,12 +10,16 @@
 from finchshed.common.context import CallContext
 from finchshed.emulator import world
 from finchshed.emulator.callers import ClientPolicy
-from finchshed.emulator.presets import PRESETS
+from finchshed.emulator.deployment import Deployment
+from finchshed.emulator.presets import BRAZOS_RIDGE, MANILA
 from finchshed.emulator.run import RunSpecification
+from tests.simulation.fan_out import FAN_OUT
 
 
-@pytest.mark.parametrize("deployment", ["brazos-ridge", "manila", "fan-out"])
-def test_all_hops_see_one_rank(deployment: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "deployment", [BRAZOS_RIDGE, MANILA, FAN_OUT], ids=lambda deployment: deployment.name
+)
+def test_all_hops_see_one_rank(deployment: Deployment, monkeypatch: pytest.MonkeyPatch) -> None:
     ranks: dict[str, list[int]] = defaultdict(list)
     arrive = Gate.arrive
 
@@ -28,7 +32,7 @@
     monkeypatch.setattr(Gate, "arrive", noted)
     world.run(
         RunSpecification(
-            deployment=PRESETS[deployment],
+            deployment=deployment,
             seed=3,
             seconds=1.0,
             client=ClientPolicy(attempts=1),
