--- a/src/finchshed/fleet/acts.py
+++ b/src/finchshed/fleet/acts.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from finchshed.configuration.resources import Name
-from finchshed.standins.settings import LoadReporting, Submission
+from finchshed.standins.settings import LoadReporting
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)]
 PositiveSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=3600.0)]
@@ -53,7 +53,10 @@
 
 
 class Restart(Act, frozen=True, kw_only=True, tag="restart"):
-    """A planned restart: SIGTERM, wait until it has ended, start ``down_seconds`` later."""
+    """A planned restart: SIGTERM, wait until it has ended, start ``down_seconds`` later.
+
+    No script that ships sets ``down_seconds``, but storms' stored scripts name it.
+    """
 
     target: Selector
     down_seconds: Seconds = 0.0
@@ -161,15 +164,6 @@
     pause_seconds: Seconds = 0.0
 
 
-class Submit(Act, frozen=True, kw_only=True, tag="submit"):
-    """Have operators submit changes of given identities, each once, timed from this act.
-
-    Those of one submission race each other against the same revision.
-    """
-
-    submissions: tuple[Submission, ...]
-
-
 FaultAct: TypeAlias = (
     Kill
     | Freeze
@@ -185,7 +179,6 @@
     | Reset
     | FillDisk
     | Change
-    | Submit
 )
 
 LINK_ACTS = (Cut, Delay, Throttle, Reset)
--- a/src/finchshed/fleet/deployment.py
+++ b/src/finchshed/fleet/deployment.py
@@ -12,7 +12,7 @@
 
 from finchshed.common.errors import SettingsError
 from finchshed.configuration.resources import Name
-from finchshed.standins.settings import CallOn, Count, Distribution, Load, Phase, Seconds
+from finchshed.standins.settings import CallOn, Count, Load, Phase, Seconds
 
 EXAMPLE_NETWORK = "127.1."
 """Beginning of every address in a deployment's files."""
@@ -38,17 +38,14 @@
     Attributes
     ----------
     service_time_seconds
-        Mean time a warm back end takes for a request, without its calls on.
+        Mean time a back end takes for a request, without its calls on.
     calls
         Requests that serving some paths needs from other services.
     """
 
     name: Name
     service_time_seconds: Seconds
-    distribution: Distribution = Distribution.GAMMA
     answer_bytes: Count = 512
-    queue_limit: Count = 64
-    cold_start_seconds: Seconds = 0.0
     calls: tuple[CallOn, ...] = ()
 
 
--- a/src/finchshed/fleet/faults.py
+++ b/src/finchshed/fleet/faults.py
@@ -87,7 +87,6 @@
             acts.Reset: self._link_faults.reset,
             acts.FillDisk: self._fill_disk,
             acts.Change: self._change,
-            acts.Submit: self._change,
         }
 
     async def run(self, script: tuple[acts.FaultAct, ...]) -> None:
@@ -238,7 +237,7 @@
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (UNLIMITED, UNLIMITED))
         self._journal.add(Fault(self._journal.now(), "fill_disk", (name,), ended=True))
 
-    async def _change(self, act: acts.Change | acts.Submit) -> None:
+    async def _change(self, act: acts.Change) -> None:
         number = next(self._numbers)
         name = f"operator-{number}"
         code = await self._fleet.run_operator(name, number * FIRST_NUMBER_STEP, act)
--- a/src/finchshed/fleet/plan.py
+++ b/src/finchshed/fleet/plan.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.fleet.acts import Change, Submit
+from finchshed.fleet.acts import Change
 from finchshed.fleet.deployment import DECLARATIONS_FOLDER, Deployment
 from finchshed.fleet.processes import ProcessSpec, Role
 from finchshed.fleet.toml_writer import to_toml
@@ -39,16 +39,15 @@
         """Return the process named ``name``."""
         return next(spec for spec in self.specs if spec.name == name)
 
-    def operator_spec(self, name: str, first_number: int, act: Change | Submit) -> ProcessSpec:
+    def operator_spec(self, name: str, first_number: int, act: Change) -> ProcessSpec:
         """Write the settings of a stand-in operator and return how to start it."""
         settings = OperatorSettings(
             name=name,
             token=self.deployment.operator_token,
             rpc_addresses=self.rpc_addresses,
             record_path=str(self.folder / "records" / f"{name}.jsonl"),
-            changes=act.times if isinstance(act, Change) else 0,
-            pause_seconds=act.pause_seconds if isinstance(act, Change) else 0.0,
-            submissions=act.submissions if isinstance(act, Submit) else (),
+            changes=act.times,
+            pause_seconds=act.pause_seconds,
             first_number=first_number,
         )
         path = self.folder / "settings" / f"{name}.toml"
--- a/src/finchshed/fleet/plan_options.py
+++ b/src/finchshed/fleet/plan_options.py
@@ -21,4 +21,3 @@
     load_factor: float = 1.0
     phases: tuple[Phase, ...] = ()
     platform_lag_seconds: float | None = None
-    drain_seconds: float = 30.0
--- a/src/finchshed/fleet/planner.py
+++ b/src/finchshed/fleet/planner.py
@@ -33,6 +33,9 @@
 PLATFORM_POLL_SECONDS = 0.5
 """A back end that the platform's list shows as leaving must get no new work 2 s later."""
 
+DRAIN_SECONDS = 30.0
+"""Longest wait of a daemon for work in progress at a stop; callers give up long before."""
+
 
 class Planner:
     """Builds a plan; writes settings files under the run folder."""
@@ -158,10 +161,7 @@
             record_path=str(self._record_path(endpoint.name)),
             slots=endpoint.slots,
             service_time_seconds=behaviour.service_time_seconds,
-            distribution=behaviour.distribution,
             answer_bytes=behaviour.answer_bytes,
-            queue_limit=behaviour.queue_limit,
-            cold_start_seconds=behaviour.cold_start_seconds,
             seed=self._seed(endpoint.name),
             calls=behaviour.calls,
         )
@@ -184,7 +184,7 @@
             admin_address=self._at(host, Port.ADMIN),
             control_addresses=self._control_addresses(),
             data_folder=data_folder,
-            drain_seconds=self._options.drain_seconds,
+            drain_seconds=DRAIN_SECONDS,
         )
         self._add_daemon(name, Role.DAEMON, settings)
 
@@ -198,7 +198,7 @@
             admin_address=self._at(machine.host, Port.ADMIN),
             control_addresses=self._control_addresses(),
             data_folder=self._data_folder(machine.name),
-            drain_seconds=self._options.drain_seconds,
+            drain_seconds=DRAIN_SECONDS,
         )
         self._add_daemon(machine.name, Role.EDGE, settings)
 
--- a/src/finchshed/fleet/runner.py
+++ b/src/finchshed/fleet/runner.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from finchshed.common.errors import FinchshedError
-from finchshed.fleet.acts import Change, Submit
+from finchshed.fleet.acts import Change
 from finchshed.fleet.network import FleetNetwork
 from finchshed.fleet.plan import FleetPlan
 from finchshed.fleet.processes import FleetProcess, ProcessSpec, Role, wait_until_listening
@@ -18,7 +18,7 @@
 READY_SECONDS = 60.0
 STOP_SECONDS = 15.0
 RESTART_STOP_SECONDS = 45.0
-"""A planned stop may take a daemon's whole drain (30 s by default) and a little more."""
+"""A planned stop may take a daemon's whole drain (planner.DRAIN_SECONDS) and a little more."""
 
 OPERATOR_SECONDS = 300.0
 CALLERS_START_SECONDS = 2.0
@@ -159,12 +159,12 @@
         async with self.http.post(url, params={"value": value}) as response:
             response.raise_for_status()
 
-    async def run_operator(self, name: str, first_number: int, act: Change | Submit) -> int:
+    async def run_operator(self, name: str, first_number: int, act: Change) -> int:
         """Run a stand-in operator that makes changes; return its exit code."""
         spec = self.plan.operator_spec(name, first_number, act)
         process = FleetProcess(spec, self.log_path(spec.name))
         self.processes[spec.name] = process
-        process.start(f"--begin_at={time.monotonic()}")
+        process.start()
         await process.wait(OPERATOR_SECONDS)
         return process.exit_code if process.exit_code is not None else -1
 
--- a/src/finchshed/standins/arrivals.py
+++ b/src/finchshed/standins/arrivals.py
@@ -1,8 +1,7 @@
 """Seeded open-loop arrivals: requests come whether or not earlier ones were answered."""
 
 import heapq
-import pathlib
-from collections.abc import Iterable, Iterator, Sequence
+from collections.abc import Iterator, Sequence
 
 import msgspec
 import numpy
@@ -10,7 +9,7 @@
 from finchshed.standins.settings import Load, Phase
 
 
-class Arrival(msgspec.Struct, frozen=True, order=True, omit_defaults=True):
+class Arrival(msgspec.Struct, frozen=True, order=True):
     """One request to send at ``at`` seconds after the start.
 
     Attributes
@@ -19,10 +18,6 @@
         Place of its load in the settings.
     caller
         Number of the outside caller within the load.
-    request
-        Name of the request; empty for one made of the number. Arrivals of one name are resends.
-    key
-        Idempotency key; empty for one made when the request is sent.
     """
 
     at: float
@@ -30,22 +25,6 @@
     load: int
     phase: str
     caller: int = 0
-    request: str = ""
-    caller_name: str = ""
-    key: str = ""
-    session: str = ""
-
-
-def read_arrivals(path: str) -> list[Arrival]:
-    """Read arrivals from a file of JSON lines, in order of time."""
-    decoder = msgspec.json.Decoder(Arrival)
-    with open(path, "rb") as file:
-        return sorted(decoder.decode(line) for line in file)
-
-
-def write_arrivals(path: pathlib.Path, arrivals: Iterable[Arrival]) -> None:
-    """Write arrivals as JSON lines."""
-    path.write_bytes(b"".join(msgspec.json.encode(item) + b"\n" for item in arrivals))
 
 
 def schedule(
--- a/src/finchshed/standins/backend.py
+++ b/src/finchshed/standins/backend.py
@@ -41,6 +41,9 @@
 DEADLINE_STATUS = 504
 DEFAULT_EDITION_BYTES = 1 << 20
 MAX_REQUEST_BYTES = 64 << 20
+LEAVE_TIMEOUT_SECONDS = 30.0
+"""A drain ends at the latest after so long; chosen, not measured."""
+
 DRAIN_POLL_SECONDS = 0.05
 
 
@@ -63,22 +66,17 @@
     def __init__(self, settings: BackendSettings, session: aiohttp.ClientSession) -> None:
         generator = numpy.random.default_rng(settings.seed)
         self.settings = settings
-        self._started_at = monotonic()
         self._draining_since: float | None = None
         self._fail_fast = False
         self._edition = 1
         self._run_prefix = f"{settings.name}:{os.getpid()}:"
         self._run_numbers = itertools.count(1)
         self._slots = Slots(settings.slots, settings.queue_limit)
-        self._reports = LoadReports(settings.load_reporting, settings.report_lag_seconds)
+        self._reports = LoadReports(settings.load_reporting)
         self._records = RecordWriter(settings.record_path)
         self._children = ChildCalls(settings, session, self._records)
         self._service_time = ServiceTime(
-            settings.service_time_seconds,
-            settings.distribution,
-            settings.cold_start_seconds,
-            settings.cold_factor,
-            generator,
+            settings.service_time_seconds, settings.distribution, generator
         )
 
     def application(self) -> web.Application:
@@ -105,7 +103,7 @@
     async def drained(self) -> None:
         """Wait until the grace has passed and nothing runs, or the drain's time is up."""
         begun = monotonic()
-        deadline = begun + self.settings.leave_timeout_seconds
+        deadline = begun + LEAVE_TIMEOUT_SECONDS
         grace_ends = begun + self.settings.leave_grace_seconds
         while monotonic() < deadline:
             if self._slots.in_flight == 0 and monotonic() >= grace_ends:
@@ -164,7 +162,7 @@
         try:
             async with asyncio.timeout_at(self._loop_deadline(incoming)):
                 await self._children.call_all(incoming.run, request)
-                await asyncio.sleep(self._service_time.draw(monotonic() - self._started_at))
+                await asyncio.sleep(self._service_time.draw())
         except TimeoutError:
             self._note(BackendEvent.ABORTED, incoming, "deadline")
             headers = {**self._common_headers(), HEADER_RAN: "unknown"}
--- a/src/finchshed/standins/caller.py
+++ b/src/finchshed/standins/caller.py
@@ -17,7 +17,7 @@
 from finchshed.ledger.keys import new_key
 from finchshed.proof.history import HEADER_CALL
 from finchshed.standins import answers
-from finchshed.standins.arrivals import Arrival, read_arrivals, schedule
+from finchshed.standins.arrivals import Arrival, schedule
 from finchshed.standins.downloads import EDITION_CHANGED_STATUS, WHOLE_STATUS
 from finchshed.standins.outgoing import (
     Outgoing,
@@ -39,7 +39,10 @@
 from finchshed.standins.settings import CallerSettings, Load, RetryHabit
 
 PATIENCE_SECONDS = 5.0
-"""How much longer than its deadline a caller waits for an answer."""
+"""How much longer than its deadline a caller waits for an answer; chosen, not measured."""
+
+MAX_CONNECTIONS = 512
+"""More than the callers of the examples have open at a surge; chosen, not measured."""
 
 
 class Caller:
@@ -67,23 +70,19 @@
                 group.create_task(self._serve_arrival(arrival))
 
     def _arrivals(self) -> list[Arrival]:
-        if self.settings.arrivals_path:
-            return read_arrivals(self.settings.arrivals_path)
         generator = numpy.random.default_rng(self.settings.seed)
         return schedule(self.settings.loads, self.settings.phases, generator)
 
     async def _serve_arrival(self, arrival: Arrival) -> None:
         load = self.settings.loads[arrival.load]
-        request = arrival.request or f"{self.settings.name}-{arrival.number}"
-        session = f"{request}-{self.settings.seed}" if load.download_bytes else arrival.session
+        request = f"{self.settings.name}-{arrival.number}"
         outgoing = Outgoing(
             request=request,
             load=load,
             phase=arrival.phase,
-            caller=arrival.caller_name or f"{self.settings.name}-{load.name}-{arrival.caller}",
-            key=(arrival.key or new_key(time.time(), self._entropy)) if load.keyed else "",
-            session=session,
-            sending=f"{arrival.number}." if arrival.request else "",
+            caller=f"{self.settings.name}-{load.name}-{arrival.caller}",
+            key=new_key(time.time(), self._entropy) if load.keyed else "",
+            session=f"{request}-{self.settings.seed}" if load.download_bytes else "",
         )
         begun = monotonic()
         if load.download_bytes:
@@ -137,7 +136,7 @@
         body = answers.answer_body(outgoing.identity, load.body_bytes) if load.body_bytes else b""
         attempts: list[AttemptRecord] = []
         for number in itertools.count():
-            call = f"{outgoing.request}/{outgoing.sending}{number}"
+            call = f"{outgoing.request}/{number}"
             edge = self._edge(load, home, number)
             begun = monotonic()
             headers = outgoing.headers(self._places.get(session, ""))
@@ -217,7 +216,7 @@
 async def run_caller(settings: CallerSettings, begin_at: float = 0.0) -> int:
     """Send all requests of ``settings`` from ``begin_at`` on; return the exit code."""
     stopped = stop_event()
-    connector = aiohttp.TCPConnector(limit=settings.max_connections)
+    connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
     async with aiohttp.ClientSession(connector=connector) as session:
         await Caller(settings, session).run(stopped, begin_at)
     return 0
--- a/src/finchshed/standins/calling.py
+++ b/src/finchshed/standins/calling.py
@@ -53,7 +53,7 @@
         Raises
         ------
         ChildRefusedError
-            If a service refused or failed, after the declared repeats.
+            If a service refused or failed.
         """
         context = {
             name.lower(): value
@@ -63,7 +63,7 @@
         numbers = itertools.count()
         results = await asyncio.gather(
             *(
-                self._call(call, run, context, numbers)
+                self._call(call, run, f"{run}/{next(numbers)}", context)
                 for call in self._calls
                 if request.path.startswith(call.prefix)
             ),
@@ -73,20 +73,7 @@
             if isinstance(result, BaseException):
                 raise result
 
-    async def _call(
-        self, call: CallOn, run: str, context: dict[str, str], numbers: "itertools.count[int]"
-    ) -> None:
-        error = ChildRefusedError(call.service, 0, "")
-        for _ in range(call.retries + 1):
-            try:
-                await self._attempt(call, run, f"{run}/{next(numbers)}", context)
-            except ChildRefusedError as refusal:
-                error = refusal
-            else:
-                return
-        raise error
-
-    async def _attempt(self, call: CallOn, run: str, name: str, context: dict[str, str]) -> None:
+    async def _call(self, call: CallOn, run: str, name: str, context: dict[str, str]) -> None:
         headers = {
             **context,
             HEADER_SERVICE: call.service,
--- a/src/finchshed/standins/command.py
+++ b/src/finchshed/standins/command.py
@@ -37,13 +37,9 @@
     return _run(run_platform(load(PlatformSettings, settings)))
 
 
-def operator(settings: str, begin_at: float = 0.0) -> int:
-    """Make changes of the configuration one after another; SETTINGS is its TOML file.
-
-    BEGIN_AT is from when the times of submissions count, on the machine's monotonic clock
-    (default: now).
-    """
-    return run_operator(load(OperatorSettings, settings), begin_at)
+def operator(settings: str) -> int:
+    """Make changes of the configuration one after another; SETTINGS is its TOML file."""
+    return run_operator(load(OperatorSettings, settings))
 
 
 standin: Mapping[str, Callable[..., int]] = {
--- a/src/finchshed/standins/operator.py
+++ b/src/finchshed/standins/operator.py
@@ -6,9 +6,7 @@
 """
 
 import enum
-import itertools
 import time
-from concurrent.futures import Future, ThreadPoolExecutor, wait
 from typing import cast
 
 import msgspec
@@ -20,11 +18,17 @@
 from finchshed.ctl.changes import read_in_force, submit
 from finchshed.ctl.client import OperatorClient
 from finchshed.standins.records import RecordWriter, monotonic
-from finchshed.standins.settings import OperatorSettings, Submission
+from finchshed.standins.settings import OperatorSettings
 
 POLICY = ResourceKey("policy", "default")
 REQUEST_SECONDS = 5.0
-MAX_RACING_OPERATORS = 32
+"""How long one request to the control nodes may take; chosen, not measured."""
+
+BASE_VALUE_SECONDS = 600.0
+"""A change's number is added to this to get the key window it sets."""
+
+PATIENCE_SECONDS = 60.0
+"""A change not answered for so long is given up; chosen, not measured."""
 
 
 class ChangeOutcome(enum.StrEnum):
@@ -82,7 +86,7 @@
 
     def _change(self, number: int) -> bool:
         """Make one change, anew after each conflict; return whether it was accepted."""
-        deadline = monotonic() + self._settings.patience_seconds
+        deadline = monotonic() + PATIENCE_SECONDS
         attempt = 0
         while monotonic() < deadline:
             attempt += 1
@@ -92,63 +96,13 @@
                 return outcome is ChangeOutcome.ACCEPTED
         return False
 
-    def run_submissions(self, begun: float) -> int:
-        """Submit the changes of given identities; return the exit code as :meth:`run`.
-
-        Times count from ``begun``, so that they keep their place among other acts however long
-        the process took to start.
-        """
-        numbers = itertools.count(self._settings.first_number)
-        series: dict[str, list[Future[ChangeOutcome]]] = {}
-        with ThreadPoolExecutor(MAX_RACING_OPERATORS) as racing:
-            sent = []
-            for submission in sorted(self._settings.submissions, key=lambda item: item.at):
-                time.sleep(max(0.0, begun + submission.at - monotonic()))
-                if submission.series:
-                    wait(series.get(submission.series, []))
-                racers = self._race(racing, submission, numbers)
-                series[submission.series] = racers
-                sent += racers
-            unanswered = sum(item.result() is ChangeOutcome.UNKNOWN for item in sent)
-        self._client.close()
-        return 1 if unanswered else 0
-
-    def _race(
-        self, racing: ThreadPoolExecutor, submission: Submission, numbers: "itertools.count[int]"
-    ) -> list["Future[ChangeOutcome]"]:
-        deadline = monotonic() + self._settings.patience_seconds
-        held = self._revision(deadline)
-        if held is None:
-            return []
-        times = 2 if submission.resend else 1
-        return [
-            racing.submit(
-                self._send_times,
-                _ChangeToMake(
-                    identity=f"{submission.change_id}.{operator}",
-                    expected=held[0],
-                    policy=held[1],
-                    value=self._settings.base_value + next(numbers),
-                ),
-                times,
-                deadline,
-            )
-            for operator in range(submission.operators)
-        ]
-
     def _submit(self, identity: str, number: int, deadline: float) -> ChangeOutcome:
         held = self._revision(deadline)
         if held is None:
             return ChangeOutcome.UNKNOWN
-        value = self._settings.base_value + number
+        value = BASE_VALUE_SECONDS + number
         return self._send(_ChangeToMake(identity, held[0], held[1], value), deadline)
 
-    def _send_times(self, change: "_ChangeToMake", times: int, deadline: float) -> ChangeOutcome:
-        outcome = ChangeOutcome.UNKNOWN
-        for _ in range(times):
-            outcome = self._send(change, deadline)
-        return outcome
-
     def _send(self, change: "_ChangeToMake", deadline: float) -> ChangeOutcome:
         """Send a change until it is answered; return the answer."""
         policy = msgspec.structs.replace(change.policy, key_window_seconds=change.value)
@@ -196,15 +150,6 @@
     return ChangeOutcome.INVALID, 0
 
 
-def run_operator(settings: OperatorSettings, begin_at: float = 0.0) -> int:
-    """Make the changes of ``settings``; return the exit code.
-
-    Parameters
-    ----------
-    begin_at
-        From when the times of submissions count, on the machine's monotonic clock; 0: from now.
-    """
-    operator = StandinOperator(settings)
-    if settings.submissions:
-        return operator.run_submissions(begin_at or monotonic())
-    return operator.run()
+def run_operator(settings: OperatorSettings) -> int:
+    """Make the changes of ``settings``; return the exit code: 1 if one was never answered."""
+    return StandinOperator(settings).run()
--- a/src/finchshed/standins/outgoing.py
+++ b/src/finchshed/standins/outgoing.py
@@ -18,7 +18,7 @@
 from finchshed.standins import answers
 from finchshed.standins.downloads import EDITION_CHANGED_STATUS, WHOLE_STATUS
 from finchshed.standins.records import AttemptRecord, CallerOutcome, monotonic
-from finchshed.standins.settings import Load, RetryHabit
+from finchshed.standins.settings import Load
 
 SUCCESS_BELOW = 400
 FINAL_STATUSES = frozenset({400, 404, 409, 413, 422})
@@ -41,8 +41,6 @@
     load: Load
     phase: str
     caller: str
-    sending: str = ""
-    """Tells apart the arrivals of one request in the names of their calls."""
     key: str = ""
     session: str = ""
     wanted: answers.RangeRequest | None = None
@@ -93,7 +91,7 @@
 
 def may_repeat(load: Load, number: int) -> bool:
     """Whether attempt ``number`` may be followed by another."""
-    return load.retry is not RetryHabit.NONE and number + 1 < load.max_attempts
+    return number + 1 < load.max_attempts
 
 
 def _is_answer(reply: Reply) -> bool:
--- a/src/finchshed/standins/settings.py
+++ b/src/finchshed/standins/settings.py
@@ -19,17 +19,15 @@
     """Shape of the time a back end takes for one request."""
 
     CONSTANT = "constant"
+    """For tests: no deployment has it."""
+
     GAMMA = "gamma"
     """Of shape 8, as in the emulator: the coefficient of variation is 0.35."""
 
-    EXPONENTIAL = "exponential"
-    LOGNORMAL = "lognormal"
-
 
 class RetryHabit(enum.StrEnum):
     """What an outside caller does when it gets no whole answer."""
 
-    NONE = "none"
     RETRY_AFTER = "retry_after"
     HARD = "hard"
 
@@ -43,18 +41,11 @@
 
 
 class CallOn(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A request that serving ``prefix`` needs from another service.
-
-    Attributes
-    ----------
-    retries
-        How often the back end itself repeats the request, at once, on a refusal or failure.
-    """
+    """A request that serving ``prefix`` needs from another service."""
 
     prefix: str
     service: Name
     path: str
-    retries: Count = 0
 
 
 class BackendSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -66,14 +57,8 @@
         HTTP address of its own daemon, through which it calls on.
     queue_limit
         Requests it holds beyond its slots before it refuses.
-    cold_start_seconds, cold_factor
-        For so long after the start work takes up to ``cold_factor`` times longer, falling evenly.
-    report_lag_seconds
-        Age of what the load endpoint tells when its reporting is ``lagging``.
     leave_grace_seconds
         After a drain begins it serves what still arrives for so long, then refuses.
-    leave_timeout_seconds
-        A drain ends at the latest after so long.
     """
 
     name: Name
@@ -87,12 +72,8 @@
     distribution: Distribution = Distribution.GAMMA
     answer_bytes: Count = 512
     queue_limit: Count = 64
-    cold_start_seconds: Seconds = 0.0
-    cold_factor: Annotated[float, msgspec.Meta(ge=1.0, le=1000.0)] = 4.0
     load_reporting: LoadReporting = LoadReporting.HONEST
-    report_lag_seconds: Seconds = 2.0
     leave_grace_seconds: Seconds = 5.0
-    leave_timeout_seconds: Seconds = 30.0
     seed: int = 1
     calls: tuple[CallOn, ...] = ()
 
@@ -154,8 +135,6 @@
         HTTP addresses of edge daemons: the first is used, the others by repeats.
     client_delay_seconds
         One-way delay between clients and the edge, added before and after each attempt.
-    arrivals_path
-        File of the arrivals to send; empty: they are drawn from the loads and phases.
     """
 
     name: Name
@@ -165,8 +144,6 @@
     loads: tuple[Load, ...]
     phases: tuple[Phase, ...]
     client_delay_seconds: Seconds = 0.0
-    arrivals_path: str = ""
-    max_connections: Annotated[int, msgspec.Meta(ge=1)] = 512
     seed: int = 1
 
 
@@ -183,29 +160,6 @@
     lag_seconds: Seconds = 0.0
 
 
-class Submission(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A change that operators submit at once, all against the revision in force then.
-
-    Attributes
-    ----------
-    at
-        Seconds after the start.
-    change_id
-        Operator ``n``, from 0, submits under the identity ``change_id.n``.
-    resend
-        Send each change once more after its answer, as if that had been lost.
-    series
-        Submissions of one series wait for the answers to the one before, as operators do who
-        make one change after another; empty: it waits for none.
-    """
-
-    at: Seconds
-    change_id: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-    operators: Annotated[int, msgspec.Meta(ge=1, le=16)] = 1
-    resend: bool = False
-    series: str = ""
-
-
 class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Settings of one stand-in operator.
 
@@ -213,12 +167,6 @@
     ----------
     changes
         Changes to make, numbered from ``first_number``.
-    base_value
-        A change's number is added to this to get the key window it sets, seconds.
-    patience_seconds
-        A change not answered for so long is given up.
-    submissions
-        Changes of given identities to submit, each once, in place of ``changes``.
     """
 
     name: Name
@@ -227,10 +175,7 @@
     record_path: str
     changes: Count
     first_number: Count = 0
-    base_value: Annotated[float, msgspec.Meta(gt=0.0, le=80_000.0)] = 600.0
     pause_seconds: Seconds = 0.0
-    patience_seconds: Seconds = 60.0
-    submissions: tuple[Submission, ...] = ()
 
 
 def load(struct_type: type[SettingsT], path: str | pathlib.Path) -> SettingsT:
--- a/tests/fleet/test_storm.py
+++ b/tests/fleet/test_storm.py
@@ -47,7 +47,6 @@
         acts.RollingRestart,
         acts.Leave,
         acts.Edition,
-        acts.Submit,
     }
     together = 0
     for scenario in storms():
--- a/tests/standins/test_session_place.py
+++ b/tests/standins/test_session_place.py
@@ -8,29 +8,43 @@
 from aiohttp import web
 
 from finchshed.common.context import HEADER_SESSION_AT
+from finchshed.standins import answers, downloads
 from finchshed.standins.arrivals import Arrival
 from finchshed.standins.caller import Caller
 from finchshed.standins.serving import start_site
 from finchshed.standins.settings import CallerSettings, Load, Phase
 from tests.standins.test_caller import free_address
 
+SIZE = 200
+RANGE = 100
 
-@pytest.mark.parametrize(("session", "expected"), [("s", ["", "b1", "b1", "b1"]), ("", [""] * 4)])
+
+@pytest.mark.parametrize(("size", "expected"), [(SIZE, ["", "b1", "b1", "b1"]), (0, [""] * 4)])
 async def test_the_place_last_told_is_sent_back(
-    tmp_path: pathlib.Path, session: str, expected: list[str]
+    tmp_path: pathlib.Path, size: int, expected: list[str]
 ) -> None:
     seen: list[str] = []
+    edges: set[str] = set()
 
     async def serve(request: web.Request) -> web.Response:
         seen.append(request.headers.get(HEADER_SESSION_AT, ""))
+        edges.add(request.headers["Host"])
         if len(seen) == 1:
-            return web.Response(headers={HEADER_SESSION_AT: "b1"})
+            return answer_of(request)
         # A refusal tells no place: the one told before still holds.
         refusal = {"finchshed-ran": "no", "finchshed-retry-after-ms": "1"}
         return web.Response(status=503, headers=refusal)
 
     addresses = (free_address(), free_address())
-    load = Load(name="tags", service="tags", path="/tag", rate_per_second=1.0, max_attempts=3)
+    load = Load(
+        name="tags",
+        service="tags",
+        path="/tag",
+        rate_per_second=1.0,
+        max_attempts=3,
+        download_bytes=size,
+        range_bytes=RANGE,
+    )
     settings = CallerSettings(
         name="ferries",
         zone="bay",
@@ -39,19 +53,31 @@
         loads=(load,),
         phases=(Phase(name="all", duration_seconds=0.1),),
     )
-    app = web.Application()
-    app.router.add_get("/tag", serve)
-    runners = [await start_site(app, address) for address in addresses[:1]]
-    other = web.Application()
-    other.router.add_get("/tag", serve)
-    runners.append(await start_site(other, addresses[1]))
+    runners = []
+    for address in addresses:
+        app = web.Application()
+        app.router.add_get("/tag", serve)
+        runners.append(await start_site(app, address))
+    # A download's second range is refused three times; so is the second request without a session.
+    arrivals = 1 if size else 2
     try:
         async with aiohttp.ClientSession() as client:
             caller = Caller(settings, client)
-            for number in range(2):
-                arrival = Arrival(at=0.0, load=0, phase="all", number=number, session=session)
+            for number in range(arrivals):
+                arrival = Arrival(at=0.0, load=0, phase="all", number=number)
                 await asyncio.wait_for(caller._serve_arrival(arrival), 30.0)
     finally:
         for runner in runners:
             await runner.cleanup()
     assert seen == expected
+    assert edges == set(addresses)
+
+
+def answer_of(request: web.Request) -> web.Response:
+    """Answer with the range asked for, if any, and tell where the session runs."""
+    told = {HEADER_SESSION_AT: "b1", answers.HEADER_IDENTITY: request.headers["standin-identity"]}
+    wanted = answers.parse_range(request.headers.get("Range", ""))
+    if wanted is None:
+        return web.Response(headers=told)
+    part = downloads.part_of(request.path, 1, SIZE, wanted, request.headers)
+    return web.Response(status=part.status, body=part.body, headers=part.headers | told)
--- a/tests/standins/test_work.py
+++ b/tests/standins/test_work.py
@@ -8,28 +8,21 @@
 
 
 def service_time(distribution: Distribution) -> ServiceTime:
-    return ServiceTime(0.05, distribution, 2.0, 4.0, numpy.random.default_rng(7))
+    return ServiceTime(0.05, distribution, numpy.random.default_rng(7))
 
 
 @pytest.mark.parametrize(
     ("distribution", "variation"),
-    [
-        (Distribution.CONSTANT, 0.0),
-        (Distribution.GAMMA, 0.354),
-        (Distribution.EXPONENTIAL, 1.0),
-        (Distribution.LOGNORMAL, 0.533),
-    ],
+    [(Distribution.CONSTANT, 0.0), (Distribution.GAMMA, 0.354)],
 )
 def test_mean_and_spread_are_as_declared(distribution: Distribution, variation: float) -> None:
     source = service_time(distribution)
-    drawn = numpy.array([source.draw(10.0) for _ in range(DRAWS)])
+    drawn = numpy.array([source.draw() for _ in range(DRAWS)])
     assert drawn.mean() == pytest.approx(0.05, rel=0.03)
     assert drawn.std() / drawn.mean() == pytest.approx(variation, abs=0.03)
 
 
-def test_cold_and_slow_work_takes_longer() -> None:
+def test_slow_work_takes_longer() -> None:
     source = service_time(Distribution.CONSTANT)
-    assert source.draw(0.0) == pytest.approx(0.2)
-    assert source.draw(1.0) == pytest.approx(0.125)
     source.slow_factor = 4.0
-    assert source.draw(2.0) == pytest.approx(0.2)
+    assert source.draw() == pytest.approx(0.2)
