--- a/tests/forms/shapes.py
+++ b/tests/forms/shapes.py
@@ -86,8 +86,8 @@
 def _bounds(info: Any) -> str:
     """Return the bounds; those of a float as floats.
 
-    ``Annotated`` keeps one of two equal types, so whether 0 or 0.0 stands there depends on which module
-    was imported first.
+    ``Annotated`` keeps one of two equal types, so whether 0 or 0.0 stands there depends on which
+    module was imported first.
     """
     found = {name: getattr(info, name, None) for name in _BOUNDS}
     if isinstance(info, inspect.FloatType):
