--- a/src/finchshed/daemon/calling/attempt.py
+++ b/src/finchshed/daemon/calling/attempt.py
@@ -15,6 +15,7 @@
 
     ``on_reply`` is called with the reply, or None if the link broke after the send;
     ``on_unsent`` if it was never sent. Exactly one of them is called, unless it is withdrawn.
+    ``number`` is that of the call on ``link``.
     """
 
     request: Request
@@ -25,4 +26,4 @@
     on_unsent: Callable[[RefusalReason, str], None]
     withdrawn: bool = False
     link: PeerLink | None = None
-    identity: int = 0
+    number: int = 0
--- a/src/finchshed/daemon/calling/peers.py
+++ b/src/finchshed/daemon/calling/peers.py
@@ -20,7 +20,7 @@
     Hello,
 )
 from finchshed.link.peer import PeerLink
-from finchshed.link.states import Connect, LinkState, SendResult
+from finchshed.link.states import CallContent, Connect, LinkState, SendResult
 from finchshed.quarantine.messages import CrashNews
 from finchshed.runtime import clock
 
@@ -95,7 +95,7 @@
         """Give an attempt up; neither of its callbacks is called any more."""
         attempt.withdrawn = True
         if attempt.link is not None:
-            attempt.link.cancel_call(attempt.identity)
+            attempt.link.cancel_call(attempt.number)
 
     def greet(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to endpoints, to learn their revisions."""
@@ -267,7 +267,7 @@
             return
         request = attempt.request
         context = request.context.for_attempt(remaining, attempt.share, attempt.admitted_share)
-        result, identity = link.send_call(
+        content = CallContent(
             service=request.service,
             method=request.method,
             path=request.path,
@@ -275,14 +275,14 @@
             body=request.body,
             context=context,
             revision=self._owner.revision(),
-            on_reply=attempt.on_reply,
             route=request.route if request.is_by_host else "",
             repeatable=request.repeatable,
             identity=request.identity,
         )
+        result, number = link.send_call(content, attempt.on_reply)
         if result is SendResult.SENT:
             attempt.link = link
-            attempt.identity = identity
+            attempt.number = number
         elif result is SendResult.FULL:
             attempt.on_unsent(RefusalReason.QUEUE_FULL, "the link is full")
         else:
--- a/src/finchshed/http/connection.py
+++ b/src/finchshed/http/connection.py
@@ -1,7 +1,8 @@
 """One connection of the HTTP listener; parsing is httptools' (llhttp).
 
 Requests on a connection are answered in their order. A request is handed on only when it is whole,
-and its answer is written only when that is whole too.
+and its answer is written only when that is whole too. Owns the requests of its connection; relies
+on the listener's handler to judge and answer them.
 """
 
 import asyncio
@@ -22,19 +23,19 @@
 from finchshed.http.status import STATUS_BAD_REQUEST, STATUS_HEAD_TOO_LARGE
 
 MAX_DISCARDED_BYTES = 1 << 20
-"""A refused request's body is read and dropped up to here, so that its sender sees the answer."""
+"""Bytes of a refused request's body past its limit that are read and dropped, so that its sender
+sees the answer and not a reset; chosen, not measured."""
 
 
 class InboundConnection(asyncio.Protocol, Generic[RequestT]):
     """A connection of a caller."""
 
-    def __init__(self, owner: ConnectionOwner[RequestT]) -> None:
+    def __init__(self, owner: "ConnectionOwner[RequestT, InboundConnection[RequestT]]") -> None:
         self._owner = owner
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._remote = ""
         self._target = b""
-        self._parts: list[bytes] = []
         self._head_bytes = 0
         self._reading: Exchange[RequestT] | None = None
         self._answering: Exchange[RequestT] | None = None
@@ -139,7 +140,6 @@
         """Start a request."""
         self._reading = Exchange(InboundRequest(self._remote))
         self._target = b""
-        self._parts = []
 
     def on_url(self, url: bytes) -> None:
         """Keep a part of the request's target."""
@@ -187,8 +187,7 @@
             detail = "bodies held reach their limit"
             exchange.refusal = self._owner.handler.refusal(RefusalReason.OVERLOAD, detail)
         else:
-            exchange.spooled += len(body)
-            self._parts.append(body)
+            exchange.keep(body)
 
     def on_message_complete(self) -> None:
         """Queue the whole request; it is handed on once the parser has returned."""
@@ -197,11 +196,7 @@
             return
         self._reading = None
         self._head_bytes = 0
-        parts = self._parts
-        if parts:
-            exchange.request.body = parts[0] if len(parts) == 1 else b"".join(parts)
-            self._parts = []
-        exchange.is_whole = True
+        exchange.complete()
         self._queued.append(exchange)
 
     # Answering.
--- a/src/finchshed/link/listener.py
+++ b/src/finchshed/link/listener.py
@@ -2,7 +2,7 @@
 
 A connection must say Hello first, from an allowed network. A malformed, oversized or untimely
 line closes just that connection. Calls in progress on a lost connection are reported to the owner
-as given up.
+as given up. Owns the accepted links; relies on their owner to answer calls.
 """
 
 import asyncio
@@ -42,7 +42,10 @@
     """One connection a peer opened."""
 
     def __init__(
-        self, lines: LineProtocol[PeerMessage], owner: ListenerOwner, max_unsent_bytes: int
+        self,
+        lines: LineProtocol[PeerMessage],
+        owner: "ListenerOwner[AcceptedLink]",
+        max_unsent_bytes: int,
     ) -> None:
         self.lines = lines
         self._max_unsent_bytes = max_unsent_bytes
@@ -99,18 +102,18 @@
         """Ask the peer for the configuration past ``revision``."""
         self.lines.send(Fetch(revision=revision))
 
-    def take(self, message: PeerMessage) -> None:
+    def on_message(self, message: PeerMessage) -> None:
         """Act on one line; raise ProtocolError where it has no place."""
         if self.peer is None:
-            self._take_hello(message)
+            self._on_hello(message)
         elif isinstance(message, Call):
-            self._take_call(message)
+            self._on_call(message)
         elif isinstance(message, Cancel):
-            self._take_cancel(message)
+            self._on_cancel(message)
         elif isinstance(message, Ping):
-            self._take_ping(message)
+            self._on_ping(message)
         elif isinstance(message, Fetch):
-            self._take_fetch(message)
+            self._on_fetch(message)
         elif isinstance(message, Delta):
             self._owner.accepted_delta_received(self, message)
         elif isinstance(message, CrashNews):
@@ -125,7 +128,7 @@
         for call in calls:
             self._owner.call_cancelled(self, call)
 
-    def _take_hello(self, message: PeerMessage) -> None:
+    def _on_hello(self, message: PeerMessage) -> None:
         if not isinstance(message, Hello) or not message.epoch or not message.node:
             raise ProtocolError("the first line is no Hello")
         claims = claims_of_link(message.node, message.service, message.zone)
@@ -143,7 +146,7 @@
             self.tell_crash_news(news)
         self._note_revision(message.revision)
 
-    def _take_call(self, call: Call) -> None:
+    def _on_call(self, call: Call) -> None:
         if call.epoch != self.epoch:
             raise ProtocolError("a call carries another epoch than its link")
         if call.call <= self._highest_call:
@@ -155,16 +158,16 @@
         self._note_revision(call.revision)
         self._owner.call_received(self, call)
 
-    def _take_cancel(self, cancel: Cancel) -> None:
+    def _on_cancel(self, cancel: Cancel) -> None:
         if cancel.epoch == self.epoch and cancel.call in self.calls:
             self.calls.discard(cancel.call)
             self._owner.call_cancelled(self, cancel.call)
 
-    def _take_ping(self, ping: Ping) -> None:
+    def _on_ping(self, ping: Ping) -> None:
         self._note_revision(ping.revision)
         self.tell_load()
 
-    def _take_fetch(self, fetch: Fetch) -> None:
+    def _on_fetch(self, fetch: Fetch) -> None:
         delta = self._owner.delta_for(fetch.revision)
         if delta is not None:
             self.lines.send(delta)
@@ -176,7 +179,7 @@
 
 
 class LinkListener:
-    """Takes connections of other daemons.
+    """Accepts connections of other daemons.
 
     Parameters
     ----------
@@ -192,7 +195,7 @@
 
     def __init__(
         self,
-        owner: ListenerOwner,
+        owner: ListenerOwner[AcceptedLink],
         networks: Sequence[str],
         *,
         silence_seconds: float,
@@ -244,7 +247,7 @@
             return
         link.last_received_at = clock.now()
         try:
-            link.take(message)
+            link.on_message(message)
         except ProtocolError as error:
             logger.warning("link from {} closed: {}", lines.peer_address, error)
             self._refuse(lines, "protocol")
--- a/src/finchshed/link/owners.py
+++ b/src/finchshed/link/owners.py
@@ -1,6 +1,9 @@
-"""What the holders of links are told and asked."""
+"""What the holders of links are told and asked; the type of the link is the parameter.
 
-from typing import TYPE_CHECKING, Protocol
+So the ends of a link import this, and this imports neither of them.
+"""
+
+from typing import Protocol, TypeVar
 
 from finchshed.admission.load_report import LoadReport
 from finchshed.distribution.messages import Delta
@@ -10,74 +13,72 @@
 )
 from finchshed.quarantine.messages import CrashNews
 
-if TYPE_CHECKING:
-    from finchshed.link.listener import AcceptedLink
-    from finchshed.link.peer import PeerLink
+LinkT_contra = TypeVar("LinkT_contra", contravariant=True)
 
 
-class LinkOwner(Protocol):
+class LinkOwner(Protocol[LinkT_contra]):
     """What the holder of links is told."""
 
     def hello(self, epoch: str) -> Hello:
         """Return the first line to send."""
 
-    def link_opened(self, link: "PeerLink", hello: Hello) -> None:
+    def link_opened(self, link: LinkT_contra, hello: Hello) -> None:
         """Send calls from now on: the peer said who it is."""
 
-    def link_closed(self, link: "PeerLink", cause: str) -> None:
-        """Forget the link. Calls in progress were told before."""
+    def link_closed(self, link: LinkT_contra, cause: str) -> None:
+        """Forget the link. The ends of its calls were reported before."""
 
-    def peer_draining(self, link: "PeerLink") -> None:
+    def peer_draining(self, link: LinkT_contra) -> None:
         """Note that the peer takes no new calls."""
 
-    def load_reported(self, link: "PeerLink", load: LoadReport) -> None:
-        """Take the load the peer told outside of a reply."""
+    def load_reported(self, link: LinkT_contra, load: LoadReport) -> None:
+        """Note the load the peer reported outside of a reply."""
 
-    def revision_seen(self, link: "PeerLink", revision: int) -> None:
+    def revision_seen(self, link: LinkT_contra, revision: int) -> None:
         """Note the revision of the configuration the peer holds."""
 
-    def delta_received(self, link: "PeerLink", delta: Delta) -> None:
-        """Take the peer's answer to a fetch."""
+    def delta_received(self, link: LinkT_contra, delta: Delta) -> None:
+        """Use the peer's answer to a fetch."""
 
     def delta_for(self, revision: int) -> Delta | None:
         """Return the configuration for a peer that holds ``revision``."""
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Take news of requests that crash back ends."""
+        """Merge news of requests that crash back ends."""
 
     def crash_news(self) -> CrashNews | None:
         """Return what a peer is told when a link to it opens; None: there is nothing."""
 
 
-class ListenerOwner(Protocol):
+class ListenerOwner(Protocol[LinkT_contra]):
     """What the holder of the listener is told and asked."""
 
     def hello(self, epoch: str) -> Hello:
         """Return the answer to a peer's Hello."""
 
-    def call_received(self, link: "AcceptedLink", call: Call) -> None:
-        """Take a call; it is answered by :meth:`AcceptedLink.reply`."""
+    def call_received(self, link: LinkT_contra, call: Call) -> None:
+        """Serve a call; it is answered by the reply of its link."""
 
-    def call_cancelled(self, link: "AcceptedLink", call: int) -> None:
+    def call_cancelled(self, link: LinkT_contra, call: int) -> None:
         """Drop a call in progress: its caller has given up or is gone."""
 
     def load_report(self) -> LoadReport:
-        """Return the load to tell with a heartbeat."""
+        """Return the load to report with a heartbeat."""
 
     def revision(self) -> int:
         """Return the revision in force."""
 
-    def accepted_revision_seen(self, link: "AcceptedLink", revision: int) -> None:
+    def accepted_revision_seen(self, link: LinkT_contra, revision: int) -> None:
         """Note the revision of the configuration the peer holds."""
 
-    def accepted_delta_received(self, link: "AcceptedLink", delta: Delta) -> None:
-        """Take the peer's answer to a fetch."""
+    def accepted_delta_received(self, link: LinkT_contra, delta: Delta) -> None:
+        """Use the peer's answer to a fetch."""
 
     def delta_for(self, revision: int) -> Delta | None:
         """Return the configuration for a peer that holds ``revision``."""
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Take news of requests that crash back ends."""
+        """Merge news of requests that crash back ends."""
 
     def crash_news(self) -> CrashNews | None:
         """Return what a peer is told when a link to it opens; None: there is nothing."""
--- a/src/finchshed/link/peer.py
+++ b/src/finchshed/link/peer.py
@@ -2,7 +2,8 @@
 
 Calls are pipelined by call identity. A call ends in exactly one way: a reply on the connection
 it was sent on, or the end of that connection. Replies that carry another epoch, or an identity
-nobody waits for, are counted and dropped.
+nobody waits for, are counted and dropped. Owns the calls that were sent; relies on the owner of the
+link for what is said in its Hello.
 """
 
 import asyncio
@@ -11,12 +12,11 @@
 import msgspec
 from loguru import logger
 
-from finchshed.common.context import CallContext
 from finchshed.common.errors import ProtocolError
-from finchshed.common.outcomes import Headers
 from finchshed.distribution.messages import Delta, Fetch
 from finchshed.link.digests import digest_of
 from finchshed.link.encoding import encode_line
+from finchshed.link.heartbeats import LinkHeartbeats
 from finchshed.link.lines import LineProtocol
 from finchshed.link.messages import (
     Call,
@@ -29,13 +29,14 @@
     Reply,
 )
 from finchshed.link.owners import LinkOwner
-from finchshed.link.silence import SilenceWatch, Verdict
-from finchshed.link.states import Connect, LinkState, ReplyCallback, SendResult
+from finchshed.link.silence import SilenceDetector
+from finchshed.link.states import CallContent, Connect, LinkState, ReplyCallback, SendResult
 from finchshed.observability.instruments import Counter
 from finchshed.quarantine.messages import CrashNews
 from finchshed.tls.names import claims_of_link, unproven
 
 EPOCH_BYTES = 8
+"""Random bytes of a link's identity: equal ones between two daemons are out of the question."""
 
 LATE_REPLIES = Counter(
     "finchshed_link_late_replies_total", "Replies to calls nobody waits for any more"
@@ -69,7 +70,7 @@
     def __init__(
         self,
         address: str,
-        owner: LinkOwner,
+        owner: "LinkOwner[PeerLink]",
         *,
         max_unsent_bytes: int,
         silence_seconds: float,
@@ -86,17 +87,21 @@
         self.last_call_at = 0.0
         self._owner = owner
         self._max_unsent_bytes = max_unsent_bytes
-        self._watch = SilenceWatch(heartbeat_seconds, idle_heartbeat_seconds, silence_seconds)
-        self._is_watched_closely = False
         self._connect_timeout_seconds = connect_timeout_seconds
         self._pending: dict[int, ReplyCallback] = {}
         self._next_call = 1
         self._loop = asyncio.get_running_loop()
         self._connect: Connect = connect or self._loop.create_connection
         self._lines: LineProtocol[PeerMessage] | None = None
-        self._timer: asyncio.TimerHandle | None = None
         self._seen_revision = 0
         self._asks_compression = asks_compression
+        self._heartbeats = LinkHeartbeats(
+            SilenceDetector(heartbeat_seconds, idle_heartbeat_seconds, silence_seconds),
+            self._loop,
+            is_busy=lambda: bool(self._pending),
+            send_heartbeat=self._send_heartbeat,
+            on_silent=lambda: self._end("silent"),
+        )
 
     @property
     def calls_in_progress(self) -> int:
@@ -112,21 +117,7 @@
         except (OSError, TimeoutError) as error:
             self._end(f"connect: {error}")
 
-    def send_call(
-        self,
-        *,
-        service: str,
-        method: str,
-        path: str,
-        headers: Headers,
-        body: bytes,
-        context: CallContext,
-        revision: int,
-        on_reply: ReplyCallback,
-        route: str = "",
-        repeatable: bool = True,
-        identity: str = "",
-    ) -> tuple[SendResult, int]:
+    def send_call(self, content: CallContent, on_reply: ReplyCallback) -> tuple[SendResult, int]:
         """Send a call; return the result and the call's number on this link.
 
         ``on_reply`` is called only if the result is ``SENT``.
@@ -136,27 +127,32 @@
             return SendResult.CLOSED, 0
         if lines.unsent_bytes() > self._max_unsent_bytes:
             return SendResult.FULL, 0
-        call = self._next_call
+        number = self._next_call
         self._next_call += 1
-        message = Call(
+        message = self._message(content, number)
+        self._pending[number] = on_reply
+        lines.send(message)
+        now = self._loop.time()
+        self.last_call_at = now
+        self._heartbeats.on_call_sent(now)
+        return SendResult.SENT, number
+
+    def _message(self, content: CallContent, number: int) -> Call:
+        return Call(
             epoch=self.epoch,
-            call=call,
-            service=service,
-            method=method,
-            path=path,
-            headers=headers,
-            body=body,
-            digest=digest_of(body),
-            context=context,
-            revision=revision,
-            route=route,
-            repeatable=repeatable,
-            identity=identity,
+            call=number,
+            service=content.service,
+            method=content.method,
+            path=content.path,
+            headers=content.headers,
+            body=content.body,
+            digest=digest_of(content.body),
+            context=content.context,
+            revision=content.revision,
+            route=content.route,
+            repeatable=content.repeatable,
+            identity=content.identity,
         )
-        self._pending[call] = on_reply
-        lines.send(message)
-        self._on_call_sent()
-        return SendResult.SENT, call
 
     def cancel_call(self, identity: int) -> None:
         """Forget the call and tell the peer. Its reply, if one comes, finds nobody."""
@@ -191,11 +187,9 @@
             lines.abort()
             return
         self._lines = lines
-        self._watch.on_received(self._loop.time())
-        self._watch.on_sent(self._loop.time())
         hello = self._owner.hello(self.epoch)
         lines.send(msgspec.structs.replace(hello, compressed=self._asks_compression))
-        self._schedule_check()
+        self._heartbeats.start()
 
     def _on_close(self, lines: LineProtocol[PeerMessage], error: Exception | None) -> None:
         if isinstance(error, ProtocolError):
@@ -203,7 +197,7 @@
         self._end("protocol" if isinstance(error, ProtocolError) else "closed by peer")
 
     def _on_message(self, lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
-        self._watch.on_received(self._loop.time())
+        self._heartbeats.on_received()
         if isinstance(message, Hello):
             self._on_hello(lines, message)
         elif self.state is not LinkState.OPEN:
@@ -274,45 +268,22 @@
         if self._lines is not None:
             self._lines.send_encoded(encode_line(message))
 
-    def _on_call_sent(self) -> None:
-        now = self._loop.time()
-        self.last_call_at = now
-        self._watch.on_sent(now)
-        if not self._is_watched_closely:
-            self._schedule_check()
-
-    def _schedule_check(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        is_busy = bool(self._pending)
-        self._is_watched_closely = is_busy or self._watch.is_awaiting
-        wait = self._watch.next_check(self._loop.time(), is_busy)
-        self._timer = self._loop.call_later(wait, self._check_silence)
-
     def ask_revision(self) -> None:
         """Send a heartbeat now: its answer tells the revision the peer holds."""
-        if self.state is LinkState.OPEN:
-            self._watch.on_sent(self._loop.time())
-            self._send(Ping(epoch=self.epoch))
+        self._heartbeats.send_now()
 
-    def _check_silence(self) -> None:
-        now = self._loop.time()
-        verdict = self._watch.check(now, bool(self._pending))
-        if verdict is Verdict.BROKEN:
-            self._end("silent")
-            return
-        if verdict is Verdict.SEND_HEARTBEAT and self.state is LinkState.OPEN:
-            self._watch.on_sent(now)
-            self._send(Ping(epoch=self.epoch))
-        self._schedule_check()
+    def _send_heartbeat(self) -> bool:
+        if self.state is not LinkState.OPEN:
+            return False
+        self._send(Ping(epoch=self.epoch))
+        return True
 
     def _end(self, cause: str) -> None:
         if self.state is LinkState.CLOSED:
             return
         self.state = LinkState.CLOSED
         LINKS_BROKEN.labels(cause.split(":", 1)[0]).inc()
-        if self._timer is not None:
-            self._timer.cancel()
+        self._heartbeats.stop()
         if self._lines is not None:
             self._lines.abort()
         pending = self._pending
--- a/src/finchshed/link/silence.py
+++ b/src/finchshed/link/silence.py
@@ -3,12 +3,13 @@
 A peer that is frozen or cut off closes no connection. On a link with calls in progress that is
 found out quickly, by heartbeats that are not answered. On an idle link nobody waits for anything,
 and heartbeats are rare: a daemon holds links to many peers, and each heartbeat wakes both ends.
+Pure decisions: :mod:`finchshed.link.heartbeats` has the timer.
 """
 
 import enum
 
 
-class Verdict(enum.Enum):
+class SilenceVerdict(enum.Enum):
     """What is to be done at a check."""
 
     WAIT = "wait"
@@ -16,7 +17,7 @@
     BROKEN = "broken"
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Judges one link. Times are in seconds of one monotonic clock.
 
     Parameters
@@ -61,15 +62,15 @@
         self._due_at = now + wait
         return wait
 
-    def check(self, now: float, is_busy: bool) -> Verdict:
+    def check(self, now: float, is_busy: bool) -> SilenceVerdict:
         """Judge the link."""
         if self._awaited_since is not None:
             if now - self._due_at > self._silence_seconds / 2:
                 # This process itself stood still: the peer's lines may wait unread.
                 self._awaited_since = now
             if now - self._awaited_since >= self._silence_seconds:
-                return Verdict.BROKEN
+                return SilenceVerdict.BROKEN
         interval = self._heartbeat_seconds if is_busy else self._idle_heartbeat_seconds
         if now - self._received_at >= interval / 2:
-            return Verdict.SEND_HEARTBEAT
-        return Verdict.WAIT
+            return SilenceVerdict.SEND_HEARTBEAT
+        return SilenceVerdict.WAIT
--- a/src/finchshed/link/states.py
+++ b/src/finchshed/link/states.py
@@ -5,6 +5,10 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeAlias
 
+import msgspec
+
+from finchshed.common.context import CallContext
+from finchshed.common.outcomes import Headers
 from finchshed.link.messages import Reply
 
 
@@ -24,6 +28,24 @@
     CLOSED = "closed"
 
 
+class CallContent(msgspec.Struct, frozen=True, kw_only=True, gc=False):
+    """What a call asks for; the link adds its epoch, the call's number and the body's digest.
+
+    The fields mean what they mean in :class:`finchshed.link.messages.Call`.
+    """
+
+    service: str
+    method: str
+    path: str
+    headers: Headers
+    body: bytes
+    context: CallContext
+    revision: int
+    route: str = ""
+    repeatable: bool = True
+    identity: str = ""
+
+
 Connect: TypeAlias = Callable[[Callable[[], asyncio.Protocol], str, int], Awaitable[object]]
 """Opens a connection for the protocol made by the first argument to a host and port."""
 
--- a/tests/link/test_compression.py
+++ b/tests/link/test_compression.py
@@ -23,7 +23,7 @@
     Reply,
 )
 from finchshed.link.peer import PeerLink
-from finchshed.link.states import ReplyCallback, SendResult
+from finchshed.link.states import CallContent, ReplyCallback, SendResult
 from tests.link.strategies import EPOCH, cut, messages
 from tests.link.test_lines import MAX_LINE_BYTES, PING, Connection
 from tests.link.test_listener import CONTEXT, HELLO, Owner, Peer, call, make_listener
@@ -193,14 +193,16 @@
 
 def send_call(link: PeerLink, body: bytes, on_reply: ReplyCallback) -> None:
     result, _ = link.send_call(
-        service="s",
-        method="GET",
-        path="/",
-        headers=(),
-        body=body,
-        context=CONTEXT,
-        revision=1,
-        on_reply=on_reply,
+        CallContent(
+            service="s",
+            method="GET",
+            path="/",
+            headers=(),
+            body=body,
+            context=CONTEXT,
+            revision=1,
+        ),
+        on_reply,
     )
     assert result is SendResult.SENT
 
--- a/tests/link/test_peer.py
+++ b/tests/link/test_peer.py
@@ -21,7 +21,7 @@
     Reply,
 )
 from finchshed.link.peer import PeerLink
-from finchshed.link.states import LinkState, SendResult
+from finchshed.link.states import CallContent, LinkState, SendResult
 from finchshed.quarantine.messages import CrashNews
 from tests.link.strategies import NESTED, garbage, messages
 
@@ -82,14 +82,16 @@
     def call(self) -> int:
         told: list[Reply | None] = []
         result, number = self.link.send_call(
-            service="s",
-            method="GET",
-            path="/",
-            headers=(),
-            body=b"",
-            context=CONTEXT,
-            revision=1,
-            on_reply=told.append,
+            CallContent(
+                service="s",
+                method="GET",
+                path="/",
+                headers=(),
+                body=b"",
+                context=CONTEXT,
+                revision=1,
+            ),
+            told.append,
         )
         assert result is SendResult.SENT
         self.replies[number] = told
