--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -1,4 +1,4 @@
-"""The call path's HTTP listener: requests of the local back end and of outside callers.
+"""Handles requests that name their service: of the local back end and of outside callers.
 
 A request is spooled whole within its service's limit, given its context, and answered with the
 whole answer of a back end or with a refusal or failure that says whether it ran.
@@ -27,7 +27,7 @@
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue, Matched
-from finchshed.daemon.ingress.responses import malformed_response, response_of
+from finchshed.daemon.ingress.responses import malformed_by_service, response_by_service
 from finchshed.daemon.request import Request, end_to_end_headers
 from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest, Response
@@ -131,14 +131,14 @@
         )
 
         def answered(outcome: Outcome) -> None:
-            respond(response_of(outcome))
+            respond(response_by_service(outcome))
 
         account = "" if served is None else served.account
         return self._caller.call(message, account, _join_identity(request, served), answered)
 
     def refused(self, refused: Refused) -> Response:
         """Return the response that tells a refusal."""
-        return response_of(refused)
+        return response_by_service(refused)
 
     def refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
         """Return the refusal of a request for ``reason``."""
@@ -146,7 +146,7 @@
 
     def malformed(self, detail: str, status: int) -> Response:
         """Return the response to bytes that are no request, or no allowed one."""
-        return malformed_response(detail, status)
+        return malformed_by_service(detail, status)
 
     def _root_context(self, request: InboundRequest, matched: Matched) -> CallContext:
         # The account of a request that is over has nothing left to lend.
--- a/src/finchshed/daemon/parts.py
+++ b/src/finchshed/daemon/parts.py
@@ -16,7 +16,8 @@
 from finchshed.daemon.draining import DrainAnnouncer, DrainState
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.ingress.host_handler import HostAdmitted, HostRequestHandler
+from finchshed.daemon.ingress.host_handler import HostRequestHandler
+from finchshed.daemon.ingress.host_requests import HostAdmitted
 from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
 from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.ingress.service_handler import Admitted, ServiceRequestHandler
--- a/tests/daemon/test_tenants_at_the_front.py
+++ b/tests/daemon/test_tenants_at_the_front.py
@@ -9,7 +9,7 @@
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.configuration.resources import Tenant
-from finchshed.daemon.ingress.host_handler import HostAdmitted
+from finchshed.daemon.ingress.host_requests import HostAdmitted
 from finchshed.http.message import InboundRequest, Response
 from finchshed.tenancy.keys import digest_of_key
 from finchshed.tenancy.lease import KeyLease
