--- a/tests/daemon/test_unconfirmed_daemon.py
+++ b/tests/daemon/test_unconfirmed_daemon.py
@@ -35,7 +35,7 @@
     callee = lone_callee(served, PathThresholds(lambda *_: NO_THRESHOLD))
     callee.serve_instance("i-1", "sales", 8)
     link = Mock(epoch="e")
-    callee.take(link, call("host/look/"))
+    callee.on_call(link, call("host/look/"))
     assert served.get_by_identity("r1") is not None
     link.reply.assert_not_called()
 
@@ -44,7 +44,7 @@
     served = ServedRequests()
     callee = lone_callee(served, PathThresholds(lambda *_: NO_THRESHOLD))
     link = Mock(epoch="e")
-    callee.take(link, call("host/look/"))
+    callee.on_call(link, call("host/look/"))
     assert is_redirect(outcome_of(link))
     assert len(served) == 0
 
@@ -53,5 +53,5 @@
     callee = lone_callee(ServedRequests(), PathThresholds(lambda *_: NO_THRESHOLD))
     callee.serve_instance("i-1", "sales", 8)
     link = Mock(epoch="e")
-    callee.take(link, call(""))
+    callee.on_call(link, call(""))
     assert outcome_of(link).reason is RefusalReason.NO_CONFIGURATION
