--- a/src/finchshed/control/daemons/directory_service.py
+++ b/src/finchshed/control/daemons/directory_service.py
@@ -60,14 +60,14 @@
         registration = message.registration
         now = _now()
         self._told_here[registration.address] = now
-        news = self._directory.take((registration,), now)
+        news = self._directory.merge((registration,), now)
         if news:
             self._send_report(DirectoryReport(news))
             self._news.add(news)
 
     def on_report(self, report: DirectoryReport) -> None:
         """Take registrations that another control node passes on."""
-        news = self._directory.take(report.registrations, _now())
+        news = self._directory.merge(report.registrations, _now())
         self._news.add(news)
 
     def greeting(self) -> Sequence[ControlToDaemon]:
--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -26,8 +26,8 @@
 from finchshed.daemon.backend.http_client import HttpBackend
 from finchshed.daemon.backend.registration import RegisteredBackend
 from finchshed.daemon.calling.caller import Caller
+from finchshed.daemon.calling.daemon_links import DaemonLinks
 from finchshed.daemon.calling.endpoints import KnownEndpoints
-from finchshed.daemon.calling.peers import DaemonLinks
 from finchshed.daemon.calling.platform_hints import OwnListing, PlatformHints
 from finchshed.daemon.draining import DrainAnnouncer, DrainState
 from finchshed.daemon.endpoint_identity import EndpointIdentity
--- a/src/finchshed/daemon/backend/answer_head.py
+++ b/src/finchshed/daemon/backend/answer_head.py
@@ -1,9 +1,11 @@
-"""What the head of a back end's answer says of it."""
+"""What the head of a back end's answer says of it: whose it is, whether it ran, whether it drains.
+
+Owns nothing; relies on the names of headers that the deployment uses.
+"""
 
 from collections.abc import Sequence
 
 from finchshed.common.context import HEADER_ACCOUNT, HEADER_RAN
-from finchshed.common.outcomes import Headers
 from finchshed.daemon.backend.client import BackendAnswer, BackendBroken, BackendRequest
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.request import end_to_end_headers
@@ -15,6 +17,8 @@
 )
 
 LOAD_PARTS = 3
+"""Fields of a load header: requests running, requests waiting, slots."""
+
 HEADER_DRAINING = b"finchshed-draining"
 
 _RAN = HEADER_RAN.encode("ascii")
@@ -37,32 +41,33 @@
         body: bytes,
     ) -> BackendAnswer | BackendBroken:
         """Return the answer, or why it can't be taken for the one to ``request``."""
-        told = dict(raw_headers)
-        if not self._is_to(request, told):
+        headers_by_name = dict(raw_headers)
+        if not self._is_to(request, headers_by_name):
             return BackendBroken("the answer is another request's")
         is_success = STATUS_OK <= status < STATUS_MULTIPLE_CHOICES
-        if request.request_id and self._seal and is_success and self._seal not in told:
+        if request.request_id and self._seal and is_success and self._seal not in headers_by_name:
             return BackendBroken("the answer lacks the back end's seal")
-        headers: Headers = end_to_end_headers(raw_headers)
         return BackendAnswer(
             status=status,
-            headers=headers,
+            headers=end_to_end_headers(raw_headers),
             body=body,
-            ran=not self._is_refusal(request, status, told),
-            draining=told.get(HEADER_DRAINING) == b"1",
+            ran=not self._is_refusal(request, status, headers_by_name),
+            draining=headers_by_name.get(HEADER_DRAINING) == b"1",
         )
 
-    def _is_to(self, request: BackendRequest, told: dict[bytes, bytes]) -> bool:
+    def _is_to(self, request: BackendRequest, headers: dict[bytes, bytes]) -> bool:
         account = request.account.encode("latin-1")
-        if told.get(_ACCOUNT, account) != account:
+        if headers.get(_ACCOUNT, account) != account:
             return False
         identity = request.request_id.encode("latin-1")
-        return not identity or told.get(self._request, identity) == identity
+        return not identity or headers.get(self._request, identity) == identity
 
-    def _is_refusal(self, request: BackendRequest, status: int, told: dict[bytes, bytes]) -> bool:
+    def _is_refusal(
+        self, request: BackendRequest, status: int, headers: dict[bytes, bytes]
+    ) -> bool:
         if not request.request_id:
-            return status == STATUS_SERVICE_UNAVAILABLE and told.get(_RAN) == b"no"
-        return self._not_run in told or status == STATUS_MISDIRECTED_REQUEST
+            return status == STATUS_SERVICE_UNAVAILABLE and headers.get(_RAN) == b"no"
+        return self._not_run in headers or status == STATUS_MISDIRECTED_REQUEST
 
 
 def slots_of(load: str) -> int:
--- a/src/finchshed/daemon/backend/client.py
+++ b/src/finchshed/daemon/backend/client.py
@@ -1,7 +1,8 @@
-"""The HTTP client of the daemon to the back end beside it.
+"""What a client to the back end is asked, and the one value each request ends in.
 
 Each request ends in exactly one value: a whole answer, or the reason there is none. Only a
-connection that could not be opened is known not to have run anything.
+connection that could not be opened is known not to have run anything. Types alone: the client over
+HTTP is :mod:`http_client`.
 """
 
 from collections.abc import Callable
@@ -15,7 +16,7 @@
 class BackendAnswer(msgspec.Struct, frozen=True):
     """A whole answer. ``ran`` is False where the back end says that it refused before running.
 
-    ``headers`` are those passed on; ``draining`` tells that the back end announced its leaving.
+    ``headers`` are those passed on; ``draining``: the back end announced its drain.
     ``has_length`` is False where it lacked a length and ended with its connection.
     """
 
@@ -72,7 +73,7 @@
 )
 
 
-class Backend(Protocol):
+class BackendClient(Protocol):
     """A client to the back end."""
 
     def send(
--- a/src/finchshed/daemon/backend/connection.py
+++ b/src/finchshed/daemon/backend/connection.py
@@ -2,7 +2,8 @@
 
 A connection carries one request at a time and is given up on anything that leaves doubt about
 whose answer comes next: a byte that nobody asked for, an error of the parser, a cut answer, a
-request that was cancelled.
+request that was cancelled. Owns its transport; relies on the answer reader to judge whose answer it
+is.
 """
 
 import asyncio
@@ -25,6 +26,7 @@
 from finchshed.http.status import STATUS_OK
 
 MAX_HEAD_BYTES = 65_536
+"""Longest head of an answer that is read; chosen, not measured."""
 
 KEEP_ALIVE = b"keep-alive"
 TIMEOUT_PARAMETER = re.compile(rb"timeout=(\d+)")
@@ -90,7 +92,7 @@
         self._transport.write(message)
 
     def abort(self) -> None:
-        """Close at once. The result of a request in progress is not told."""
+        """Close at once. The result of a request in progress is not passed on."""
         self._on_result = None
         self._close()
 
@@ -199,7 +201,7 @@
 
     def _complete(self) -> None:
         self._is_complete = True
-        # Past the parser's callback this is no longer told of the answer that has just ended.
+        # Past the parser's callback this no longer says it of the answer that has just ended.
         self._keeps_alive = self._parser.should_keep_alive()
 
     def _release(self) -> None:
--- a/src/finchshed/daemon/backend/health.py
+++ b/src/finchshed/daemon/backend/health.py
@@ -1,16 +1,17 @@
-"""Watches whether the back end is leaving, and whether one that left has returned.
+"""Monitors whether the back end is draining, and whether one that drained has returned.
 
-A back end says that it is leaving on its answers. One that gives none, as no calls reach it, is
+A back end says that it is draining on its answers. One that gives none, as no calls reach it, is
 asked: its ``/health`` may lag or mislead, so it counts only as a hint that carries the sign of
-leaving, only while no answer tells otherwise, and never as a proof that all is well.
+draining, only while no answer says otherwise, and never as a proof that all is well. Owns what is
+known of one back end; relies on the client to ask it.
 """
 
 import asyncio
 from collections.abc import Callable
 
 from finchshed.daemon.backend.client import (
-    Backend,
     BackendAnswer,
+    BackendClient,
     BackendRequest,
     BackendResult,
 )
@@ -19,30 +20,36 @@
 
 HEALTH_PATH = "/health"
 IDLE_POLL_SECONDS = 0.5
-"""A back end is asked after one whole such time without an answer: callers must hear of a back end
-that leaves within 2 s, and this makes it at most two such times and the check."""
+"""A back end is asked after one whole such time, seconds, without an answer: callers must be told
+of a back end that drains within 2 s, and this makes it at most two such times and the check."""
 
 RETURN_POLL_SECONDS = 0.25
+"""Seconds between checks of a back end that drains: so late at most it gets work again; chosen, not
+measured."""
+
 TIMEOUT_SECONDS = 1.0
+"""Longest wait for the answer to a check, seconds: with two polls it keeps the 2 s above."""
+
 MAX_HEALTH_BYTES = 65_536
+"""Largest answer to a check; chosen, not measured."""
 
 
 class BackendHealthMonitor:
-    """Watches one back end.
+    """Monitors one back end.
 
     Parameters
     ----------
     backend
         Client to the back end.
     on_draining
-        Called when the back end is found to be leaving.
+        Called when the back end is found to be draining.
     on_returned
-        Called when a back end that was leaving takes work again.
+        Called when a back end that was draining takes work again.
     """
 
     def __init__(
         self,
-        backend: Backend,
+        backend: BackendClient,
         on_draining: Callable[[], None],
         on_returned: Callable[[], None],
     ) -> None:
@@ -60,7 +67,7 @@
             self._on_sign()
 
     async def run(self) -> None:
-        """Watch for as long as the daemon runs."""
+        """Look regularly, for as long as the daemon runs."""
         while True:
             await asyncio.sleep(RETURN_POLL_SECONDS if self.is_draining else IDLE_POLL_SECONDS)
             await self.look()
@@ -76,7 +83,7 @@
 
     async def _look_for_draining(self) -> None:
         result = await check_health(self._backend)
-        # An answer that came meanwhile is the better witness.
+        # An answer that came meanwhile says it more surely.
         if isinstance(result, BackendAnswer) and result.draining and not self._has_answered:
             self._on_sign()
 
@@ -95,7 +102,7 @@
         self._on_draining()
 
 
-async def check_health(backend: Backend, path: str = HEALTH_PATH) -> BackendResult:
+async def check_health(backend: BackendClient, path: str = HEALTH_PATH) -> BackendResult:
     """Return what the back end answers to a check of its health."""
     ended: asyncio.Future[BackendResult] = asyncio.get_running_loop().create_future()
     request = BackendRequest(
--- a/src/finchshed/daemon/backend/http_client.py
+++ b/src/finchshed/daemon/backend/http_client.py
@@ -1,4 +1,7 @@
-"""The client to the back end: a pool of connections, one request on each at a time."""
+"""The client to the back end: a pool of connections, one request on each at a time.
+
+Owns the connections, idle and in use. Relies on each of them to say when it can be used again.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -18,18 +21,24 @@
 from finchshed.runtime import clock
 
 IDLE_SECONDS = 15.0
-"""A connection unused for this long is not used again: the back end may be closing it."""
+"""Seconds: a connection unused for this long is not used again, as the back end may be closing it;
+chosen, not measured."""
 
 IDLE_SECONDS_UNREPEATABLE = 1.0
-"""The same for requests that may not be repeated, where such a race leaves the outcome unknown."""
+"""The same, seconds, for requests that may not be repeated, where such a race leaves the outcome
+unknown; chosen, not measured."""
 
-KEPT_SHARE = 0.7
-"""Part of the time a back end says it keeps an idle connection for, in which it is used."""
+KEPT_FRACTION = 0.7
+"""Part of the time a back end says it keeps an idle connection for, in which it is used;
+chosen, not measured."""
 
 LOOKS = 3
+"""Looks at the connections after one broke. Those still open after the last one show that the back
+end is there: no new one is opened, where a faulty back end breaks off single answers. Chosen, not
+measured."""
+
 LOOK_SECONDS = 0.005
-"""Connections still open after so many looks, so far apart, show that the back end is there: no
-new one is opened, where a faulty back end breaks off single answers."""
+"""Seconds between those looks; chosen, not measured."""
 
 METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
 
@@ -51,7 +60,8 @@
     Attributes
     ----------
     loop
-        The loop it was made on; kept for the reason given in :mod:`finchshed.daemon.calling.peers`.
+        The loop it was made on; kept for the reason given in
+        :mod:`finchshed.daemon.calling.daemon_links`.
     """
 
     def __init__(
@@ -83,7 +93,7 @@
         self, request: BackendRequest, on_result: Callable[[BackendResult], None]
     ) -> Callable[[], object]:
         """Send a request; ``on_result`` is called at most once, later. Return what cancels it."""
-        exchange = Exchange(self, request, on_result)
+        exchange = BackendExchange(self, request, on_result)
         connection = self._take_idle(request.is_repeatable)
         if connection is not None:
             exchange.send_on(connection)
@@ -112,7 +122,7 @@
         connection = idle.pop()
         allowed = IDLE_SECONDS if is_repeatable else IDLE_SECONDS_UNREPEATABLE
         if connection.kept_seconds is not None:
-            allowed = min(allowed, connection.kept_seconds * KEPT_SHARE)
+            allowed = min(allowed, connection.kept_seconds * KEPT_FRACTION)
         if connection.idle_since >= clock.now() - allowed:
             return connection
         # It was used last, so every other one has been idle for longer still.
@@ -143,7 +153,7 @@
             logger.info("whether the back end ended is unknown, no connection: {!r}", error)
         return False
 
-    async def _connect(self, exchange: "Exchange") -> None:
+    async def _connect(self, exchange: "BackendExchange") -> None:
         try:
             connection = await self._open_connection()
         except (OSError, TimeoutError) as error:
@@ -178,7 +188,7 @@
             self._idle.remove(connection)
 
 
-class Exchange:
+class BackendExchange:
     """One request and its result."""
 
     def __init__(
@@ -206,18 +216,18 @@
         connection.send(message, self._request, self.end)
 
     def fail_later(self, result: BackendResult) -> None:
-        """Tell ``result`` once the caller of :meth:`HttpBackend.send` has returned."""
+        """Pass ``result`` on once the caller of :meth:`HttpBackend.send` has returned."""
         self._backend.loop.call_soon(self.end, result)
 
     def cancel(self) -> None:
-        """Give the request up; its connection is closed and no result is told."""
+        """Give the request up; its connection is closed and no result is passed on."""
         if not self._settle():
             return
         if self._connection is not None:
             self._connection.abort()
 
     def end(self, result: BackendResult) -> None:
-        """Tell the result."""
+        """Pass the result on."""
         if self._settle():
             self._on_result(result)
 
--- a/src/finchshed/daemon/backend/registration.py
+++ b/src/finchshed/daemon/backend/registration.py
@@ -8,14 +8,19 @@
 from loguru import logger
 
 from finchshed.daemon.backend.answer_head import slots_of
-from finchshed.daemon.backend.client import Backend, BackendAnswer, BackendResult, BackendUnreached
+from finchshed.daemon.backend.client import (
+    BackendAnswer,
+    BackendClient,
+    BackendResult,
+    BackendUnreached,
+)
 from finchshed.daemon.backend.events import BackendEvents
 from finchshed.daemon.backend.health import check_health
 from finchshed.daemon.draining import DrainAnnouncer, DrainState
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.serving.callee import Callee
-from finchshed.directory.registrar import Heartbeat, Registrar
+from finchshed.directory.registrar import BackendHeartbeat, Registrar
 from finchshed.directory.registration import InstanceState, Registration
 from finchshed.distribution.client import ControlClient
 from finchshed.http.status import STATUS_OK
@@ -44,7 +49,7 @@
         announcer: DrainAnnouncer,
         listener: LinkListener,
         client: ControlClient,
-        backend: Backend,
+        backend: BackendClient,
         events: BackendEvents,
         names: HeaderNames,
     ) -> None:
@@ -65,7 +70,7 @@
         """What everybody else is told of the back end."""
         return self._registrar.registration
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def on_heartbeat(self, heartbeat: BackendHeartbeat) -> None:
         """Act on a heartbeat; what it changes is in force on return."""
         if self._registrar.on_heartbeat(heartbeat, clock.now()):
             self._apply()
--- a/src/finchshed/daemon/backend/return_detection.py
+++ b/src/finchshed/daemon/backend/return_detection.py
@@ -1,28 +1,29 @@
-"""Decides whether a back end that said that it is leaving has returned.
+"""Decides whether a back end that said that it is draining has returned.
 
 The daemon stays when its back end is restarted, so it must find out when to take work again. The
 back end's ``/health`` may lag or mislead: a good answer counts at once only if the back end was
 seen gone before, since then another process answers; a back end that was never seen gone must say
 for a while that it is well. So a health endpoint that lags behind a drain brings new work to a
-leaving back end at most once in that while.
+draining back end at most once in that while. Pure; relies on being given each result with its time.
 """
 
 from finchshed.daemon.backend.client import BackendAnswer, BackendResult, BackendUnreached
 from finchshed.http.status import STATUS_OK
 
 STEADY_SECONDS = 5.0
-"""How long a back end that was never seen gone must say that it is well."""
+"""Seconds that a back end that was never seen gone must say that it is well; chosen, not
+measured."""
 
 
 class ReturnDetector:
-    """Decides from answers to health checks whether a leaving back end has returned."""
+    """Decides from answers to health checks whether a draining back end has returned."""
 
     def __init__(self) -> None:
         self._was_gone = False
         self._well_since: float | None = None
 
     def has_returned(self, result: BackendResult, now: float) -> bool:
-        """Take the result of one check; return whether the back end takes work again."""
+        """Judge the result of one check; return whether the back end takes work again."""
         if isinstance(result, BackendUnreached):
             self._was_gone = True
         if not _is_well(result):
--- a/src/finchshed/daemon/calling/attempt.py
+++ b/src/finchshed/daemon/calling/attempt.py
@@ -15,12 +15,22 @@
 
     ``on_reply`` is called with the reply, or None if the link broke after the send;
     ``on_unsent`` if it was never sent. Exactly one of them is called, unless it is withdrawn.
-    ``number`` is that of the call on ``link``.
+
+    Attributes
+    ----------
+    lent_attempts
+        Spare attempts of the root request that go with it.
+    admitted_fraction
+        Least fraction of its class that was admitted on the way.
+    deadline
+        Monotonic seconds.
+    number
+        That of the call on ``link``.
     """
 
     request: Request
-    share: int
-    admitted_share: float
+    lent_attempts: int
+    admitted_fraction: float
     deadline: float
     on_reply: Callable[[Reply | None], None]
     on_unsent: Callable[[RefusalReason, str], None]
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -11,8 +11,8 @@
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
+from finchshed.daemon.calling.daemon_links import DaemonLinks
 from finchshed.daemon.calling.outgoing import OutgoingCall
-from finchshed.daemon.calling.peers import DaemonLinks
 from finchshed.daemon.calling.pins import SessionPins
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.decision_log import is_signed, log_request
--- a/src/finchshed/daemon/calling/peers.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -1,7 +1,8 @@
 """The links this daemon holds to other daemons: opened on demand, reopened with jittered backoff.
 
 A call for an endpoint whose link is being opened waits for it; if the link can't be opened, the
-call was never sent.
+call was never sent. Owns the links and what waits for them. Relies on its owner for what peers are
+told and for what becomes of what they say.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 from finchshed.common.outcomes import RefusalReason
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon.calling.attempt import Attempt
-from finchshed.daemon.calling.peers_owner import PeersOwner
+from finchshed.daemon.calling.daemon_links_owner import DaemonLinksOwner
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.distribution.messages import Delta
 from finchshed.link.messages import (
@@ -25,7 +26,12 @@
 from finchshed.runtime import clock
 
 BACKOFF_FIRST_SECONDS = 0.05
+"""Mean wait, seconds, before a link that failed once is opened again; chosen, not measured."""
+
 BACKOFF_MAX_SECONDS = 2.0
+"""Longest mean wait, seconds: so late at most an endpoint that is back is found; chosen, not
+measured."""
+
 DIAL_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
 
 
@@ -53,7 +59,7 @@
     def __init__(
         self,
         settings: DaemonSettings,
-        owner: PeersOwner,
+        owner: DaemonLinksOwner,
         rng: random.Random,
         connect: Connect | None = None,
     ) -> None:
@@ -68,7 +74,7 @@
         self._closing = False
 
     def replace(self, endpoints: dict[str, Endpoint]) -> None:
-        """Take the endpoints of a configuration; links to those gone or moved are closed."""
+        """Follow the endpoints of a configuration; links to those gone or moved are closed."""
         for name, peer in list(self._peers.items()):
             declared = endpoints.get(name)
             if declared is not None and declared.address == peer.endpoint.address:
@@ -266,7 +272,9 @@
             attempt.on_unsent(RefusalReason.DEADLINE, "no time left to send")
             return
         request = attempt.request
-        context = request.context.for_attempt(remaining, attempt.share, attempt.admitted_share)
+        context = request.context.for_attempt(
+            remaining, attempt.lent_attempts, attempt.admitted_fraction
+        )
         content = CallContent(
             service=request.service,
             method=request.method,
--- a/src/finchshed/daemon/calling/peers_owner.py
+++ b/src/finchshed/daemon/calling/daemon_links_owner.py
@@ -1,4 +1,4 @@
-"""What the holder of the links to other daemons tells and asks."""
+"""What the holder of the links to other daemons reports and asks."""
 
 from typing import Protocol
 
@@ -10,8 +10,8 @@
 from finchshed.quarantine.messages import CrashNews
 
 
-class PeersOwner(Protocol):
-    """What the holder of the links is told and asked."""
+class DaemonLinksOwner(Protocol):
+    """What the owner of the links does for them."""
 
     def hello(self, epoch: str) -> Hello:
         """Return the first line of a link."""
@@ -26,13 +26,13 @@
         """Note that an endpoint takes no new calls."""
 
     def peer_load(self, endpoint: str, load: LoadReport) -> None:
-        """Take the load that an endpoint told with a heartbeat."""
+        """Note the load that an endpoint reported with a heartbeat."""
 
     def peer_revision(self, peer: str, revision: int) -> None:
         """Note the revision a peer holds."""
 
     def peer_delta(self, peer: str, delta: Delta) -> None:
-        """Take configuration that a peer sent."""
+        """Use configuration that a peer sent."""
 
     def delta_for(self, revision: int) -> Delta | None:
         """Return the configuration for a peer that holds ``revision``."""
@@ -41,7 +41,7 @@
         """Return the revision in force."""
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Take news of requests that crash back ends."""
+        """Merge news of requests that crash back ends."""
 
     def crash_news(self) -> CrashNews | None:
-        """Return what a peer is told when a link to it opens; None: there is nothing."""
+        """Return the news that a peer is sent when a link to it opens; None: there is none."""
--- a/src/finchshed/daemon/calling/endpoints.py
+++ b/src/finchshed/daemon/calling/endpoints.py
@@ -1,11 +1,15 @@
-"""All endpoints a daemon may call: those declared, and those that registered themselves."""
+"""All endpoints a daemon may call: those declared, and those that registered themselves.
+
+Owns the directory of registrations. Relies on control for both, and keeps routing table and links
+in step with them.
+"""
 
 from collections import Counter
 
 from loguru import logger
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.calling.peers import DaemonLinks
+from finchshed.daemon.calling.daemon_links import DaemonLinks
 from finchshed.directory.registration import Registration
 from finchshed.directory.table import Directory
 from finchshed.distribution.messages import DirectoryUpdate
@@ -13,13 +17,15 @@
 from finchshed.runtime import clock
 
 FORGET_SECONDS = 3_600.0
-"""Control says what is to be forgotten; without it a daemon goes on with what it knows."""
+"""Seconds. Control says what is to be forgotten; without it a daemon goes on with what it knows.
+Chosen, not measured."""
 
 MAX_LOGGED = 8
-"""Registrations of one update that are logged each by itself; a line takes 0.1 ms to make."""
+"""Registrations of one update that are logged each by itself: a line takes 0.1 ms to make. The
+number is chosen, not measured."""
 
 MAX_GREETED = 64
-"""Up to so many registered endpoints are linked before the first call."""
+"""Up to so many registered endpoints are linked before the first call; chosen, not measured."""
 
 
 class KnownEndpoints:
@@ -36,22 +42,22 @@
         return len(self._directory)
 
     def declare(self, declared: dict[str, Endpoint]) -> None:
-        """Take the endpoints of the configuration."""
+        """Use the endpoints of the configuration."""
         self._declared = declared
         self._apply()
 
     def on_update(self, update: DirectoryUpdate) -> None:
-        """Take registrations. A control node that just started doesn't know them all yet."""
+        """Merge registrations. A control node that just started doesn't know them all yet."""
         now = clock.now()
         present = self._directory.present_at(update.registrations)
-        news = self._directory.take(update.registrations, now)
+        news = self._directory.merge(update.registrations, now)
         # A daemon that has just started and knows of no back end is no news where none was known.
-        told = [item for item in news if item.instance or item.address in present]
-        _log(told)
+        reported = [item for item in news if item.instance or item.address in present]
+        _log(reported)
         dropped = self._directory.drop(update.forgotten)
         if dropped:
             logger.info("back ends at {} are forgotten", ", ".join(update.forgotten))
-        if told or dropped:
+        if reported or dropped:
             self._apply()
 
     def registration_of(self, address: str) -> Registration | None:
@@ -67,8 +73,8 @@
             self._links.greet(tuple(registered.values()))
 
 
-def _log(told: list[Registration]) -> None:
-    for registration in told[:MAX_LOGGED]:
+def _log(reported: list[Registration]) -> None:
+    for registration in reported[:MAX_LOGGED]:
         logger.info(
             "told of back end {} of {} at {}: {}, epoch {}, serial {}",
             registration.instance,
@@ -78,7 +84,7 @@
             registration.epoch,
             registration.serial,
         )
-    if len(told) > MAX_LOGGED:
-        counts = Counter(f"{item.service} {item.state}" for item in told[MAX_LOGGED:])
+    if len(reported) > MAX_LOGGED:
+        counts = Counter(f"{item.service} {item.state}" for item in reported[MAX_LOGGED:])
         text = ", ".join(f"{count} of {what}" for what, count in sorted(counts.items()))
-        logger.info("told of {} more back ends: {}", len(told) - MAX_LOGGED, text)
+        logger.info("told of {} more back ends: {}", len(reported) - MAX_LOGGED, text)
--- a/src/finchshed/daemon/calling/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing.py
@@ -18,8 +18,8 @@
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon import metrics
 from finchshed.daemon.calling.attempt import Attempt
-from finchshed.daemon.calling.peers import DaemonLinks
-from finchshed.daemon.calling.pins import mixes_editions, told_place
+from finchshed.daemon.calling.daemon_links import DaemonLinks
+from finchshed.daemon.calling.pins import mixes_editions, with_session_endpoint
 from finchshed.daemon.decision_log import (
     is_logged,
     name_of,
@@ -27,7 +27,7 @@
 from finchshed.daemon.request import Request
 from finchshed.link.digests import digest_of
 from finchshed.link.messages import Reply
-from finchshed.observability.decisions import Attempt as AttemptRecord
+from finchshed.observability.decisions import AttemptRecord
 from finchshed.quarantine.messages import CrashRecord
 from finchshed.routing.caller import CallerEffect, CallerLogic, Finish, Send, SetTimer, Withdraw
 from finchshed.runtime import clock
@@ -43,7 +43,7 @@
     on_finish
         Called once with the outcome and the spare attempts left.
     retry_after
-        Draws when a client is told to come back, seconds.
+        Draws the time after which a client may come back, seconds.
     on_crash_record
         Called with what an answer tells of back ends that ended under the request.
     """
@@ -131,8 +131,8 @@
             metrics.RETRIES.labels(self.request.service).inc()
         attempt = Attempt(
             request=self.request,
-            share=effect.share,
-            admitted_share=effect.admitted_share,
+            lent_attempts=effect.share,
+            admitted_fraction=effect.admitted_share,
             deadline=self._deadline,
             on_reply=lambda reply: self._on_reply(number, reply),
             on_unsent=lambda reason, detail: self._on_unsent(number, effect.share, reason, detail),
@@ -200,7 +200,7 @@
     def _finish(self, effect: Finish) -> None:
         if self._noted < self._sent:
             self._note_attempt(effect.outcome, clock.now())
-        outcome = told_place(self.request, self.endpoint, effect.outcome)
+        outcome = with_session_endpoint(self.request, self.endpoint, effect.outcome)
         self._outcome = outcome
         # The attempt refers back to this call: without the cycle it is freed at once.
         self._attempt = None
--- a/src/finchshed/daemon/calling/pins.py
+++ b/src/finchshed/daemon/calling/pins.py
@@ -128,7 +128,7 @@
     return allowed not in ([""], ["*"]) and given not in allowed
 
 
-def told_place(request: Request, endpoint: str, outcome: Outcome) -> Outcome:
+def with_session_endpoint(request: Request, endpoint: str, outcome: Outcome) -> Outcome:
     """Return ``outcome`` with the endpoint that answered a session's request in its headers."""
     if not isinstance(outcome, Answered) or not endpoint or not session_of(request):
         return outcome
--- a/src/finchshed/daemon/decision_log.py
+++ b/src/finchshed/daemon/decision_log.py
@@ -1,6 +1,7 @@
 """Turns the ends of requests and calls into lines of the log.
 
-Whatever did not end well is logged; of what did, a sample that is the same on every hop.
+Whatever did not end well is logged; of what did, a sample that is the same on every hop. Owns
+nothing; relies on the log stream, which may be off.
 """
 
 import time
@@ -15,14 +16,14 @@
 from finchshed.daemon.request import Request
 from finchshed.daemon.serving.work import Work
 from finchshed.observability import log_stream
-from finchshed.observability.decisions import Attempt, BackendEnded, CallEnded, RequestEnded
+from finchshed.observability.decisions import AttemptRecord, BackendEnded, CallEnded, RequestEnded
 from finchshed.runtime import clock
 
 SIGNED_REFUSALS = frozenset({RefusalReason.QUARANTINED, RefusalReason.SUSPECTS_WAIT})
 """Refusals that are due to the request itself."""
 
 MAX_NAMED_SIGNATURES = 64
-"""Requests that a line about a back end's end names; it stays under 2 kB."""
+"""Requests that a line about a back end's end names; it stays under 2 kB. Chosen, not measured."""
 
 
 def name_of(outcome: Outcome) -> str:
@@ -55,7 +56,7 @@
     request: Request,
     outcome: Outcome,
     seconds: float,
-    attempts: Sequence[Attempt],
+    attempts: Sequence[AttemptRecord],
     revision: int,
     *,
     signature: str = "",
@@ -63,7 +64,7 @@
     """Log the end of a request at the daemon that took it."""
     if not is_logged(request, outcome):
         return
-    reason, detail, status, retry_after = _parts(outcome)
+    reason, detail, status, retry_after = _fields_of(outcome)
     record = RequestEnded(
         time=time.time(),
         id=request.identity or request.context.root,
@@ -124,7 +125,7 @@
     context = work.call.context
     if not log_stream.is_on() or not (failed or log_stream.is_sampled(context.root)):
         return
-    reason, detail, status, _ = _parts(outcome)
+    reason, detail, status, _ = _fields_of(outcome)
     now = clock.now()
     started = work.started
     record = CallEnded(
@@ -157,9 +158,9 @@
     log_stream.emit(record, is_failure=True)
 
 
-def _parts(outcome: Outcome) -> tuple[str, str, int, float]:
+def _fields_of(outcome: Outcome) -> tuple[str, str, int, float]:
     """Return reason, detail, status and milliseconds until a caller is to come back."""
     if isinstance(outcome, Answered):
         return "", "", outcome.status, 0.0
-    told = round(outcome.retry_after * MILLISECONDS, 1) if isinstance(outcome, Refused) else 0.0
-    return str(outcome.reason), outcome.detail, 0, told
+    wait = round(outcome.retry_after * MILLISECONDS, 1) if isinstance(outcome, Refused) else 0.0
+    return str(outcome.reason), outcome.detail, 0, wait
--- a/src/finchshed/daemon/draining.py
+++ b/src/finchshed/daemon/draining.py
@@ -1,4 +1,4 @@
-"""Whether this endpoint drains, by any sign, and what its callers are told of it.
+"""Whether this endpoint drains, by any sign, and what callers are told of it.
 
 :class:`DrainState` is the one owner of that: whoever refuses work or reports the drain asks it.
 There are four signs: the daemon is being stopped, the platform lists the machine, the back end
--- a/src/finchshed/daemon/ingress/__init__.py
+++ b/src/finchshed/daemon/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests enter the daemon over HTTP: who may send them, and how their ends are told."""
+"""Where requests enter the daemon over HTTP: who may send them, and how they are answered."""
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -1,7 +1,9 @@
 """Handles requests that name their service: of the local back end and of outside callers.
 
 A request is spooled whole within its service's limit, given its context, and answered with the
-whole answer of a back end or with a refusal or failure that says whether it ran.
+whole answer of a back end or with a refusal or failure that says whether it ran. Owns the places of
+callers within their class. Relies on the catalogue for routes and on the caller to have it
+answered.
 """
 
 import itertools
@@ -36,6 +38,8 @@
 from finchshed.runtime import clock
 
 ROOT_PREFIX_BYTES = 8
+"""Random bytes in the identities that a daemon gives root requests: no two daemons give the
+same."""
 
 _ACCOUNT = HEADER_ACCOUNT.encode("ascii")
 _CALLER = HEADER_CALLER.encode("ascii")
@@ -47,7 +51,7 @@
 _SESSION_AT = HEADER_SESSION_AT.encode("ascii")
 
 
-class Admitted(msgspec.Struct, frozen=True):
+class ServiceAdmitted(msgspec.Struct, frozen=True):
     """What is known of a request from its head.
 
     ``served`` is the request of the local back end that calls on, or None for a root request.
@@ -82,7 +86,7 @@
         self._not_ready_reason = not_ready_reason
         self.catalogue = Catalogue()
 
-    def admit(self, request: InboundRequest) -> Admitted | Refused:
+    def admit(self, request: InboundRequest) -> ServiceAdmitted | Refused:
         """Judge a request by its head, before its body is read."""
         reason = self._not_ready_reason()
         if reason is not None:
@@ -98,16 +102,16 @@
             if issued_at(key) is None:
                 detail = "the idempotency key must be a UUID of version 7"
                 return self.refusal(RefusalReason.KEY_INVALID, detail)
-        return Admitted(matched, self._served.get(request.header(_ACCOUNT)))
+        return ServiceAdmitted(matched, self._served.get(request.header(_ACCOUNT)))
 
-    def max_body_bytes(self, admitted: Admitted) -> int:
+    def max_body_bytes(self, admitted: ServiceAdmitted) -> int:
         """Return the largest body taken for an admitted request."""
         return admitted.matched.service.max_body_bytes
 
     def handle(
         self,
         request: InboundRequest,
-        admitted: Admitted,
+        admitted: ServiceAdmitted,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
         """Answer a whole request; ``respond`` is called once. Return what gives it up."""
@@ -199,7 +203,7 @@
 
 
 def _deadline_of(request: InboundRequest, default_seconds: float) -> float:
-    """Return the seconds left as the caller told them, or ``default_seconds``."""
+    """Return the seconds left by the word of the caller, or ``default_seconds``."""
     value = request.first.get(_DEADLINE)
     if value is None:
         return default_seconds
--- a/src/finchshed/daemon/parts.py
+++ b/src/finchshed/daemon/parts.py
@@ -9,8 +9,8 @@
 from finchshed.daemon.backend.http_client import HttpBackend
 from finchshed.daemon.backend.registration import RegisteredBackend
 from finchshed.daemon.calling.caller import Caller
+from finchshed.daemon.calling.daemon_links import DaemonLinks
 from finchshed.daemon.calling.endpoints import KnownEndpoints
-from finchshed.daemon.calling.peers import DaemonLinks
 from finchshed.daemon.calling.platform_hints import PlatformHints
 from finchshed.daemon.crash_news_links import CrashNewsLinks
 from finchshed.daemon.draining import DrainAnnouncer, DrainState
@@ -20,7 +20,7 @@
 from finchshed.daemon.ingress.host_requests import HostAdmitted
 from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
 from finchshed.daemon.ingress.quota_gate import QuotaGate
-from finchshed.daemon.ingress.service_handler import Admitted, ServiceRequestHandler
+from finchshed.daemon.ingress.service_handler import ServiceAdmitted, ServiceRequestHandler
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.callee import Callee
@@ -108,7 +108,7 @@
     host_handler: HostRequestHandler
     lease_renewal: LeaseRenewal
     quotas: QuotaGate
-    service_server: HttpServer[Admitted]
+    service_server: HttpServer[ServiceAdmitted]
     host_server: HttpServer[HostAdmitted]
 
 
--- a/src/finchshed/daemon/request.py
+++ b/src/finchshed/daemon/request.py
@@ -1,4 +1,4 @@
-"""A request as the data path sees it, and the headers that are passed on."""
+"""A request as the data path sees it, and the headers that are passed on. Pure values."""
 
 from collections.abc import Iterable
 from functools import lru_cache
@@ -31,7 +31,7 @@
 
 
 MAX_ANSWER_BYTES_BY_HOST = 64 << 20
-"""Longest answer to a request that was taken by host."""
+"""Longest answer, bytes, to a request that was taken by host; chosen, not measured."""
 
 
 class Request(msgspec.Struct, frozen=True):
@@ -80,9 +80,11 @@
 
 
 LONGEST_KNOWN_NAME = 64
-"""Names up to this length are remembered; the others are read anew each time."""
+"""Names up to this length, bytes, are remembered; the others are read anew each time. Chosen, not
+measured."""
 
 KNOWN_NAMES = 512
+"""Names of headers that are remembered; chosen, not measured."""
 
 
 def end_to_end_headers(raw: Iterable[tuple[bytes, bytes]]) -> Headers:
--- a/src/finchshed/daemon/serving/accounts.py
+++ b/src/finchshed/daemon/serving/accounts.py
@@ -1,7 +1,8 @@
 """Requests the local back end is serving, by the account identity it was given.
 
 A back end that calls on copies ``finchshed-account`` to its own requests. The daemon then knows
-the context of the request being served, and does not depend on what the back end says of it.
+the context of the request being served, and does not depend on what the back end says of it. Owns
+those contexts and the retry accounts; relies on the callee to close each of them.
 """
 
 import secrets
@@ -12,6 +13,8 @@
 from finchshed.retry.account import RetryAccounts
 
 _PREFIX_BYTES = 6
+"""Random bytes in the accounts of one start: a late back end's account of another start isn't
+known."""
 
 
 class ServedRequest(msgspec.Struct, frozen=True):
@@ -71,7 +74,7 @@
         self._accounts.give_back(account, lent, spare_attempts)
 
     def on_call_failed(self, account: str, call: str) -> None:
-        """Take note that a call made for the request was not answered."""
+        """Note that a call made for the request was not answered."""
         self._accounts.on_call_failed(account, call)
 
     def is_repeat(self, account: str, call: str) -> bool:
--- a/src/finchshed/daemon/serving/backend_runs.py
+++ b/src/finchshed/daemon/serving/backend_runs.py
@@ -14,9 +14,9 @@
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
 from finchshed.daemon.backend.client import (
-    Backend,
     BackendAnswer,
     BackendBroken,
+    BackendClient,
     BackendResult,
     BackendUnreached,
 )
@@ -60,7 +60,7 @@
         self,
         endpoint: str,
         *,
-        backend: Backend,
+        backend: BackendClient,
         guarded: GuardedRuns,
         served: ServedRequests,
         paths: PathThresholds,
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -13,7 +13,7 @@
 from finchshed.admission.paths import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
-from finchshed.daemon.backend.client import Backend
+from finchshed.daemon.backend.client import BackendClient
 from finchshed.daemon.backend.events import BackendEvents
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.draining import DrainState
@@ -64,7 +64,7 @@
         self,
         settings: DaemonSettings,
         *,
-        backend: Backend,
+        backend: BackendClient,
         guarded: GuardedRuns,
         served: ServedRequests,
         paths: PathThresholds,
--- a/src/finchshed/daemon/serving/crash_detection.py
+++ b/src/finchshed/daemon/serving/crash_detection.py
@@ -1,18 +1,20 @@
 """Finds out whether a back end ended when a request's connection to it broke.
 
 Single connections break for many reasons: a reset, an answer cut short, an idle one closed. A back
-end that ended takes no new connection. What it was running is kept until that is known.
+end that ended takes no new connection. What it was running is kept until that is known. Relies on
+the client to the back end to try a connection.
 """
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from finchshed.daemon.backend.client import Backend
+from finchshed.daemon.backend.client import BackendClient
 
-GATHER_SECONDS = 0.005
+COLLECT_SECONDS = 0.005
 """Connections of one process that ended break within this time of each other; the look at the back
-end comes after it. A request whose connection broke is told so much later."""
+end comes after it. A request whose connection broke is answered so much later. Seconds; chosen, not
+measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +26,7 @@
 
 
 class CrashDetector:
-    """Gathers broken runs and looks whether the back end is still there.
+    """Collects broken runs and looks whether the back end is still there.
 
     Parameters
     ----------
@@ -32,7 +34,7 @@
         Called with the instance that ended and the signatures of what broke with it.
     """
 
-    def __init__(self, backend: Backend, on_crash: Callable[[str, list[str]], None]) -> None:
+    def __init__(self, backend: BackendClient, on_crash: Callable[[str, list[str]], None]) -> None:
         self._backend = backend
         self._on_crash = on_crash
         self._broken: dict[str, list[BrokenRun]] = {}
@@ -40,9 +42,9 @@
 
     def on_broken(self, instance: str, run: BrokenRun) -> None:
         """Take a run whose connection broke; its ``then`` is called once, soon."""
-        gathered = self._broken.get(instance)
-        if gathered is not None:
-            gathered.append(run)
+        collected = self._broken.get(instance)
+        if collected is not None:
+            collected.append(run)
             return
         self._broken[instance] = [run]
         look = asyncio.get_running_loop().create_task(self._look(instance))
@@ -50,7 +52,7 @@
         look.add_done_callback(self._looks.discard)
 
     async def _look(self, instance: str) -> None:
-        await asyncio.sleep(GATHER_SECONDS)
+        await asyncio.sleep(COLLECT_SECONDS)
         has_ended = await self._backend.refuses_connections()
         runs = self._broken.pop(instance)
         if has_ended:
--- a/src/finchshed/daemon/serving/guarded.py
+++ b/src/finchshed/daemon/serving/guarded.py
@@ -7,8 +7,8 @@
    was frozen in between doesn't send late. An attempt not sent is cancelled.
 3. ``complete`` is recorded with the whole answer; a resend gets that answer.
 
-An attempt that was sent and has no whole answer stays begun: a resend is told that the outcome is
-unknown and nothing runs again.
+An attempt that was sent and has no whole answer stays begun: a resend is answered that the outcome
+is unknown and nothing runs again.
 """
 
 import random
@@ -45,8 +45,10 @@
 from finchshed.runtime import clock
 
 ATTEMPT_BYTES = 12
+"""Random bytes of an attempt's identity in the ledger: no two attempts have the same."""
+
 CANCEL_TIMEOUT_SECONDS = 30.0
-"""How long the cancel of an attempt that was not sent is tried."""
+"""Seconds for which the cancel of an attempt that was not sent is tried; chosen, not measured."""
 
 _INVALID_KEY = frozenset(
     {LedgerRefusalReason.NO_TIME_IN_KEY.value, LedgerRefusalReason.MADE_IN_THE_FUTURE.value}
@@ -149,7 +151,7 @@
 
 
 def _reason_of(refused: LedgerRefused) -> RefusalReason:
-    """Return the reason told to the caller; what the ledger says of a key is final."""
+    """Return the reason for the caller; what the ledger says of a key is final."""
     if refused.detail in _INVALID_KEY:
         return RefusalReason.KEY_INVALID
     if refused.expired:
--- a/src/finchshed/daemon/serving/ledger_port.py
+++ b/src/finchshed/daemon/serving/ledger_port.py
@@ -25,6 +25,8 @@
 """Kept with a stored answer: which request it answers."""
 
 _TIMESTAMP_SHIFT = 80
+"""Bits of a UUID of version 7 below its time (RFC 9562, 5.7)."""
+
 _RANDOM_MASK = (0xFFF << 64) | ((1 << 62) - 1)
 
 
--- a/src/finchshed/daemon/serving/suspect_queue.py
+++ b/src/finchshed/daemon/serving/suspect_queue.py
@@ -1,11 +1,14 @@
-"""Lets one suspect at a time run beside requests that are in no doubt."""
+"""Lets one suspect at a time run beside requests that are in no doubt.
+
+Owns who runs and who waits. Relies on the callee to report every suspect that leaves.
+"""
 
 import enum
 from collections import deque
 
 MAX_WAITING = 4
 """Suspects that wait for their turn; each waits for as many runs at most. Others are refused and
-told when to come back."""
+told when to come back. Chosen, not measured."""
 
 
 class Turn(enum.Enum):
@@ -24,7 +27,7 @@
         self._waiting: deque[int] = deque()
 
     def enter(self, token: int) -> Turn:
-        """Take a suspect."""
+        """Judge a suspect that came in."""
         if self._running is None:
             self._running = token
             return Turn.RUNS
--- a/src/finchshed/daemon/serving/work.py
+++ b/src/finchshed/daemon/serving/work.py
@@ -25,8 +25,8 @@
     """A call in progress. Times are monotonic seconds; ``started`` is 0 until it was sent.
 
     ``context`` is what it is ranked by and what its own calls inherit. ``route`` is the prefix of
-    the route it falls under. ``opens_session`` tells that its session was admitted with it, and
-    ends if it is refused. ``abandoned`` tells that the caller has given up; what may not be
+    the route it falls under. ``opens_session``: its session was admitted with it, and
+    ends if it is refused. ``abandoned``: the caller has given up; what may not be
     repeated and was sent is nevertheless run to its end, so that a resend gets its answer.
     ``signature`` gives what is equal for all tries of the same work.
     """
--- a/src/finchshed/daemon/sockets.py
+++ b/src/finchshed/daemon/sockets.py
@@ -14,6 +14,8 @@
 from loguru import logger
 
 LISTEN_BACKLOG = 4096
+"""Connections that may wait to be accepted; the kernel caps it at net.core.somaxconn (4096 on Linux
+since 5.4)."""
 
 SO_ATTACH_REUSEPORT_CBPF = 51
 """From asm-generic/socket.h; the socket module doesn't name it."""
--- a/src/finchshed/directory/__init__.py
+++ b/src/finchshed/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Back ends as they are known at the moment: soft state, told by the daemons beside them."""
+"""Back ends as they are known at the moment: soft state, reported by the daemons beside them."""
--- a/src/finchshed/directory/registrar.py
+++ b/src/finchshed/directory/registrar.py
@@ -1,10 +1,11 @@
 """The registration of the back end beside a daemon, from its heartbeats. Pure decisions.
 
 Only this daemon can reach the back end, so what it decides here is in force at once: a back end
-that leaves gets nothing new from the moment its word was taken, whoever else knows of it.
+that drains gets nothing new from the moment it said so, whoever else knows of it.
 
 Heartbeats may come late, twice, or from an earlier start of the back end. The sequence number that
-rises with each heartbeat of one start tells them: only a higher one than was seen before counts.
+rises with each heartbeat of one start tells them apart: only a higher one than was seen before
+counts. Owns the registration; relies on its caller to carry it to callers and to control.
 """
 
 import msgspec
@@ -12,24 +13,24 @@
 from finchshed.directory.registration import InstanceState, Registration
 
 MAX_REMEMBERED_INSTANCES = 64
-"""Earlier starts of the back end whose late heartbeats are known as such."""
+"""Earlier starts of the back end whose late heartbeats are known as such; chosen, not measured."""
 
 
-class Heartbeat(msgspec.Struct, frozen=True):
-    """What a back end tells of itself. ``sequence`` rises with each heartbeat of one start."""
+class BackendHeartbeat(msgspec.Struct, frozen=True):
+    """What a back end reports of itself. ``sequence`` rises with each heartbeat of one start."""
 
     instance: str
     service: str
     slots: int
     sequence: int
-    is_leaving: bool = False
+    is_draining: bool = False
 
 
-class _Known(msgspec.Struct):
-    """An instance heard of before."""
+class _SeenInstance(msgspec.Struct):
+    """What was reported of an instance, the last time."""
 
     sequence: int
-    is_leaving: bool
+    is_draining: bool
 
 
 class Registrar:
@@ -50,20 +51,20 @@
     ) -> None:
         self.registration = Registration(address, epoch, 0, zone=zone, region=region)
         self._silence_seconds = silence_seconds
-        self._known: dict[str, _Known] = {}
-        self._heard_at = 0.0
+        self._seen: dict[str, _SeenInstance] = {}
+        self._confirmed_at = 0.0
 
-    def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take a heartbeat; return whether the registration changed."""
-        known = self._known.get(heartbeat.instance)
-        if known is not None and heartbeat.sequence <= known.sequence:
+    def on_heartbeat(self, heartbeat: BackendHeartbeat, now: float) -> bool:
+        """Note a heartbeat; return whether the registration changed."""
+        seen = self._seen.get(heartbeat.instance)
+        if seen is not None and heartbeat.sequence <= seen.sequence:
             return False
-        if known is None:
-            known = self._remember(heartbeat.instance)
-        known.sequence = heartbeat.sequence
-        known.is_leaving = known.is_leaving or heartbeat.is_leaving
-        self._heard_at = now
-        state = InstanceState.LEAVING if known.is_leaving else InstanceState.READY
+        if seen is None:
+            seen = self._remember(heartbeat.instance)
+        seen.sequence = heartbeat.sequence
+        seen.is_draining = seen.is_draining or heartbeat.is_draining
+        self._confirmed_at = now
+        state = InstanceState.LEAVING if seen.is_draining else InstanceState.READY
         return self._change(
             instance=heartbeat.instance,
             service=heartbeat.service,
@@ -72,22 +73,22 @@
         )
 
     def on_health(self, instance: str, service: str, slots: int, now: float) -> bool:
-        """Take a healthy back end's answer to a check, made because no heartbeat had come yet.
+        """Note a healthy back end's answer to a check, made because no heartbeat had come yet.
 
-        Heartbeats say more: an instance heard of before is left as they told it.
+        Heartbeats say more: an instance seen before is left as they reported it.
         """
-        if self.registration.instance or instance in self._known:
+        if self.registration.instance or instance in self._seen:
             return False
         self._remember(instance)
-        self._heard_at = now
+        self._confirmed_at = now
         return self._change(
             instance=instance, service=service, slots=slots, state=InstanceState.READY
         )
 
     def on_leave(self, instance: str) -> bool:
-        """Take an instance's word that it leaves; return whether the registration changed."""
-        known = self._known.get(instance) or self._remember(instance)
-        known.is_leaving = True
+        """Note an instance's word that it leaves; return whether the registration changed."""
+        seen = self._seen.get(instance) or self._remember(instance)
+        seen.is_draining = True
         if instance != self.registration.instance:
             return False
         if self.registration.state is InstanceState.GONE:
@@ -109,12 +110,12 @@
     def tick(self, now: float) -> bool:
         """Look for silence; return whether the registration changed."""
         is_present = self.registration.state is not InstanceState.GONE
-        if is_present and now - self._heard_at > self._silence_seconds:
+        if is_present and now - self._confirmed_at > self._silence_seconds:
             return self._change(state=InstanceState.GONE)
         return False
 
     def on_own_registration(self, registration: Registration) -> bool:
-        """Take what others hold of this daemon's address; return whether it must be told anew.
+        """Compare with what others hold of this daemon's address; return whether to send anew.
 
         A clock that was set back may have given this start a lower epoch than an earlier one.
         """
@@ -124,12 +125,12 @@
         self.registration = msgspec.structs.replace(own, epoch=registration.epoch + 1)
         return True
 
-    def _remember(self, instance: str) -> _Known:
-        if len(self._known) >= MAX_REMEMBERED_INSTANCES:
-            oldest = next(name for name in self._known if name != self.registration.instance)
-            del self._known[oldest]
-        known = self._known[instance] = _Known(sequence=-1, is_leaving=False)
-        return known
+    def _remember(self, instance: str) -> _SeenInstance:
+        if len(self._seen) >= MAX_REMEMBERED_INSTANCES:
+            oldest = next(name for name in self._seen if name != self.registration.instance)
+            del self._seen[oldest]
+        seen = self._seen[instance] = _SeenInstance(sequence=-1, is_draining=False)
+        return seen
 
     def _change(self, **fields: object) -> bool:
         changed = msgspec.structs.replace(self.registration, **fields)
--- a/src/finchshed/directory/registration.py
+++ b/src/finchshed/directory/registration.py
@@ -1,4 +1,4 @@
-"""What the daemon beside a back end tells all others of it."""
+"""What the daemon beside a back end tells all others of it. Pure values, sent over links."""
 
 import enum
 
@@ -24,7 +24,7 @@
     epoch
         Rises with each start of that daemon.
     serial
-        Rises with each change that the daemon tells.
+        Rises with each change that the daemon reports.
     instance
         Identity of the back end's start; empty while the daemon knows of none.
     slots
--- a/src/finchshed/directory/table.py
+++ b/src/finchshed/directory/table.py
@@ -1,4 +1,8 @@
-"""All registrations that a control node or a daemon knows of. Pure decisions."""
+"""All registrations that a control node or a daemon knows of. Pure decisions.
+
+Owns them as soft state: nothing is kept on disk, and what nobody confirms is dropped. Relies on the
+daemons to send their registrations again and again.
+"""
 
 from collections.abc import Iterable
 
@@ -37,8 +41,8 @@
         """Return the addresses of these at which a back end is held to be there."""
         return {item.address for item in registrations if item.address in self._endpoints}
 
-    def take(self, registrations: Iterable[Registration], now: float) -> tuple[Registration, ...]:
-        """Take registrations; return those that are news. The ones held are confirmed by it."""
+    def merge(self, registrations: Iterable[Registration], now: float) -> tuple[Registration, ...]:
+        """Merge registrations; return those that are news. The ones held are confirmed by it."""
         news = []
         for registration in registrations:
             held = self._held.get(registration.address)
@@ -79,7 +83,7 @@
 
 
 def _endpoint_of(registration: Registration) -> Endpoint:
-    is_leaving = registration.state is InstanceState.LEAVING
+    is_draining = registration.state is InstanceState.LEAVING
     return Endpoint(
         name=registration.instance,
         service=registration.service,
@@ -87,6 +91,6 @@
         zone=registration.zone,
         address=registration.address,
         slots=max(1, registration.slots),
-        state=EndpointState.LEAVING if is_leaving else EndpointState.ACTIVE,
+        state=EndpointState.LEAVING if is_draining else EndpointState.ACTIVE,
         warm_up_seconds=0.0,
     )
--- a/src/finchshed/http/server.py
+++ b/src/finchshed/http/server.py
@@ -1,6 +1,7 @@
 """The HTTP listener's connections: made, watched and closed.
 
-One look at all connections every half second takes the place of a timer for each.
+One look at all connections every half second takes the place of a timer for each. Owns the
+connections; relies on its owner to call :meth:`HttpServer.sweep`.
 """
 
 import asyncio
@@ -13,7 +14,8 @@
 from finchshed.runtime import clock
 
 LINGER_SECONDS = 2.0
-"""A caller whose request was refused early has this long to close the connection itself."""
+"""Seconds that a caller whose request was refused early has to close the connection itself; chosen,
+not measured."""
 
 RequestT = TypeVar("RequestT")
 
--- a/src/finchshed/http/simple.py
+++ b/src/finchshed/http/simple.py
@@ -24,15 +24,15 @@
     RefusalReason.OVERLOAD: STATUS_SERVICE_UNAVAILABLE,
 }
 RETRY_SECONDS = 1.0
-"""Refused callers are told to come back after this time."""
+"""Seconds after which refused callers may come back; chosen, not measured."""
 
 SWEEP_SECONDS = 1.0
-"""Time between two looks for idle connections."""
+"""Seconds between two looks for idle connections; chosen, not measured."""
 
 JSON = (("content-type", "application/json"),)
 
 
-class Problem(msgspec.Struct, frozen=True):
+class ErrorBody(msgspec.Struct, frozen=True):
     """Body of an answer to a request that can't be served."""
 
     error: str
@@ -40,7 +40,7 @@
 
 def problem_response(status: int, text: str) -> Response:
     """Return an answer that says in words what is wrong."""
-    return Response(status, JSON, msgspec.json.encode(Problem(text)))
+    return Response(status, JSON, msgspec.json.encode(ErrorBody(text)))
 
 
 class SimpleHandler:
--- a/src/finchshed/link/lines.py
+++ b/src/finchshed/link/lines.py
@@ -113,12 +113,12 @@
             return  # given up on; what still comes has no reader
         self.bytes_received += len(data)
         if self._decompressor is None:
-            self._take(data)
+            self._split(data)
         else:
             self._expand(self._decompressor, data)
 
     def compress_sent(self) -> None:
-        """Compress the lines sent from now on; the peer was told so."""
+        """Compress the lines sent from now on; the peer knows it."""
         self._compressor = LineCompressor()
 
     def expect_compressed(self) -> None:
@@ -161,13 +161,13 @@
     def _expand(self, decompressor: LineDecompressor, data: bytes) -> None:
         try:
             for piece in decompressor.expand(data):
-                self._take(piece)
+                self._split(piece)
                 if not self.is_open:
                     return
         except ProtocolError as error:
             self._fail(error)
 
-    def _take(self, data: bytes) -> None:
+    def _split(self, data: bytes) -> None:
         """Split ``data`` into lines and hand each on."""
         was_plain = self._decompressor is None
         *lines, rest = data.split(LINE_FEED)
--- a/src/finchshed/link/owners.py
+++ b/src/finchshed/link/owners.py
@@ -1,4 +1,4 @@
-"""What the holders of links are told and asked; the type of the link is the parameter.
+"""What the holders of links do for them; the type of the link is the parameter.
 
 So the ends of a link import this, and this imports neither of them.
 """
@@ -17,7 +17,7 @@
 
 
 class LinkOwner(Protocol[LinkT_contra]):
-    """What the holder of links is told."""
+    """The holder of links that this daemon opened."""
 
     def hello(self, epoch: str) -> Hello:
         """Return the first line to send."""
@@ -47,11 +47,11 @@
         """Merge news of requests that crash back ends."""
 
     def crash_news(self) -> CrashNews | None:
-        """Return what a peer is told when a link to it opens; None: there is nothing."""
+        """Return the news that a peer is sent when a link to it opens; None: there is none."""
 
 
 class ListenerOwner(Protocol[LinkT_contra]):
-    """What the holder of the listener is told and asked."""
+    """The holder of the links that other daemons opened."""
 
     def hello(self, epoch: str) -> Hello:
         """Return the answer to a peer's Hello."""
@@ -81,4 +81,4 @@
         """Merge news of requests that crash back ends."""
 
     def crash_news(self) -> CrashNews | None:
-        """Return what a peer is told when a link to it opens; None: there is nothing."""
+        """Return the news that a peer is sent when a link to it opens; None: there is none."""
--- a/src/finchshed/link/peer.py
+++ b/src/finchshed/link/peer.py
@@ -52,7 +52,7 @@
     address
         ``a.b.c.d:port`` of the peer's link listener.
     owner
-        Who is told of what happens on the link.
+        Is called with what happens on the link.
     max_unsent_bytes
         With more bytes than this waiting to be sent, calls are turned away.
     silence_seconds
@@ -109,7 +109,7 @@
         return len(self._pending)
 
     async def connect(self) -> None:
-        """Open the connection; the owner is told how it went."""
+        """Open the connection; the owner is called with how it went."""
         host, port = self.address.rsplit(":", 1)
         try:
             async with asyncio.timeout(self._connect_timeout_seconds):
@@ -170,7 +170,7 @@
             self._send(news)
 
     def close(self, cause: str) -> None:
-        """End the link; calls in progress are told that it broke."""
+        """End the link; calls in progress end as broken."""
         self._end(cause)
 
     def _make_protocol(self) -> LineProtocol[PeerMessage]:
@@ -221,7 +221,7 @@
             self._end("protocol")
 
     def _on_hello(self, lines: LineProtocol[PeerMessage], hello: Hello) -> None:
-        """Take the peer's Hello: its first one, or one more after its back end was restarted."""
+        """Act on the peer's Hello: its first one, or one more after its back end was restarted."""
         if hello.epoch != self.epoch:
             self._end("protocol")
             return
--- a/src/finchshed/observability/decisions.py
+++ b/src/finchshed/observability/decisions.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Attempt(msgspec.Struct, frozen=True, omit_defaults=True):
+class AttemptRecord(msgspec.Struct, frozen=True, omit_defaults=True):
     """One sending of a request to an endpoint, and why that endpoint.
 
     Attributes
@@ -53,7 +53,7 @@
     revision: int = 0
     tenant: str = ""
     signature: str = ""
-    attempts: tuple[Attempt, ...] = ()
+    attempts: tuple[AttemptRecord, ...] = ()
 
 
 class CallEnded(
--- a/tests/daemon/test_pins.py
+++ b/tests/daemon/test_pins.py
@@ -8,7 +8,7 @@
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered, RefusalReason, Refused
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.calling.pins import SessionPins, told_place
+from finchshed.daemon.calling.pins import SessionPins, with_session_endpoint
 from finchshed.daemon.request import Request
 from finchshed.routing.table import RoutingTable
 
@@ -70,9 +70,9 @@
 
 def test_the_answer_tells_the_place_and_not_what_the_back_end_says() -> None:
     forged = msgspec.structs.replace(SERVED, headers=(("finchshed-session-at", "z"), ("etag", "1")))
-    told = told_place(request(), "a", forged)
+    told = with_session_endpoint(request(), "a", forged)
     assert isinstance(told, Answered)
     assert told.headers == (("etag", "1"), ("finchshed-session-at", "a"))
-    assert told_place(request(in_session=False), "a", SERVED) == SERVED
+    assert with_session_endpoint(request(in_session=False), "a", SERVED) == SERVED
     refused = Refused(RefusalReason.OVERLOAD, 0.1)
-    assert told_place(request(), "a", refused) == refused
+    assert with_session_endpoint(request(), "a", refused) == refused
--- a/tests/directory/test_registrar.py
+++ b/tests/directory/test_registrar.py
@@ -1,6 +1,6 @@
 """Heartbeats of back ends, late and doubled ones too, and what is told of the back end."""
 
-from finchshed.directory.registrar import Heartbeat, Registrar
+from finchshed.directory.registrar import BackendHeartbeat, Registrar
 from finchshed.directory.registration import InstanceState, Registration
 
 ADDRESS = "10.0.0.1:7000"
@@ -11,8 +11,10 @@
     return Registrar(ADDRESS, "a", "texas", epoch=epoch, silence_seconds=SILENCE_SECONDS)
 
 
-def beat(instance: str, sequence: int, *, leaving: bool = False, slots: int = 8) -> Heartbeat:
-    return Heartbeat(instance, "sales", slots, sequence, leaving)
+def beat(
+    instance: str, sequence: int, *, leaving: bool = False, slots: int = 8
+) -> BackendHeartbeat:
+    return BackendHeartbeat(instance, "sales", slots, sequence, leaving)
 
 
 def test_a_heartbeat_makes_the_back_end_known() -> None:
--- a/tests/directory/test_table.py
+++ b/tests/directory/test_table.py
@@ -23,32 +23,32 @@
         directory = Directory(FORGET_SECONDS)
         shuffled = random.Random(seed).sample(told, len(told))
         for item in shuffled:
-            directory.take((item,), 0.0)
+            directory.merge((item,), 0.0)
         assert directory.registrations() == (registration(5, epoch=2),)
 
 
 def test_only_news_are_returned() -> None:
     directory = Directory(FORGET_SECONDS)
     first, second = registration(1), registration(1, host=2)
-    assert directory.take((first, second), 0.0) == (first, second)
-    assert directory.take((first, second), 1.0) == ()
+    assert directory.merge((first, second), 0.0) == (first, second)
+    assert directory.merge((first, second), 1.0) == ()
     changed = registration(2, InstanceState.LEAVING)
-    assert directory.take((changed, second), 2.0) == (changed,)
-    assert directory.take((first,), 3.0) == ()
+    assert directory.merge((changed, second), 2.0) == (changed,)
+    assert directory.merge((first,), 3.0) == ()
 
 
 def test_what_nobody_confirms_is_forgotten_and_may_come_again() -> None:
     directory = Directory(FORGET_SECONDS)
-    directory.take((registration(1), registration(1, host=2)), 0.0)
-    directory.take((registration(1),), 8.0)
+    directory.merge((registration(1), registration(1, host=2)), 0.0)
+    directory.merge((registration(1),), 8.0)
     assert directory.expire(FORGET_SECONDS + 1.0) == ("10.0.0.2:7000",)
     assert len(directory) == 1
-    assert directory.take((registration(1, host=2),), 12.0) == (registration(1, host=2),)
+    assert directory.merge((registration(1, host=2),), 12.0) == (registration(1, host=2),)
 
 
 def test_dropping_tells_whether_anything_was_held() -> None:
     directory = Directory(FORGET_SECONDS)
-    directory.take((registration(1),), 0.0)
+    directory.merge((registration(1),), 0.0)
     assert not directory.drop(("10.0.0.9:7000",))
     assert directory.drop(("10.0.0.1:7000",))
     assert directory.get("10.0.0.1:7000") is None
@@ -56,7 +56,7 @@
 
 def test_endpoints_are_the_back_ends_that_are_there() -> None:
     directory = Directory(FORGET_SECONDS)
-    directory.take(
+    directory.merge(
         (
             registration(1),
             registration(1, InstanceState.LEAVING, host=2),
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -98,7 +98,7 @@
     }
     heartbeat = read_heartbeat("i-1", json.dumps(body).encode())
     assert (heartbeat.instance, heartbeat.service, heartbeat.slots) == ("i-1", "sales", 9)
-    assert (heartbeat.sequence, heartbeat.is_leaving) == (4, True)
+    assert (heartbeat.sequence, heartbeat.is_draining) == (4, True)
     with pytest.raises(msgspec.DecodeError):
         read_heartbeat("i-1", b'{"info": {}}')
 
