--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -161,7 +161,7 @@
 
     def start_serving(self, ground: ServingGround) -> None:
         """Take calls from now on."""
-        logger.info("taking calls, on the ground of {}", ground)
+        logger.info("taking calls, on the basis of {}", ground)
         garbage.settle()
         metrics.SERVING.set(1)
         self._is_serving = True
--- a/tests/forms/codecs.py
+++ b/tests/forms/codecs.py
@@ -38,9 +38,8 @@
 from finchshed.storage.journal import encode_records
 from finchshed.storage.records import Entry, JournalRecord, Snapshot, Vote, Write
 from finchshed.storage.snapshots import SnapshotHeader
-from finchshed_platform.documents import Body as DocumentBody
-from finchshed_platform.documents import read_document
-from finchshed_platform.heartbeats import Body as HeartbeatBody
+from finchshed_platform.documents import DocumentBody, read_document
+from finchshed_platform.heartbeats import HeartbeatBody
 from finchshed_platform.node_file import NodeFile
 
 LogEvent = RequestEnded | CallEnded | BackendEnded | Believed | LinesLeftOut
