--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -1,4 +1,9 @@
-"""The caller's side of the daemon: takes requests from HTTP and has them answered by endpoints."""
+"""The caller's side of the daemon: has requests that came in over HTTP answered by endpoints.
+
+Owns the calls in progress that repeats may join, and the pins of sessions. Relies on
+:mod:`finchshed.routing` for the choice of an endpoint and on the retry budgets for what is tried
+again.
+"""
 
 import random
 from collections.abc import Callable
@@ -16,7 +21,7 @@
 from finchshed.daemon.calling.pins import SessionPins
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.decision_log import is_signed, log_request
-from finchshed.daemon.quarantine import Quarantine
+from finchshed.daemon.quarantine import Quarantine, Signer
 from finchshed.daemon.request import Request
 from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.ledger_port import fingerprint_of
@@ -37,6 +42,21 @@
     identity: str
 
 
+@dataclass(frozen=True, slots=True)
+class _StartedCall:
+    """What the end of a call needs of its start.
+
+    ``account`` is that of the request it is made for, or empty; ``lent_attempts`` are the spare
+    attempts that account lent it.
+    """
+
+    request: Request
+    account: str
+    lent_attempts: int
+    key: JoinKey | None
+    signature: Signer
+
+
 class Caller:
     """Starts calls and joins repeats.
 
@@ -82,7 +102,7 @@
         self._retries.configure(catalogue.policy)
 
     def share_with(self, daemons: int) -> None:
-        """Take the number of daemons that bounds are shared between, this one included."""
+        """Divide bounds by the number of daemons, this one included."""
         self._retries.share_with(daemons)
 
     def expire_sessions(self) -> None:
@@ -143,12 +163,29 @@
         return call.wait(on_outcome)
 
     def _start(self, request: Request, account: str, key: JoinKey | None) -> OutgoingCall:
-        lent = request.context.spare_attempts
+        lent_attempts = request.context.spare_attempts
         if request.in_session:
             conditions = self._pins.conditions_for(request)
             request = msgspec.structs.replace(request, headers=request.headers + conditions)
         signature = self._signatures.signer(request)
-        logic = CallerLogic(
+        started = _StartedCall(request, account, lent_attempts, key, signature)
+        call = OutgoingCall(
+            request,
+            self._logic_of(request, signature),
+            self._links,
+            partial(self._on_finished, started),
+            self._retry_after,
+            on_crash_record=self._quarantine.on_answer,
+        )
+        self.in_progress += 1
+        call.begin()
+        if request.in_session and not call.is_over:
+            self._pin(request, call.endpoint)
+        return call
+
+    def _logic_of(self, request: Request, signature: Signer) -> CallerLogic:
+        """Return what decides where the call goes, and whether it is tried again."""
+        return CallerLogic(
             self._table,
             self._retries.bucket(request.service, clock.now()),
             request.service,
@@ -162,39 +199,29 @@
             judge=partial(self._quarantine.judge, signature),
         )
 
-        def finished(call: OutgoingCall, outcome: Outcome, spare: int) -> None:
-            self.in_progress -= 1
-            if key is not None:
-                self._joinable.pop(key, None)
-            if request.in_session:
-                self._pins.end(request, call.endpoint, outcome, clock.now())
-            metrics.count_call(request.service, request.context.importance, outcome)
-            log_request(
-                request,
-                outcome,
-                call.seconds,
-                call.attempts,
-                self._catalogue.revision,
-                signature=signature() if is_signed(outcome) else "",
-            )
-            if account:
-                self._served.give_back(account, lent, spare)
-                if result_of(outcome) is not CallResult.OK:
-                    self._served.on_call_failed(account, _call_name(request))
-
-        call = OutgoingCall(
+    def _on_finished(
+        self, started: _StartedCall, call: OutgoingCall, outcome: Outcome, spare: int
+    ) -> None:
+        """Count and log the end of a call, and give back the spare attempts that are left."""
+        request = started.request
+        self.in_progress -= 1
+        if started.key is not None:
+            self._joinable.pop(started.key, None)
+        if request.in_session:
+            self._pins.end(request, call.endpoint, outcome, clock.now())
+        metrics.count_call(request.service, request.context.importance, outcome)
+        log_request(
             request,
-            logic,
-            self._links,
-            finished,
-            self._retry_after,
-            on_crash_record=self._quarantine.on_answer,
+            outcome,
+            call.seconds,
+            call.attempts,
+            self._catalogue.revision,
+            signature=started.signature() if is_signed(outcome) else "",
         )
-        self.in_progress += 1
-        call.begin()
-        if request.in_session and not call.is_over:
-            self._pin(request, call.endpoint)
-        return call
+        if started.account:
+            self._served.give_back(started.account, started.lent_attempts, spare)
+            if result_of(outcome) is not CallResult.OK:
+                self._served.on_call_failed(started.account, _call_name(request))
 
     def _pin(self, request: Request, endpoint: str) -> None:
         service = self._catalogue.service(request.service)
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -76,7 +76,7 @@
         signatures: Signatures,
         quarantine: Quarantine,
     ) -> None:
-        self._settings = settings
+        self._endpoint = settings.endpoint
         self._served = served
         self._paths = paths
         self._signatures = signatures
@@ -125,7 +125,7 @@
     def configure(self, catalogue: Catalogue) -> None:
         """Act on a new configuration."""
         self._admission.catalogue = catalogue
-        endpoint = catalogue.endpoints.get(self._settings.endpoint)
+        endpoint = catalogue.endpoints.get(self._endpoint)
         if endpoint is not None:
             self._gate.set_slots(endpoint.slots)
 
