--- a/src/finchshed/daemon/calling/peers.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -1,7 +1,8 @@
 """The links this daemon holds to other daemons: opened on demand, reopened with jittered backoff.
 
 A call for an endpoint whose link is being opened waits for it; if the link can't be opened, the
-call was never sent.
+call was never sent. Owns the links and what waits for them. Relies on its owner for what peers are
+told and for what becomes of what they say.
 """
 
 import asyncio
@@ -13,19 +14,24 @@
 from finchshed.common.outcomes import RefusalReason
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon.calling.attempt import Attempt
-from finchshed.daemon.calling.peers_owner import PeersOwner
+from finchshed.daemon.calling.daemon_links_owner import DaemonLinksOwner
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.distribution.messages import Delta
 from finchshed.link.messages import (
     Hello,
 )
 from finchshed.link.peer import PeerLink
-from finchshed.link.states import Connect, LinkState, SendResult
+from finchshed.link.states import CallContent, Connect, LinkState, SendResult
 from finchshed.quarantine.messages import CrashNews
 from finchshed.runtime import clock
 
 BACKOFF_FIRST_SECONDS = 0.05
+"""Mean wait, seconds, before a link that failed once is opened again; chosen, not measured."""
+
 BACKOFF_MAX_SECONDS = 2.0
+"""Longest mean wait, seconds: so late at most an endpoint that is back is found; chosen, not
+measured."""
+
 DIAL_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
 
 
@@ -53,7 +59,7 @@
     def __init__(
         self,
         settings: DaemonSettings,
-        owner: PeersOwner,
+        owner: DaemonLinksOwner,
         rng: random.Random,
         connect: Connect | None = None,
     ) -> None:
@@ -68,7 +74,7 @@
         self._closing = False
 
     def replace(self, endpoints: dict[str, Endpoint]) -> None:
-        """Take the endpoints of a configuration; links to those gone or moved are closed."""
+        """Follow the endpoints of a configuration; links to those gone or moved are closed."""
         for name, peer in list(self._peers.items()):
             declared = endpoints.get(name)
             if declared is not None and declared.address == peer.endpoint.address:
@@ -95,7 +101,7 @@
         """Give an attempt up; neither of its callbacks is called any more."""
         attempt.withdrawn = True
         if attempt.link is not None:
-            attempt.link.cancel_call(attempt.identity)
+            attempt.link.cancel_call(attempt.number)
 
     def greet(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to endpoints, to learn their revisions."""
@@ -266,8 +272,10 @@
             attempt.on_unsent(RefusalReason.DEADLINE, "no time left to send")
             return
         request = attempt.request
-        context = request.context.for_attempt(remaining, attempt.share, attempt.admitted_share)
-        result, identity = link.send_call(
+        context = request.context.for_attempt(
+            remaining, attempt.lent_attempts, attempt.admitted_fraction
+        )
+        content = CallContent(
             service=request.service,
             method=request.method,
             path=request.path,
@@ -275,14 +283,14 @@
             body=request.body,
             context=context,
             revision=self._owner.revision(),
-            on_reply=attempt.on_reply,
             route=request.route if request.is_by_host else "",
             repeatable=request.repeatable,
             identity=request.identity,
         )
+        result, number = link.send_call(content, attempt.on_reply)
         if result is SendResult.SENT:
             attempt.link = link
-            attempt.identity = identity
+            attempt.number = number
         elif result is SendResult.FULL:
             attempt.on_unsent(RefusalReason.QUEUE_FULL, "the link is full")
         else:
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -13,7 +13,7 @@
 from finchshed.admission.paths import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
-from finchshed.daemon.backend.client import Backend
+from finchshed.daemon.backend.client import BackendClient
 from finchshed.daemon.backend.events import BackendEvents
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.draining import DrainState
@@ -64,7 +64,7 @@
         self,
         settings: DaemonSettings,
         *,
-        backend: Backend,
+        backend: BackendClient,
         guarded: GuardedRuns,
         served: ServedRequests,
         paths: PathThresholds,
@@ -76,7 +76,7 @@
         signatures: Signatures,
         quarantine: Quarantine,
     ) -> None:
-        self._settings = settings
+        self._endpoint = settings.endpoint
         self._served = served
         self._paths = paths
         self._signatures = signatures
@@ -125,7 +125,7 @@
     def configure(self, catalogue: Catalogue) -> None:
         """Act on a new configuration."""
         self._admission.catalogue = catalogue
-        endpoint = catalogue.endpoints.get(self._settings.endpoint)
+        endpoint = catalogue.endpoints.get(self._endpoint)
         if endpoint is not None:
             self._gate.set_slots(endpoint.slots)
 
