--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -115,7 +115,7 @@
         drain=DrainState.before_registration() if awaits_registration else DrainState(),
         credentials=credentials_of(settings),
         table=table,
-        paths=PathThresholds(table.floor),
+        paths=PathThresholds(table.path_threshold),
         signatures=Signatures(names),
     )
 
--- a/src/finchshed/daemon/serving/backend_runs.py
+++ b/src/finchshed/daemon/serving/backend_runs.py
@@ -31,7 +31,7 @@
 from finchshed.daemon.serving.guarded import GuardedRuns
 from finchshed.daemon.serving.work import Work, WorkState
 from finchshed.http.status import STATUS_MISDIRECTED_REQUEST
-from finchshed.quarantine.register import Standing
+from finchshed.quarantine.register import Suspicion
 from finchshed.retry.policy import retry_after
 from finchshed.runtime import clock
 
@@ -89,7 +89,7 @@
     def start(self, work: Work) -> None:
         """Run a call that the gate started."""
         judgement = self._quarantine.judge(work.signature)
-        if judgement.standing is Standing.QUARANTINED:
+        if judgement.suspicion is Suspicion.QUARANTINED:
             # Back ends ended under its other tries while it was queued here.
             self._on_finished(work, Refused(RefusalReason.QUARANTINED, judgement.seconds))
             return
