--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -40,7 +40,7 @@
 from finchshed.directory.registrar import Registrar
 from finchshed.distribution.addresses import parse_control_address
 from finchshed.distribution.driver import FollowerDriver
-from finchshed.distribution.effects import ServingGround
+from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import DirectoryUpdate, Hints
 from finchshed.distribution.snapshot import Configuration
@@ -238,9 +238,9 @@
         """Open links to peers, to learn their revisions."""
         self._links.greet(endpoints)
 
-    def start_serving(self, ground: ServingGround) -> None:
+    def start_serving(self, basis: ServingBasis) -> None:
         """Take calls from now on."""
-        logger.info("taking calls, on the ground of {}", ground)
+        logger.info("taking calls, on the ground of {}", basis)
         garbage.settle()
         metrics.SERVING.set(1)
         self._is_serving = True
--- a/src/finchshed/distribution/driver.py
+++ b/src/finchshed/distribution/driver.py
@@ -23,9 +23,9 @@
     FollowerEffect,
     FollowerRecord,
     GreetPeers,
-    Persist,
+    PersistRecord,
     ReportInForce,
-    ServingGround,
+    ServingBasis,
     StartServing,
     TakeEffect,
 )
@@ -45,7 +45,7 @@
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
         """Act on ``current`` from now on."""
 
-    def start_serving(self, ground: ServingGround) -> None:
+    def start_serving(self, basis: ServingBasis) -> None:
         """Take calls from now on."""
 
     def fetch_from_peer(self, peer: str, revision: int) -> None:
@@ -160,9 +160,9 @@
                 self._listener.fetch_from_peer(peer, revision)
             case GreetPeers(endpoints):
                 self._listener.greet_peers(endpoints)
-            case StartServing(ground):
-                self._listener.start_serving(ground)
-            case Persist(record):
+            case StartServing(basis):
+                self._listener.start_serving(basis)
+            case PersistRecord(record):
                 self._writing = asyncio.create_task(self._write(record))
 
     async def _write(self, record: FollowerRecord) -> None:
--- a/src/finchshed/distribution/effects.py
+++ b/src/finchshed/distribution/effects.py
@@ -26,7 +26,7 @@
     configuration: Delta | None = None
 
 
-class ServingGround(enum.StrEnum):
+class ServingBasis(enum.StrEnum):
     """Why a daemon may take calls."""
 
     NONE = "none"
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Persist:
+class PersistRecord:
     """Write the record and sync it, then call ``on_persisted`` or ``on_persist_failed``."""
 
     record: FollowerRecord
@@ -87,14 +87,14 @@
 class StartServing:
     """The daemon may take calls from now on."""
 
-    ground: ServingGround
+    basis: ServingBasis
 
 
 FollowerEffect: TypeAlias = (
     FetchFromControl
     | FetchFromPeer
     | GreetPeers
-    | Persist
+    | PersistRecord
     | TakeEffect
     | ReportInForce
     | StartServing
--- a/src/finchshed/distribution/follower.py
+++ b/src/finchshed/distribution/follower.py
@@ -1,28 +1,29 @@
 """The daemon's side of configuration: hold it, never go back, and know when calls may be taken.
 
-Pure decisions: no I/O and no clock. The same class runs in a daemon, in a hollow daemon of the
-scale run and in simulation.
+Pure decisions: no I/O and no clock. Owns the configuration in force at a daemon, and whether the
+daemon may take calls.
 
 A revision comes into force in three steps. It is *held* once a delta that fits has been applied;
 it is *recorded* once the data folder has it synced (skipped without a data folder); then it is
 *in force*. Recording first means that a daemon with a disk never comes back to less than it has
 acted on.
+
+Relies on :mod:`finchshed.distribution.driver`, which carries the effects out.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from finchshed.configuration.resources import Endpoint
+from finchshed.distribution.configuration_fetches import ConfigurationFetches
 from finchshed.distribution.delta_history import DeltaHistory
 from finchshed.distribution.effects import (
-    FetchFromControl,
-    FetchFromPeer,
     FollowerEffect,
     FollowerRecord,
     GreetPeers,
-    Persist,
+    PersistRecord,
     ReportInForce,
-    ServingGround,
+    ServingBasis,
     StartServing,
     TakeEffect,
 )
@@ -36,14 +37,13 @@
     whole,
 )
 
-FETCH_RETRY_SECONDS = 1.0
-"""An unanswered fetch is repeated, from another source if there is one, after this long."""
-
 CONTROL_GRACE_SECONDS = 2.0
-"""After a start, control has this long to be reached before disk and peers are enough."""
+"""After a start, control has this long to be reached before disk and peers are enough. Chosen,
+not measured."""
 
 HISTORY_CHANGES = 64
-"""Changes kept for peers; one that is further behind gets the whole configuration."""
+"""Changes kept for peers; one that is further behind gets the whole configuration. Chosen,
+not measured."""
 
 NO_EFFECTS: tuple[FollowerEffect, ...] = ()
 
@@ -56,18 +56,6 @@
     endpoint: str = ""
 
 
-@dataclass(frozen=True, slots=True)
-class FollowerStatus:
-    """State of a follower, for metrics and explanations."""
-
-    in_force: int
-    held: int
-    highest_seen: int
-    ground: ServingGround
-    control_connected: bool
-    disk_failed: bool
-
-
 class Follower:
     """Follows the accepted configuration.
 
@@ -98,11 +86,10 @@
         self._started_at = 0.0
         self._highest_seen = 0
         self._confirmed_revision: int | None = None
-        self._ground = ServingGround.NONE
+        self._basis = ServingBasis.NONE
         self._control_connected = False
         self._peers = PeerRevisions()
-        self._fetch_due = 0.0
-        self._fetch_from_peer_next = False
+        self._fetches = ConfigurationFetches(self._peers)
         self._recording: Configuration | None = None
         self._recorded_highest = -1
         if record is not None:
@@ -115,7 +102,7 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force, as told to control nodes and peers."""
+        """Revision in force, as reported to control nodes and peers."""
         return self._in_force.revision
 
     @property
@@ -131,18 +118,12 @@
     @property
     def may_serve(self) -> bool:
         """Whether calls may be taken. Once true it stays true until the process ends."""
-        return self._ground is not ServingGround.NONE
-
-    def status(self) -> FollowerStatus:
-        """Return the state for metrics and explanations."""
-        return FollowerStatus(
-            in_force=self._in_force.revision,
-            held=self._held.revision,
-            highest_seen=self._highest_seen,
-            ground=self._ground,
-            control_connected=self._control_connected,
-            disk_failed=self._disk_failed,
-        )
+        return self._basis is not ServingBasis.NONE
+
+    @property
+    def disk_failed(self) -> bool:
+        """Whether the data folder refused a record; tests read it."""
+        return self._disk_failed
 
     def start(self, now: float) -> Sequence[FollowerEffect]:
         """Begin; with a record, act on it at once and ask the peers of the zone."""
@@ -159,25 +140,25 @@
     def on_control_connected(self, now: float) -> Sequence[FollowerEffect]:
         """Note that a control node took the subscription."""
         self._control_connected = True
-        self._fetch_due = now + FETCH_RETRY_SECONDS
+        self._fetches.postpone(now)
         return NO_EFFECTS
 
     def on_control_lost(self, now: float) -> Sequence[FollowerEffect]:
         """Note that no control node is in reach."""
         self._control_connected = False
-        self._fetch_due = now
+        self._fetches.hasten(now)
         return self._settle(now)
 
     def on_control_delta(self, delta: Delta, now: float) -> Sequence[FollowerEffect]:
-        """Take a delta from the control node in use, after the subscription."""
+        """Apply a delta from the control node in use, after the subscription."""
         if delta.confirmed:
             self._confirmed_revision = max(self._confirmed_revision or 0, delta.revision)
-        return self._take(delta, now)
+        return self._on_delta(delta, now)
 
     def on_peer_delta(self, peer: str, delta: Delta, now: float) -> Sequence[FollowerEffect]:
-        """Take a delta from another daemon. It can't confirm anything for a quorum."""
+        """Apply a delta from another daemon. It can't confirm anything for a quorum."""
         self._peers.note(peer, delta.revision)
-        return self._take(delta, now)
+        return self._on_delta(delta, now)
 
     def on_peer_revision(self, peer: str, revision: int, now: float) -> Sequence[FollowerEffect]:
         """Note the revision that came with a call, an answer or a heartbeat of ``peer``."""
@@ -186,7 +167,7 @@
         self._peers.note(peer, revision)
         if revision > self._highest_seen:
             self._highest_seen = revision
-            self._fetch_due = now
+            self._fetches.hasten(now)
         return self._settle(now)
 
     def on_persisted(self, now: float) -> Sequence[FollowerEffect]:
@@ -224,10 +205,10 @@
         self._started_from_disk = True
         self._highest_seen = max(self._highest_seen, self._held.revision)
 
-    def _take(self, delta: Delta, now: float) -> Sequence[FollowerEffect]:
+    def _on_delta(self, delta: Delta, now: float) -> Sequence[FollowerEffect]:
         if delta.revision > self._highest_seen:
             self._highest_seen = delta.revision
-            self._fetch_due = now
+            self._fetches.hasten(now)
         first = not self._holds_any and delta.base == 0
         newer = delta.revision > self._held.revision
         if (first or newer) and is_applicable(delta, self._held.revision):
@@ -255,7 +236,7 @@
         self._recording = self._held
         self._recorded_highest = self._highest_seen
         configuration = whole(self._held) if self._holds_any else None
-        return [Persist(FollowerRecord(self._highest_seen, configuration))]
+        return [PersistRecord(FollowerRecord(self._highest_seen, configuration))]
 
     def _take_effect(self, configuration: Configuration) -> list[FollowerEffect]:
         previous = self._in_force
@@ -267,32 +248,32 @@
     def _start_serving(self, now: float) -> list[FollowerEffect]:
         if self.may_serve:
             return []
-        ground = self._find_ground(now)
-        if ground is ServingGround.NONE:
+        basis = self._find_basis(now)
+        if basis is ServingBasis.NONE:
             return []
-        self._ground = ground
+        self._basis = basis
         self._peers.forget()
-        return [StartServing(ground)]
+        return [StartServing(basis)]
 
-    def _find_ground(self, now: float) -> ServingGround:
+    def _find_basis(self, now: float) -> ServingBasis:
         in_force = self._in_force.revision
         if not self._holds_any or self._in_force is not self._held:
-            return ServingGround.NONE
+            return ServingBasis.NONE
         if in_force < self._highest_seen:
-            return ServingGround.NONE
+            return ServingBasis.NONE
         if self._confirmed_revision is not None and in_force >= self._confirmed_revision:
-            return ServingGround.QUORUM
+            return ServingBasis.QUORUM
         # A quorum knows more than the peers, so it is heard first where it can be reached.
         without_control = (
             not self._control_connected and now - self._started_at >= CONTROL_GRACE_SECONDS
         )
         if self._started_from_disk and without_control and self._most_peers_answered():
-            return ServingGround.DISK_AND_PEERS
-        return ServingGround.NONE
+            return ServingBasis.DISK_AND_PEERS
+        return ServingBasis.NONE
 
     def _most_peers_answered(self) -> bool:
         names = [endpoint.name for endpoint in self._zone_peers()]
-        return 2 * self._peers.told(names) > len(names) or not names
+        return 2 * self._peers.count_reported(names) > len(names) or not names
 
     def _zone_peers(self) -> tuple[Endpoint, ...]:
         zone, own = self._identity.zone, self._identity.endpoint
@@ -303,25 +284,11 @@
         )
 
     def _fetch(self, now: float) -> list[FollowerEffect]:
-        if self._held.revision >= self._highest_seen:
-            self._fetch_from_peer_next = False
-            self._peers.forget_asked()
-            if self.may_serve:
-                self._peers.forget()
-            return []
-        if now < self._fetch_due:
-            return []
-        self._fetch_due = now + FETCH_RETRY_SECONDS
-        return self._choose_source()
-
-    def _choose_source(self) -> list[FollowerEffect]:
-        """Ask control first; if that brought nothing, or there is none, the furthest peer."""
-        peer = self._peers.next_ahead(self._held.revision)
-        if peer and (self._fetch_from_peer_next or not self._control_connected):
-            self._fetch_from_peer_next = False
-            self._peers.asked(peer)
-            return [FetchFromPeer(peer, self._held.revision)]
-        if self._control_connected:
-            self._fetch_from_peer_next = True
-            return [FetchFromControl(self._held.revision)]
+        held = self._held.revision
+        if held < self._highest_seen:
+            fetch = self._fetches.next_fetch(held, self._control_connected, now)
+            return [] if fetch is None else [fetch]
+        self._fetches.on_nothing_missing()
+        if self.may_serve:
+            self._peers.forget()
         return []
--- a/src/finchshed/distribution/hub_effects.py
+++ b/src/finchshed/distribution/hub_effects.py
@@ -1,4 +1,4 @@
-"""Limits of a hub, and what it asks its shell to do."""
+"""Limits of a hub, and what it asks the server to do."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendLine:
     """Write ``line`` to each of ``subscribers``."""
 
     subscribers: tuple[int, ...]
@@ -71,4 +71,4 @@
     ticket: int
 
 
-HubEffect: TypeAlias = Send | Close | RequestConfirmation
+HubEffect: TypeAlias = SendLine | Close | RequestConfirmation
--- a/src/finchshed/distribution/peer_revisions.py
+++ b/src/finchshed/distribution/peer_revisions.py
@@ -1,12 +1,12 @@
-"""Revisions that other daemons told, and which of them to ask for a configuration. Pure."""
+"""Revisions that other daemons reported, and which of them to ask for a configuration. Pure."""
 
 from collections.abc import Iterable
 
 
 class PeerRevisions:
-    """What peers hold, as far as they told.
+    """What peers hold, as far as they reported it.
 
-    A link tells a revision once, so a peer is remembered until what it holds is held here too.
+    A link reports a revision once, so a peer is remembered until what it holds is held here too.
     """
 
     def __init__(self) -> None:
@@ -14,7 +14,7 @@
         self._asked: set[str] = set()
 
     def note(self, peer: str, revision: int) -> None:
-        """Take a revision that ``peer`` told."""
+        """Keep a revision that ``peer`` reported."""
         self._revisions[peer] = max(revision, self._revisions.get(peer, 0))
 
     def forget(self) -> None:
@@ -26,8 +26,8 @@
         """Let every peer be asked again."""
         self._asked.clear()
 
-    def told(self, peers: Iterable[str]) -> int:
-        """Return how many of ``peers`` told their revision."""
+    def count_reported(self, peers: Iterable[str]) -> int:
+        """Return how many of ``peers`` reported their revision."""
         return sum(1 for peer in peers if peer in self._revisions)
 
     def next_ahead(self, revision: int) -> str:
@@ -40,6 +40,6 @@
             self._asked.clear()
         return max(ahead - self._asked, key=lambda peer: (self._revisions[peer], peer), default="")
 
-    def asked(self, peer: str) -> None:
+    def on_asked(self, peer: str) -> None:
         """Note that ``peer`` was asked."""
         self._asked.add(peer)
--- a/src/finchshed/distribution/server.py
+++ b/src/finchshed/distribution/server.py
@@ -1,6 +1,7 @@
-"""Shell of the hub: accepts daemons' connections and carries the hub's effects out.
+"""Accepts daemons' connections to a control node, and carries the hub's effects out.
 
-Ledger requests come up the same connections and are handed to the control program.
+Owns the connections. Ledger requests, registrations and reports that come up them are handed to
+the control program. Relies on :class:`~finchshed.distribution.hub.Hub` for what is sent to whom.
 """
 
 import asyncio
@@ -11,7 +12,7 @@
 
 from finchshed.common.errors import FinchshedError
 from finchshed.distribution.hub import Hub
-from finchshed.distribution.hub_effects import Close, HubEffect, RequestConfirmation, Send
+from finchshed.distribution.hub_effects import Close, HubEffect, RequestConfirmation, SendLine
 from finchshed.distribution.messages import (
     Announce,
     ControlToDaemon,
@@ -26,6 +27,7 @@
     RenewLease,
     Subscribe,
 )
+from finchshed.distribution.quorum_reads import QuorumReads
 from finchshed.distribution.snapshot import Configuration
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import LineProtocol
@@ -41,15 +43,15 @@
 Connection: TypeAlias = LineProtocol[DaemonToControl]
 
 BACKLOG = 2048
-TICK_SECONDS = 0.25
-CONFIRMATION_PAUSE_SECONDS = 0.05
-"""Least time between reads from a quorum: one read answers all that came in meanwhile.
+"""Connections that the kernel keeps until they are accepted: all daemons of a lost control node may
+come at once. Chosen, not measured."""
 
-A daemon that claims a higher revision than is in force waits for it for as long as it stays;
-without a pause such a claim would keep the node busy."""
+TICK_SECONDS = 0.25
+"""Time between looks at full buffers, half of the hub's heartbeat. Chosen, not measured."""
 
 BUFFER_LIMIT_BYTES = 4 << 20
-"""A subscriber with more than this unsent is skipped until half of it has been sent."""
+"""A subscriber with more than this unsent is skipped until half of it has been sent. Chosen, not
+measured."""
 
 MAX_REQUEST_BYTES = 96 << 20
 """Longest line taken from a daemon; a completed call's whole answer is in it."""
@@ -103,7 +105,7 @@
         self._on_crash_news = on_crash_news
         self._on_subscribed = on_subscribed
         self._hub = hub
-        self._confirm = confirm
+        self._quorum_reads = QuorumReads(confirm, self._on_confirmed)
         self._on_ledger = on_ledger
         self._on_explanation = on_explanation
         self._networks = networks
@@ -112,8 +114,6 @@
         self._numbers: dict[Connection, int] = {}
         self._names: dict[int, str] = {}
         self._last_number = 0
-        self._ticket: int | None = None
-        self._confirming: asyncio.Task[None] | None = None
         self._ticking: asyncio.Task[None] | None = None
         self._server: Server | None = None
 
@@ -126,16 +126,16 @@
 
     async def close(self) -> None:
         """Stop listening and close all connections."""
-        for task in (self._ticking, self._confirming):
-            if task is not None:
-                task.cancel()
+        if self._ticking is not None:
+            self._ticking.cancel()
+        self._quorum_reads.close()
         if self._server is not None:
             self._server.close()
         for connection in list(self._connections.values()):
             connection.abort()
 
     def commit(self, delta: Delta) -> None:
-        """Send a committed change to all subscribers."""
+        """SendLine a committed change to all subscribers."""
         self._perform(self._hub.on_committed(delta, self._now()))
 
     def restore(self, configuration: Configuration) -> None:
@@ -147,12 +147,12 @@
         self._hub.on_contact(in_contact, self._now())
 
     def send_to(self, node: str, message: ControlToDaemon) -> bool:
-        """Send to one daemon; False when it isn't connected here."""
+        """SendLine to one daemon; False when it isn't connected here."""
         connection = self._by_node.get(node)
         return connection is not None and connection.send(message) > 0
 
     def broadcast(self, message: ControlToDaemon) -> None:
-        """Send to every daemon connected here whose buffer has room."""
+        """SendLine to every daemon connected here whose buffer has room."""
         line = encode_line(message)
         for connection in self._connections.values():
             if connection.unsent_bytes() <= BUFFER_LIMIT_BYTES:
@@ -236,17 +236,16 @@
 
     def _perform(self, effects: Sequence[HubEffect]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendLine):
                 self._send(effect)
             elif isinstance(effect, RequestConfirmation):
-                self._ticket = effect.ticket
-                self._start_confirming()
+                self._quorum_reads.request(effect.ticket)
             elif isinstance(effect, Close):
                 connection = self._connections.get(effect.subscriber)
                 if connection is not None:
                     connection.abort()
 
-    def _send(self, effect: Send) -> None:
+    def _send(self, effect: SendLine) -> None:
         line = effect.line.line
         for number in effect.subscribers:
             connection = self._connections.get(number)
@@ -256,21 +255,8 @@
             if connection.unsent_bytes() > BUFFER_LIMIT_BYTES:
                 self._hub.on_buffer(number, True, self._now())
 
-    def _start_confirming(self) -> None:
-        if self._confirming is None or self._confirming.done():
-            self._confirming = asyncio.create_task(self._confirm_tickets())
-
-    async def _confirm_tickets(self) -> None:
-        while self._ticket is not None:
-            ticket, self._ticket = self._ticket, None
-            try:
-                confirmed = await self._confirm()
-            except FinchshedError as error:
-                logger.debug("no confirmation by a quorum: {}", error)
-                confirmed = False
-            if confirmed:
-                self._perform(self._hub.on_confirmed(ticket, self._now()))
-            await asyncio.sleep(CONFIRMATION_PAUSE_SECONDS)
+    def _on_confirmed(self, ticket: int) -> None:
+        self._perform(self._hub.on_confirmed(ticket, self._now()))
 
     async def _tick_forever(self) -> None:
         while True:
--- a/src/finchshed/emulator/control/hub_shell.py
+++ b/src/finchshed/emulator/control/hub_shell.py
@@ -11,7 +11,7 @@
 from finchshed.control.state.commands import CommandResult
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.hub import Hub
-from finchshed.distribution.hub_effects import Close, HubEffect, RequestConfirmation, Send
+from finchshed.distribution.hub_effects import Close, HubEffect, RequestConfirmation, SendLine
 from finchshed.distribution.messages import ControlToDaemon, Delta, Subscribe
 from finchshed.distribution.snapshot import Configuration
 from finchshed.emulator.daemons.process import Process
@@ -84,12 +84,12 @@
         self._hub.set_alternatives(addresses)
 
     def on_committed(self, committed: CommittedRevision) -> None:
-        """Send an accepted change on."""
+        """SendLine an accepted change on."""
         delta = Delta(committed.revision - 1, committed.revision, committed.puts, committed.deletes)
         self._perform(self._hub.on_committed(delta, self._process.now))
 
     def on_restored(self) -> None:
-        """Send the whole configuration on."""
+        """SendLine the whole configuration on."""
         self._perform(self._hub.restore(self._configuration(), self._process.now))
 
     def subscribe(self, link: Subscription, epoch: int, message: Subscribe) -> None:
@@ -119,7 +119,7 @@
             self._hub.unsubscribe(number)
 
     def broadcast(self, message: ControlToDaemon) -> None:
-        """Send to every daemon connected here."""
+        """SendLine to every daemon connected here."""
         for number in list(self._connections):
             self._send(number, message)
 
@@ -148,7 +148,7 @@
 
     def _perform(self, effects: Sequence[HubEffect]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendLine):
                 for number in effect.subscribers:
                     self._send(number, effect.line.message)  # type: ignore[arg-type]
             elif isinstance(effect, RequestConfirmation):
--- a/src/finchshed/emulator/daemons/follower_shell.py
+++ b/src/finchshed/emulator/daemons/follower_shell.py
@@ -16,7 +16,7 @@
     FollowerEffect,
     FollowerRecord,
     GreetPeers,
-    Persist,
+    PersistRecord,
     ReportInForce,
     StartServing,
     TakeEffect,
@@ -146,7 +146,7 @@
                 self._listener.greet_peers(effect.endpoints)
             case StartServing():
                 self._listener.start_serving()
-            case Persist():
+            case PersistRecord():
                 self._process.call_later(SYNC_SECONDS, self._persisted, effect.record)
 
     def _peer_delta(self, peer: str, delta: Delta) -> None:
--- a/tests/architecture/decision_modules.py
+++ b/tests/architecture/decision_modules.py
@@ -31,6 +31,7 @@
         "finchshed.distribution.control_dialer",
         "finchshed.distribution.driver",
         "finchshed.distribution.ledger_requests",
+        "finchshed.distribution.quorum_reads",
         "finchshed.distribution.record",
         "finchshed.distribution.server",
     }
--- a/tests/control/test_daemon_view.py
+++ b/tests/control/test_daemon_view.py
@@ -9,7 +9,7 @@
 from finchshed.control.daemons.daemon_view import configuration_for_daemons, delta_for_daemons
 from finchshed.distribution.addresses import ControlAddress
 from finchshed.distribution.driver import FollowerDriver
-from finchshed.distribution.effects import ServingGround
+from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.snapshot import Configuration, apply_delta
 from tests.control.group import Group
@@ -39,13 +39,13 @@
 
     def __init__(self) -> None:
         self.current = Configuration()
-        self.grounds: list[ServingGround] = []
+        self.bases: list[ServingBasis] = []
 
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
         self.current = current
 
-    def start_serving(self, ground: ServingGround) -> None:
-        self.grounds.append(ground)
+    def start_serving(self, basis: ServingBasis) -> None:
+        self.bases.append(basis)
 
     def fetch_from_peer(self, peer: str, revision: int) -> None:
         pass
@@ -65,7 +65,7 @@
         driver = FollowerDriver(identity, [address], listener, random.Random(1))
         running = asyncio.create_task(driver.run())
         async with asyncio.timeout(20.0):
-            while not listener.grounds:  # noqa: ASYNC110 - set by another task
+            while not listener.bases:  # noqa: ASYNC110 - set by another task
                 await asyncio.sleep(0.02)
         running.cancel()
         assert listener.current.revision == revision
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -13,7 +13,7 @@
 from finchshed.distribution import control_dialer
 from finchshed.distribution.addresses import ControlAddress
 from finchshed.distribution.driver import FollowerDriver
-from finchshed.distribution.effects import ServingGround
+from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.hub import Hub
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import (
@@ -74,7 +74,7 @@
 
     def __init__(self, addresses: list[ControlAddress], folder: Path | None = None) -> None:
         identity = ClientIdentity("n1", "1", "licence", "z1")
-        self.grounds: list[ServingGround] = []
+        self.bases: list[ServingBasis] = []
         self.revisions: list[int] = []
         self.driver = FollowerDriver(identity, addresses, self, random.Random(1), folder)
         self.task = asyncio.create_task(self.driver.run())
@@ -82,8 +82,8 @@
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
         self.revisions.append(current.revision)
 
-    def start_serving(self, ground: ServingGround) -> None:
-        self.grounds.append(ground)
+    def start_serving(self, basis: ServingBasis) -> None:
+        self.bases.append(basis)
 
     def fetch_from_peer(self, peer: str, revision: int) -> None:
         pass
@@ -113,7 +113,7 @@
     node, address = await start_node()
     node.server.commit(change(1))
     daemon = Daemon([address])
-    await eventually(lambda: daemon.grounds == [ServingGround.QUORUM])
+    await eventually(lambda: daemon.bases == [ServingBasis.QUORUM])
     node.server.commit(change(2))
     await eventually(lambda: daemon.revisions[-1] == 2)
     await eventually(lambda: [s.revision for s in node.hub.collect_report(True).daemons] == [2])
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -1,20 +1,20 @@
 """The follower's rules: start, deltas, peers, disk."""
 
 from finchshed.configuration.resources import Endpoint, Resource, ResourceKey, Service
+from finchshed.distribution.configuration_fetches import FETCH_RETRY_SECONDS
 from finchshed.distribution.effects import (
     FetchFromControl,
     FetchFromPeer,
     FollowerRecord,
     GreetPeers,
-    Persist,
+    PersistRecord,
     ReportInForce,
-    ServingGround,
+    ServingBasis,
     StartServing,
     TakeEffect,
 )
 from finchshed.distribution.follower import (
     CONTROL_GRACE_SECONDS,
-    FETCH_RETRY_SECONDS,
     Follower,
     FollowerIdentity,
 )
@@ -53,7 +53,7 @@
     assert kinds(effects) == [TakeEffect, ReportInForce]
     assert not follower.may_serve
     effects = follower.on_control_delta(Delta(base=5, revision=5, confirmed=True), 0.1)
-    assert effects == [StartServing(ServingGround.QUORUM)]
+    assert effects == [StartServing(ServingBasis.QUORUM)]
     assert follower.may_serve
 
 
@@ -71,7 +71,7 @@
     assert effects == [FetchFromControl(5)]
     assert not follower.may_serve
     effects = follower.on_control_delta(Delta(base=5, revision=7, puts=(service("b"),)), 0.2)
-    assert StartServing(ServingGround.QUORUM) in effects
+    assert StartServing(ServingBasis.QUORUM) in effects
 
 
 def test_a_delta_with_a_gap_is_fetched_and_not_applied() -> None:
@@ -150,7 +150,7 @@
     assert follower.on_peer_revision("q", 3, 1.1) == []
     assert follower.tick(CONTROL_GRACE_SECONDS - 0.1) == []
     effects = follower.tick(CONTROL_GRACE_SECONDS)
-    assert effects == [StartServing(ServingGround.DISK_AND_PEERS)]
+    assert effects == [StartServing(ServingBasis.DISK_AND_PEERS)]
 
 
 def test_disk_and_peers_are_not_enough_while_control_is_connected() -> None:
@@ -160,7 +160,7 @@
     follower.tick(10.0 + 2 * CONTROL_GRACE_SECONDS)
     assert not follower.may_serve
     effects = follower.on_control_lost(11.0 + 2 * CONTROL_GRACE_SECONDS)
-    assert effects == [StartServing(ServingGround.DISK_AND_PEERS)]
+    assert effects == [StartServing(ServingBasis.DISK_AND_PEERS)]
 
 
 def test_a_daemon_with_a_disk_fetches_what_a_peer_has_before_it_serves() -> None:
@@ -170,10 +170,10 @@
     assert not follower.may_serve
     follower.on_persisted(1.1)
     effects = follower.on_peer_delta("p", full(5, endpoint("own"), endpoint("p")), 1.2)
-    assert kinds(effects) == [Persist]
+    assert kinds(effects) == [PersistRecord]
     assert not follower.may_serve
     effects = follower.on_persisted(1.3)
-    assert StartServing(ServingGround.DISK_AND_PEERS) in effects
+    assert StartServing(ServingBasis.DISK_AND_PEERS) in effects
     assert follower.revision == 5
 
 
@@ -190,12 +190,12 @@
 def test_a_revision_is_recorded_before_it_is_in_force() -> None:
     follower = Follower(HERE, has_disk=True)
     effects = follower.on_control_delta(full(2, service("a"), confirmed=True), 0.0)
-    assert effects == [Persist(FollowerRecord(2, full(2, service("a"))))]
+    assert effects == [PersistRecord(FollowerRecord(2, full(2, service("a"))))]
     assert follower.revision == 0
     assert not follower.may_serve
     assert follower.on_control_delta(Delta(base=2, revision=3), 0.1) == []
     effects = follower.on_persisted(0.2)
-    assert kinds(effects) == [TakeEffect, ReportInForce, Persist]
+    assert kinds(effects) == [TakeEffect, ReportInForce, PersistRecord]
     assert follower.revision == 2
     effects = follower.on_persisted(0.3)
     assert follower.revision == 3
@@ -207,7 +207,7 @@
     follower.on_control_delta(full(2, service("a"), confirmed=True), 0.0)
     effects = follower.on_persist_failed(0.1)
     assert kinds(effects) == [TakeEffect, ReportInForce, StartServing]
-    assert follower.status().disk_failed
+    assert follower.disk_failed
 
 
 def test_a_peer_is_answered_with_what_is_in_force() -> None:
--- a/tests/distribution/test_follower_properties.py
+++ b/tests/distribution/test_follower_properties.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from finchshed.configuration.resources import Resource, ResourceKey, Service, key_of
-from finchshed.distribution.effects import FollowerRecord, Persist
+from finchshed.distribution.effects import FollowerRecord, PersistRecord
 from finchshed.distribution.follower import Follower, FollowerIdentity
 from finchshed.distribution.messages import Delta
 from finchshed.distribution.snapshot import Configuration, apply_delta, merge, whole
@@ -94,7 +94,7 @@
         elif kind == "restart":
             self.start()
         for effect in effects:  # type: ignore[attr-defined]
-            if isinstance(effect, Persist):
+            if isinstance(effect, PersistRecord):
                 self.pending = effect.record
 
 
--- a/tests/distribution/test_hub.py
+++ b/tests/distribution/test_hub.py
@@ -5,7 +5,7 @@
 from finchshed.common.errors import InvariantError
 from finchshed.configuration.resources import ResourceKey, Service
 from finchshed.distribution.hub import Hub
-from finchshed.distribution.hub_effects import Close, HubLimits, RequestConfirmation, Send
+from finchshed.distribution.hub_effects import Close, HubLimits, RequestConfirmation, SendLine
 from finchshed.distribution.messages import Delta, LeaseRenewed, Redirect, Subscribe
 from finchshed.distribution.snapshot import Configuration
 
@@ -31,7 +31,7 @@
     return [
         (effect.subscribers, effect.line.message)
         for effect in effects  # type: ignore[attr-defined]
-        if isinstance(effect, Send)
+        if isinstance(effect, SendLine)
     ]
 
 
@@ -45,7 +45,7 @@
     join(hub, 2)
     effects = hub.on_committed(change(3), 1.0)
     assert sent(effects) == [((1, 2), change(3))]
-    assert isinstance(effects[0], Send)
+    assert isinstance(effects[0], SendLine)
     assert effects[0].line.line is effects[0].line.line
 
 
--- a/tests/distribution/test_server.py
+++ b/tests/distribution/test_server.py
@@ -20,12 +20,8 @@
     LedgerGranted,
     Subscribe,
 )
-from finchshed.distribution.server import (
-    CONFIRMATION_PAUSE_SECONDS,
-    Answer,
-    HubServer,
-    LedgerRequest,
-)
+from finchshed.distribution.quorum_reads import CONFIRMATION_PAUSE_SECONDS
+from finchshed.distribution.server import Answer, HubServer, LedgerRequest
 from finchshed.link import lines
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import FIRST_LINE_BYTES
--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -14,7 +14,7 @@
 from finchshed.admission import rank
 from finchshed.common.outcomes import FailureReason, RefusalReason, Refused
 from finchshed.configuration.store import ConfigurationStore
-from finchshed.distribution.effects import ServingGround
+from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.follower import Follower
 from finchshed.emulator.daemons.accepted_link import AcceptedLink
 from finchshed.emulator.daemons.callee import Callee
@@ -163,10 +163,10 @@
 def a_restart_trusts_any_control_node(patch: pytest.MonkeyPatch) -> None:
     """Serve after a start with whatever revision the first control node holds."""
 
-    def ground(self: Follower, *_: Any) -> ServingGround:
-        return ServingGround.QUORUM if self._holds_any else ServingGround.NONE
+    def basis(self: Follower, *_: Any) -> ServingBasis:
+        return ServingBasis.QUORUM if self._holds_any else ServingBasis.NONE
 
-    patch.setattr(Follower, "_find_ground", ground)
+    patch.setattr(Follower, "_find_basis", basis)
 
 
 def higher_revisions_are_not_fetched(patch: pytest.MonkeyPatch) -> None:
@@ -174,7 +174,7 @@
 
     The daemon then stays behind after a lost delta.
     """
-    take = Follower._take
+    take = Follower._on_delta
 
     def drop(self: Follower, delta: Any, now: float) -> Any:
         newer = delta.revision > self._held.revision
@@ -182,7 +182,7 @@
             return []
         return take(self, delta, now)
 
-    patch.setattr(Follower, "_take", drop)
+    patch.setattr(Follower, "_on_delta", drop)
     patch.setattr(Follower, "_fetch", lambda self, now: [])
 
 
--- a/tests/simulation/distribution.py
+++ b/tests/simulation/distribution.py
@@ -19,15 +19,15 @@
     FetchFromPeer,
     FollowerEffect,
     FollowerRecord,
-    Persist,
+    PersistRecord,
     ReportInForce,
-    ServingGround,
+    ServingBasis,
     StartServing,
     TakeEffect,
 )
 from finchshed.distribution.follower import Follower, FollowerIdentity
 from finchshed.distribution.hub import Hub
-from finchshed.distribution.hub_effects import Close, HubEffect, RequestConfirmation, Send
+from finchshed.distribution.hub_effects import Close, HubEffect, RequestConfirmation, SendLine
 from finchshed.distribution.messages import Delta, Fetch, InForce, Redirect, Subscribe
 from finchshed.distribution.snapshot import Configuration, apply_delta
 
@@ -84,7 +84,7 @@
         self.rng = random.Random(seed)
         self.cuts = Cuts()
         self.accepted: list[Delta] = []
-        self.grounds: set[ServingGround] = set()
+        self.bases: set[ServingBasis] = set()
         self.states = [Configuration()]
         self.control = [Control(self, f"c{n}", ZONES[n % len(ZONES)]) for n in range(CONTROL_NODES)]
         self.daemons = [
@@ -200,7 +200,7 @@
     def perform(self, effects: Sequence[HubEffect]) -> None:
         """Carry the hub's effects out."""
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendLine):
                 for number in effect.subscribers:
                     if number not in self.links:
                         continue
@@ -417,7 +417,7 @@
             if isinstance(effect, TakeEffect):
                 self.check_effect(effect)
             elif isinstance(effect, StartServing):
-                self.check_ground(effect.ground)
+                self.check_basis(effect.basis)
             elif isinstance(effect, ReportInForce):
                 self.heartbeat()
             elif isinstance(effect, FetchFromControl):
@@ -427,7 +427,7 @@
             elif isinstance(effect, FetchFromPeer):
                 self.fetches += 1
                 self.fetch_from(effect.peer, effect.revision)
-            elif isinstance(effect, Persist):
+            elif isinstance(effect, PersistRecord):
                 self.persist(effect.record)
 
     def fetch_from(self, name: str, revision: int) -> None:
@@ -466,13 +466,13 @@
         self.ever_in_force = max(self.ever_in_force, revision)
         self.in_force_at[revision] = self.world.env.now
 
-    def check_ground(self, ground: ServingGround) -> None:
+    def check_basis(self, basis: ServingBasis) -> None:
         """Check that calls may be taken."""
-        self.world.grounds.add(ground)
+        self.world.bases.add(basis)
         revision = self.follower.revision
         if revision < self.ever_in_force:
             raise ViolationError(f"{self.name} serves on {revision}, had {self.ever_in_force}")
-        if ground is not ServingGround.QUORUM:
+        if basis is not ServingBasis.QUORUM:
             return
         if self.confirmed is None:
             raise ViolationError(f"{self.name} serves, and no quorum confirmed anything")
--- a/tests/simulation/test_distribution.py
+++ b/tests/simulation/test_distribution.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from finchshed.distribution.effects import ServingGround
+from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.follower import Follower
 from finchshed.distribution.hub import Hub
 from tests.simulation.distribution import ViolationError, World
@@ -63,10 +63,10 @@
 
 
 def test_both_grounds_for_serving_occur_over_the_seeds() -> None:
-    found: set[ServingGround] = set()
+    found: set[ServingBasis] = set()
     for seed in SEEDS:
-        found |= run(seed).grounds
-        if found == {ServingGround.QUORUM, ServingGround.DISK_AND_PEERS}:
+        found |= run(seed).bases
+        if found == {ServingBasis.QUORUM, ServingBasis.DISK_AND_PEERS}:
             return
     pytest.fail(f"only {found} over {len(SEEDS)} seeds")
 
@@ -76,8 +76,8 @@
     assert [d.in_force_at for d in first.daemons] == [d.in_force_at for d in second.daemons]
 
 
-def serves_what_it_holds(self: Follower, now: float) -> ServingGround:
-    return ServingGround.QUORUM if self._holds_any else ServingGround.NONE
+def serves_what_it_holds(self: Follower, now: float) -> ServingBasis:
+    return ServingBasis.QUORUM if self._holds_any else ServingBasis.NONE
 
 
 def confirms_at_once(self: Hub, number: int, message: object, now: float) -> object:
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize(
     ("owner", "name", "broken"),
     [
-        (Follower, "_find_ground", serves_what_it_holds),
+        (Follower, "_find_basis", serves_what_it_holds),
         (Hub, "subscribe", confirms_at_once),
         (Follower, "_fetch", forgets_to_fetch),
         (Follower, "_record_or_take_effect", records_late),
--- a/tests/tenancy/lease_world.py
+++ b/tests/tenancy/lease_world.py
@@ -11,7 +11,7 @@
 
 from finchshed.configuration.resources import Tenant
 from finchshed.distribution.hub import Hub
-from finchshed.distribution.hub_effects import HubEffect, RequestConfirmation, Send
+from finchshed.distribution.hub_effects import HubEffect, RequestConfirmation, SendLine
 from finchshed.distribution.messages import ControlToDaemon, Delta, LeaseRenewed, Subscribe
 from finchshed.distribution.snapshot import Configuration, apply_delta, is_applicable
 from finchshed.tenancy.gate import tenant_of
@@ -80,7 +80,7 @@
     def perform(self, effects: Sequence[HubEffect]) -> None:
         """Carry out what the hub asks for."""
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendLine):
                 for number in effect.subscribers:
                     if number in self.links:
                         self.links[number].to_daemon(effect.line.message)  # type: ignore[arg-type]
