--- a/src/finchshed/common/backoff.py
+++ b/src/finchshed/common/backoff.py
@@ -43,3 +43,10 @@
         For what must not be tried again at once, such as a dial to a machine that is down.
         """
         return self.bound(failures) * (0.5 + 0.5 * rng.random())
+
+    def centred_jitter(self, failures: int, rng: random.Random) -> float:
+        """Return a wait between half and one and a half times the bound, seconds.
+
+        Its mean is the bound, so waits of requests that have a deadline are as long as planned.
+        """
+        return self.bound(failures) * (0.5 + rng.random())
--- a/src/finchshed/control/node.py
+++ b/src/finchshed/control/node.py
@@ -13,7 +13,7 @@
 from finchshed.control.operators.whole_configuration import WholeConfiguration
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.raft.host import RaftHost
-from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import PeerHello
 from finchshed.control.settings import ControlSettings
 from finchshed.control.state.machine import ControlStateMachine
@@ -67,7 +67,7 @@
         )
         networks = PeerNetworks(settings.peer_networks)
         credentials = credentials_of(settings)
-        self._links = PeerLinks(
+        self._links = ControlNodeLinks(
             hello,
             self._log.on_message,
             background,
--- a/src/finchshed/control/operators/replacement.py
+++ b/src/finchshed/control/operators/replacement.py
@@ -9,9 +9,9 @@
 
 from finchshed.consensus.effects import RefusalCause
 from finchshed.consensus.membership import AddMember, MembershipChange, RemoveMember
-from finchshed.control.raft.replicated_log import MemberRole, MemberStatus
+from finchshed.control.raft.replicated_log import LogMemberRole, LogMemberStatus
 
-VOTING = (MemberRole.LEADER, MemberRole.VOTER)
+VOTING = (LogMemberRole.LEADER, LogMemberRole.VOTER)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     is_done: bool = False
 
 
-def next_step(members: Sequence[MemberStatus], replacement: Replacement) -> Step:
+def next_step(members: Sequence[LogMemberStatus], replacement: Replacement) -> Step:
     """Return the next step that brings ``members`` to what ``replacement`` asks for."""
     if replacement.add:
         step = _step_of_adding(members, replacement)
@@ -62,7 +62,7 @@
     return cause.value
 
 
-def _step_of_adding(members: Sequence[MemberStatus], replacement: Replacement) -> Step | None:
+def _step_of_adding(members: Sequence[LogMemberStatus], replacement: Replacement) -> Step | None:
     """Return the next step of putting the new member in, or None when it is in."""
     name = replacement.add
     present = _named(members, name)
@@ -82,7 +82,7 @@
     return None
 
 
-def _shall_vote(members: Sequence[MemberStatus], replacement: Replacement) -> bool:
+def _shall_vote(members: Sequence[LogMemberStatus], replacement: Replacement) -> bool:
     """Whether the new member is to vote: it takes the role of the one it replaces.
 
     A standby that the replaced one left behind stays one: the replaced member had lost its vote to
@@ -92,11 +92,11 @@
         return False
     leaving = _named(members, replacement.remove) if replacement.remove else []
     if leaving:
-        return any(member.role is not MemberRole.STANDBY for member in leaving)
+        return any(member.role is not LogMemberRole.STANDBY for member in leaving)
     present = _named(members, replacement.add)
     took_the_place = bool(replacement.remove) and bool(present)
-    return not (took_the_place and all(item.role is MemberRole.STANDBY for item in present))
+    return not (took_the_place and all(item.role is LogMemberRole.STANDBY for item in present))
 
 
-def _named(members: Sequence[MemberStatus], name: str) -> list[MemberStatus]:
+def _named(members: Sequence[LogMemberStatus], name: str) -> list[LogMemberStatus]:
     return [member for member in members if member.name == name]
--- a/src/finchshed/control/raft/group_log.py
+++ b/src/finchshed/control/raft/group_log.py
@@ -1,48 +1,43 @@
 """The replicated log as seen from any control node: the leader is found, and asked again.
 
-Commands name themselves (a change its identity, a ledger request its attempt), so sending one
-again after a lost answer or a change of leader has no second effect.
+Owns the tries of each request. Commands name themselves (a change its identity, a ledger request
+its attempt), so sending one again after a lost answer or a change of leader has no second effect.
+
+Relies on :mod:`finchshed.control.raft.host` for this node's part in the log, and on
+:mod:`finchshed.control.raft.forwarding` for the way to the leader.
 """
 
 import asyncio
 import random
 from collections.abc import Callable
 
-from finchshed.common.errors import ControlUnavailableError
 from finchshed.consensus.effects import RefusalCause
-from finchshed.consensus.membership import Member, MembershipChange
-from finchshed.consensus.membership import MemberRole as GroupRole
+from finchshed.consensus.membership import Member, MemberRole, MembershipChange
 from finchshed.control.background import Background
 from finchshed.control.operators.replacement import Replacement, explain_refusal, next_step
+from finchshed.control.raft.forwarding import Forwarding
 from finchshed.control.raft.host import RaftHost
-from finchshed.control.raft.node_links import PeerLink, PeerLinks
+from finchshed.control.raft.leader_retries import LeaderRetries
+from finchshed.control.raft.node_links import ControlNodeLinks, PeerLink
 from finchshed.control.raft.node_messages import (
     DirectoryReport,
     ForwardedChange,
     ForwardedCommand,
     ForwardedQuota,
-    ForwardOutcome,
     ForwardReply,
     PeerMessage,
     QuotaReply,
     RaftLine,
 )
 from finchshed.control.raft.pending_outcomes import NotTakenError, UndecidedError
-from finchshed.control.raft.replicated_log import LogStatus, MemberRole, MemberStatus
+from finchshed.control.raft.replicated_log import LogMemberRole, LogMemberStatus, LogStatus
 from finchshed.control.state.commands import Command, CommandResult
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.status import InForceReport
 from finchshed.quarantine.messages import CrashNews
 
-FIRST_PAUSE_SECONDS = 0.02
-LONGEST_PAUSE_SECONDS = 0.5
-FORWARD_SHARE = 0.375
-"""A forwarded request unanswered for this part of its time is sent again.
-
-The line may be lost, and there must be time left for the answer to the second one.
-"""
-
 FINAL_CAUSES = frozenset({RefusalCause.UNKNOWN_NODE, RefusalCause.WOULD_LOSE_QUORUM})
+"""Refusals of a change of members that trying again does not cure."""
 
 
 class GroupLog:
@@ -65,26 +60,28 @@
         self._machine = machine
         self._background = background
         self._timeout = timeout_seconds
-        self._links: PeerLinks | None = None
+        self._links: ControlNodeLinks | None = None
         self._rng = random.Random()
-        self._last_request = 0
-        self._forwarded: dict[int, asyncio.Future[ForwardReply]] = {}
+        self._forwarding = Forwarding(host, timeout_seconds)
         self.on_report: Callable[[InForceReport], None] = _ignore
         self.on_directory: Callable[[DirectoryReport], None] = _ignore
         self.on_crash_news: Callable[[CrashNews], None] = _ignore
         self.on_quota: Callable[[PeerLink, ForwardedQuota | QuotaReply], None] = _ignore_quota
 
-    def start(self, links: PeerLinks) -> None:
+    def start(self, links: ControlNodeLinks) -> None:
         """Take part in the group over ``links``."""
         self._links = links
+        self._forwarding.start(links)
         self._host.start(links)
 
     async def propose(self, command: Command) -> CommandResult:
         """Commit ``command`` through the leader; see :class:`ReplicatedLog`."""
-        retries = _Retries(self._host, self._timeout, self._rng)
+        retries = LeaderRetries(self._host, self._timeout, self._rng)
         while True:
             try:
-                return await asyncio.wait_for(self._propose_once(command), retries.remaining())
+                return await asyncio.wait_for(
+                    self._forwarding.propose(command), retries.remaining()
+                )
             except (NotTakenError, UndecidedError, TimeoutError) as error:
                 await retries.pause(error)
 
@@ -98,10 +95,12 @@
         ControlUnavailableError
             No leader took it in time.
         """
-        retries = _Retries(self._host, self._timeout, self._rng)
+        retries = LeaderRetries(self._host, self._timeout, self._rng)
         while True:
             try:
-                await asyncio.wait_for(self._change_once(change), retries.remaining())
+                await asyncio.wait_for(
+                    self._forwarding.change_membership(change), retries.remaining()
+                )
             except NotTakenError as error:
                 if error.cause in FINAL_CAUSES:
                     raise
@@ -113,7 +112,7 @@
 
     async def read_barrier(self) -> None:
         """Return once all that was committed before the call is applied here."""
-        retries = _Retries(self._host, self._timeout, self._rng)
+        retries = LeaderRetries(self._host, self._timeout, self._rng)
         while True:
             try:
                 await asyncio.wait_for(self._host.read(), retries.remaining())
@@ -155,10 +154,10 @@
         known = {status.member.identity: status for status in node.member_statuses()}
         members = []
         for member in node.membership.members:
-            role = MemberRole.LEADER if member.identity == node.leader else _role_of(member)
+            role = LogMemberRole.LEADER if member.identity == node.leader else _role_of(member)
             status = known.get(member.identity)
             members.append(
-                MemberStatus(
+                LogMemberStatus(
                     name=member.identity.name,
                     address=member.address,
                     role=role,
@@ -177,15 +176,13 @@
         )
 
     def on_message(self, link: PeerLink, message: PeerMessage) -> None:
-        """Take a message of another control node."""
+        """Handle a message of another control node."""
         if isinstance(message, RaftLine):
             self._host.receive(message.envelope)
         elif isinstance(message, ForwardedCommand | ForwardedChange):
-            self._background.spawn(self._answer(link, message))
+            self._background.spawn(self._forwarding.answer(link, message))
         elif isinstance(message, ForwardReply):
-            future = self._forwarded.get(message.request)
-            if future is not None and not future.done():
-                future.set_result(message)
+            self._forwarding.on_reply(message)
         elif isinstance(message, InForceReport):
             self.on_report(message)
         elif isinstance(message, DirectoryReport):
@@ -195,71 +192,6 @@
         elif isinstance(message, ForwardedQuota | QuotaReply):
             self.on_quota(link, message)
 
-    async def _propose_once(self, command: Command) -> CommandResult:
-        if self._host.is_leader:
-            return await self._host.propose(command)
-        reply = await self._forward(ForwardedCommand(self._new_request(), command))
-        if reply.result is None:
-            raise UndecidedError("the leader answered without a result")
-        return reply.result
-
-    async def _change_once(self, change: MembershipChange) -> None:
-        if self._host.is_leader:
-            await self._host.change_membership(change)
-        else:
-            await self._forward(ForwardedChange(self._new_request(), change))
-
-    def _new_request(self) -> int:
-        self._last_request += 1
-        return self._last_request
-
-    async def _forward(self, message: ForwardedCommand | ForwardedChange) -> ForwardReply:
-        """Have the leader answer.
-
-        What comes to it twice changes nothing more than what comes once, but that the note of an
-        operator's action may then stand twice.
-        """
-        future: asyncio.Future[ForwardReply] = asyncio.get_running_loop().create_future()
-        self._forwarded[message.request] = future
-        try:
-            reply = await self._send_until_answered(message, future)
-        finally:
-            del self._forwarded[message.request]
-        if reply.outcome is ForwardOutcome.NOT_TAKEN:
-            raise NotTakenError(RefusalCause(reply.detail))
-        if reply.outcome is ForwardOutcome.UNKNOWN:
-            raise UndecidedError(reply.detail)
-        return reply
-
-    async def _send_until_answered(
-        self, message: ForwardedCommand | ForwardedChange, answer: asyncio.Future[ForwardReply]
-    ) -> ForwardReply:
-        """Send until an answer to any of the sendings came; the caller bounds the time."""
-        while True:
-            address = self._host.node.leader_address
-            if self._host.is_leader or not address or self._links is None:
-                raise NotTakenError(RefusalCause.NOT_LEADER)
-            if not self._links.send(address, message):
-                raise NotTakenError(RefusalCause.NOT_LEADER)
-            done, _ = await asyncio.wait((answer,), timeout=FORWARD_SHARE * self._timeout)
-            if done:
-                return answer.result()
-
-    async def _answer(self, link: PeerLink, message: ForwardedCommand | ForwardedChange) -> None:
-        request = message.request
-        try:
-            result = None
-            if isinstance(message, ForwardedCommand):
-                result = await self._host.propose(message.command)
-            else:
-                await self._host.change_membership(message.change)
-        except NotTakenError as error:
-            link.send(ForwardReply(request, ForwardOutcome.NOT_TAKEN, detail=str(error)))
-        except UndecidedError as error:
-            link.send(ForwardReply(request, ForwardOutcome.UNKNOWN, detail=str(error)))
-        else:
-            link.send(ForwardReply(request, ForwardOutcome.DONE, result))
-
     async def replace_member(self, replacement: Replacement) -> tuple[bool, str]:
         """Make the next step of a replacement; return whether it is finished, and the step."""
         await self.read_barrier()
@@ -273,33 +205,10 @@
         return False, step.text
 
 
-class _Retries:
-    """Pauses between the tries of one request, until its time is up."""
-
-    def __init__(self, host: RaftHost, timeout_seconds: float, rng: random.Random) -> None:
-        self._host = host
-        self._rng = rng
-        self._deadline = asyncio.get_running_loop().time() + timeout_seconds
-        self._pause = FIRST_PAUSE_SECONDS
-
-    def remaining(self) -> float:
-        """Return the seconds left."""
-        return max(0.0, self._deadline - asyncio.get_running_loop().time())
-
-    async def pause(self, error: Exception) -> None:
-        """Wait for a new leader or a while; raise when the time is up."""
-        if self.remaining() <= 0.0:
-            text = str(error) or "no quorum answered in time"
-            raise ControlUnavailableError(text) from error
-        pause = min(self._pause * (0.5 + self._rng.random()), self.remaining())
-        self._pause = min(2 * self._pause, LONGEST_PAUSE_SECONDS)
-        await self._host.wait_for_role_change(pause)
-
-
-def _role_of(member: Member) -> MemberRole:
-    if member.role is GroupRole.VOTER:
-        return MemberRole.VOTER
-    return MemberRole.LEARNER if member.promote else MemberRole.STANDBY
+def _role_of(member: Member) -> LogMemberRole:
+    if member.role is MemberRole.VOTER:
+        return LogMemberRole.VOTER
+    return LogMemberRole.LEARNER if member.promote else LogMemberRole.STANDBY
 
 
 def _ignore(_report: InForceReport | DirectoryReport | CrashNews) -> None:
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -1,20 +1,22 @@
 """Runs a node of the replicated log on the event loop, with real disk, clock and links.
 
 Events that come in during one turn of the loop are handled together, so that their entries share
-one message and one sync (group commit). Writes run in a thread, one at a time; what comes in
-meanwhile gathers for the next.
+one message and one sync (group commit). What comes in during a write waits for the next.
+
+Owns the node, its timer and what waits for its outcomes. Relies on
+:class:`~finchshed.control.raft.journal_writer.JournalWriter` for the disk, and on the links for
+messages, which may be lost.
 """
 
 import asyncio
 import random
 import time
 from collections.abc import Callable
-from concurrent.futures import ThreadPoolExecutor
 from typing import TypeAlias
 
 from loguru import logger
 
-from finchshed.common.errors import InvariantError, StorageError
+from finchshed.common.errors import InvariantError
 from finchshed.consensus.driver import Driver
 from finchshed.consensus.effects import (
     Committed,
@@ -37,14 +39,15 @@
     Tick,
     TransferLeadership,
 )
-from finchshed.consensus.membership import InitialMember, Membership, MembershipChange
+from finchshed.consensus.membership import InitialMember, MembershipChange
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
 from finchshed.consensus.options import RaftOptions
 from finchshed.control.background import Background
 from finchshed.control.raft import metrics
-from finchshed.control.raft.member_changes import count_members, describe_change
-from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.group_changes import GroupChanges
+from finchshed.control.raft.journal_writer import JournalWriter
+from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import RaftLine
 from finchshed.control.raft.pending_outcomes import (
     NotTakenError,
@@ -57,12 +60,9 @@
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.runtime import clock
 
-DISK_RETRY_SECONDS = 0.5
-STUCK_WRITE_SECONDS = 1.0
 OBSERVE_SECONDS = 0.1
 """Time between settings of the gauges; at each step they took 7 % of a leader in a profile."""
 
-
 MakeEvent: TypeAlias = Callable[[int], Event]
 
 
@@ -101,7 +101,7 @@
         self._background = background
         self._folder = open_log_folder(data_folder)
         opened = open_durable_state(self._folder, rng)
-        self._store = opened.store
+        self._journal = JournalWriter(opened.store)
         initial = tuple(InitialMember(voter, where) for voter, where in voters.items())
         self.node = RaftNode(
             name,
@@ -109,30 +109,27 @@
             opened.stored,
             rng=rng,
             initial_members=initial,
-            now=_now(),
+            now=clock.now(),
             options=options,
             may_form=may_form,
             zone=zone,
         )
         self._driver = Driver(self.node, self)
-        self._links: PeerLinks | None = None
+        self._links: ControlNodeLinks | None = None
         self._events: list[Event] = []
         self._flush_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
-        self._writer = ThreadPoolExecutor(max_workers=1, thread_name_prefix="journal")
         self._pending = PendingOutcomes()
         self._last_applied: tuple[int, CommandResult | None] = (0, None)
-        self._role_changed = asyncio.Event()
-        self._write_started: float | None = None
+        self._changes = GroupChanges()
         self._is_stopped = False
         self._observe_due = 0.0
-        self._members = Membership()
 
-    def start(self, links: PeerLinks) -> None:
+    def start(self, links: ControlNodeLinks) -> None:
         """Bring the state machine to what the disk holds, and take part in the group."""
         self._links = links
         started = clock.now()
-        self._driver.start(_now())
+        self._driver.start(clock.now())
         self._after_step()
         elapsed = clock.now() - started
         logger.info("state at entry {} after {:.3f} s", self._machine.applied_index, elapsed)
@@ -142,7 +139,7 @@
         self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
-        await asyncio.get_running_loop().run_in_executor(None, self._writer.shutdown)
+        await self._journal.close()
         self._folder.close()
 
     @property
@@ -156,14 +153,12 @@
 
         A node that can't write still hears its leader, but applies nothing new.
         """
-        started = self._write_started
-        is_stuck = started is not None and _now() - started > STUCK_WRITE_SECONDS
-        return not (self.node.disk_full or is_stuck)
+        return not (self.node.disk_full or self._journal.is_stuck)
 
     @property
     def journal_bytes(self) -> int:
         """Size of the journal file."""
-        return self._store.journal_bytes
+        return self._journal.journal_bytes
 
     async def propose(self, command: Command) -> CommandResult:
         """Commit ``command`` as the leader and return its result.
@@ -200,16 +195,12 @@
         self._post(TransferLeadership())
 
     def receive(self, envelope: Envelope) -> None:
-        """Take a message of another node."""
+        """Handle a message of another node."""
         self._post(Received(envelope))
 
     async def wait_for_role_change(self, timeout_seconds: float) -> None:
         """Return after the role or known leader changed, or after the time."""
-        changed = self._role_changed
-        try:
-            await asyncio.wait_for(changed.wait(), timeout_seconds)
-        except TimeoutError:
-            return
+        await self._changes.wait_for_role(timeout_seconds)
 
     # What the driver asks of its host.
 
@@ -236,7 +227,7 @@
         return data
 
     def report(self, effect: Effect) -> None:
-        """Take the outcome of a proposal, read or change, or a change of role."""
+        """Hand on the outcome of a proposal, read or change, or note a change of role."""
         match effect:
             case Committed():
                 self._pending.resolve(effect.token, self._result_of(effect.index))
@@ -249,18 +240,9 @@
             case ReadFailed():
                 self._pending.fail(effect.token, NotTakenError(RefusalCause.NOT_READY))
             case RoleChanged():
-                logger.info("{} in term {}, leader {}", effect.role, effect.term, effect.leader)
-                metrics.ROLE_CHANGES.labels(effect.role.value).inc()
-                self._role_changed.set()
-                self._role_changed = asyncio.Event()
+                self._changes.on_role(effect)
             case MembershipChanged():
-                self._log_members(effect)
-
-    def _log_members(self, changed: MembershipChanged) -> None:
-        before, self._members = self._members, changed.membership
-        change = describe_change(before, changed.membership)
-        counts = count_members(changed.membership)
-        logger.info("members at entry {}: {}; {}", changed.index, counts, change)
+                self._changes.on_members(effect)
 
     def _submit(self, make_event: MakeEvent) -> Outcome:
         token, outcome = self._pending.add()
@@ -291,7 +273,7 @@
 
     def _step(self, events: list[Event]) -> None:
         try:
-            self._driver.handle(events, _now())
+            self._driver.handle(events, clock.now())
         except InvariantError as error:
             self._background.broken(error)
             return
@@ -304,34 +286,18 @@
             self._timer.cancel()
         delay = self.node.next_delay()
         self._timer = asyncio.get_running_loop().call_later(delay, self._on_timer)
-        now = _now()
+        now = clock.now()
         if now >= self._observe_due:
             self._observe_due = now + OBSERVE_SECONDS
             metrics.observe(self.node, self.journal_bytes)
 
     async def _write(self) -> None:
-        loop = asyncio.get_running_loop()
-        writes = self._driver.next_writes()
-        started = self._write_started = _now()
-        try:
-            outcome = await loop.run_in_executor(self._writer, self._store.write, writes)
-        except StorageError as error:
-            raise InvariantError(f"the disk failed: {error}") from error
-        finally:
-            self._write_started = None
-        metrics.WRITE_SECONDS.observe(_now() - started)
-        if outcome is not outcome.DURABLE:
-            logger.error("the disk is full; trying again")
-            await asyncio.sleep(DISK_RETRY_SECONDS)
+        outcome = await self._journal.write(self._driver.next_writes())
         if self._is_stopped:
             return
         try:
-            self._driver.written(outcome, _now())
+            self._driver.written(outcome, clock.now())
         except InvariantError as error:
             self._background.broken(error)
             return
         self._after_step()
-
-
-def _now() -> float:
-    return clock.now()
--- a/src/finchshed/control/raft/node_links.py
+++ b/src/finchshed/control/raft/node_links.py
@@ -1,8 +1,8 @@
 """Connections between control nodes: each node dials every other and sends on its own link.
 
-Answers to forwarded requests return on the link they came by. Everything else may be lost: the
-replicated log sends again, reports are repeated. So a peer that doesn't read is never waited for;
-what its buffer can't take is dropped.
+Owns the connections. Answers to forwarded requests return on the link they came by. Everything
+else may be lost: the replicated log sends again, reports are repeated. So a peer that doesn't read
+is never waited for; what its buffer can't take is dropped.
 """
 
 import asyncio
@@ -13,6 +13,7 @@
 
 from loguru import logger
 
+from finchshed.common.backoff import Backoff
 from finchshed.control.addresses import split_address
 from finchshed.control.background import Background
 from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
@@ -28,18 +29,26 @@
 OnMessage: TypeAlias = Callable[[PeerLink, PeerMessage], None]
 
 MAX_LINE_BYTES = 96 << 20
+"""Longest line taken from another control node, bytes: a snapshot of the state is in one."""
+
 MAX_UNSENT_BYTES = 32 << 20
-"""A peer with more than this unsent gets nothing more until it reads."""
+"""A peer with more than this unsent gets nothing more until it reads. Chosen, not measured."""
 
 CONNECT_SECONDS = 1.0
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 1.0
+"""Longest wait for a connection to be made. Chosen, not measured."""
+
+DIAL_BACKOFF = Backoff(first_seconds=0.05, longest_seconds=1.0)
+"""Pauses after dials that failed in a row, seconds, without jitter: a group has a handful of nodes,
+and one that comes up ends the pauses of the others by dialling them. Chosen, not measured."""
+
 WAITING_MESSAGES = 64
-"""Messages kept while a connection is being made; the newest are kept."""
+"""Messages kept while a connection is being made; the newest are kept. Chosen, not
+measured."""
 
 UNACKNOWLEDGED_MILLISECONDS = 3_000
 """A connection whose data the other side doesn't acknowledge for this long is closed, so that a
-healed cut is used at once instead of after the kernel's backed-off retransmission."""
+healed cut is used at once instead of after the kernel's backed-off retransmission. Chosen, not
+measured."""
 
 DROPPED = Counter(
     "finchshed_control_peer_dropped", "Messages to control nodes dropped: buffer full or no link"
@@ -54,12 +63,18 @@
         self.link: PeerLink | None = None
         self.waiting: list[PeerMessage] = []
         self.is_connecting = False
-        self.pause = FIRST_PAUSE_SECONDS
+        self.failures = 0
         self.opened_at = 0.0
         self.wake = asyncio.Event()
 
+    def next_pause(self) -> float:
+        """Return the seconds to wait after one more failure."""
+        pause = DIAL_BACKOFF.bound(self.failures)
+        self.failures += 1
+        return pause
+
 
-class PeerLinks:
+class ControlNodeLinks:
     """All connections of one control node to others.
 
     Parameters
@@ -149,11 +164,10 @@
         if self._credentials is None or link is None:
             return
         lived = asyncio.get_running_loop().time() - outbound.opened_at
-        if lived >= LONGEST_PAUSE_SECONDS:
-            outbound.pause = FIRST_PAUSE_SECONDS
+        if lived >= DIAL_BACKOFF.longest_seconds:
+            outbound.failures = 0
             return
-        await asyncio.sleep(outbound.pause)
-        outbound.pause = min(2 * outbound.pause, LONGEST_PAUSE_SECONDS)
+        await asyncio.sleep(outbound.next_pause())
 
     async def _connect(self, outbound: _Outbound) -> None:
         await self._pause_if_refused(outbound)
@@ -168,7 +182,7 @@
             outbound.is_connecting = False
             return
         if self._credentials is None:
-            outbound.pause = FIRST_PAUSE_SECONDS
+            outbound.failures = 0
         outbound.opened_at = asyncio.get_running_loop().time()
         outbound.is_connecting = False
         outbound.link = link
@@ -207,7 +221,7 @@
         host = split_address(peer_address)[0]
         for outbound in self._outbound.values():
             if split_address(outbound.address)[0] == host:
-                outbound.pause = FIRST_PAUSE_SECONDS
+                outbound.failures = 0
                 outbound.wake.set()
 
     def _make_outbound(self) -> PeerLink:
@@ -252,10 +266,8 @@
 
 async def _pause(outbound: _Outbound) -> None:
     """Wait before the next try, unless the other side has connected meanwhile."""
-    pause = outbound.pause
-    outbound.pause = min(2 * outbound.pause, LONGEST_PAUSE_SECONDS)
     with contextlib.suppress(TimeoutError):
-        await asyncio.wait_for(outbound.wake.wait(), pause)
+        await asyncio.wait_for(outbound.wake.wait(), outbound.next_pause())
 
 
 def _unproven_sender(link: PeerLink, message: PeerMessage) -> str:
--- a/src/finchshed/control/raft/replicated_log.py
+++ b/src/finchshed/control/raft/replicated_log.py
@@ -11,7 +11,7 @@
 from finchshed.quarantine.messages import CrashNews
 
 
-class MemberRole(enum.StrEnum):
+class LogMemberRole(enum.StrEnum):
     """What a member is to the log."""
 
     LEADER = "leader"
@@ -23,7 +23,7 @@
     """Follows the log and doesn't vote, until it takes the place of a silent voter."""
 
 
-class MemberStatus(msgspec.Struct, frozen=True):
+class LogMemberStatus(msgspec.Struct, frozen=True):
     """One member of the control group, as this node sees it.
 
     Attributes
@@ -36,7 +36,7 @@
 
     name: str
     address: str
-    role: MemberRole
+    role: LogMemberRole
     incarnation: str = ""
     match_index: int = 0
     silent_seconds: float = -1.0
@@ -50,7 +50,7 @@
     term: int
     commit_index: int
     applied_index: int
-    members: tuple[MemberStatus, ...]
+    members: tuple[LogMemberStatus, ...]
 
 
 class ReplicatedLog(Protocol):
--- a/tests/control/test_forwarding.py
+++ b/tests/control/test_forwarding.py
@@ -12,7 +12,7 @@
 from finchshed.control.background import Background
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.raft.host import RaftHost
-from finchshed.control.raft.node_links import PeerLink, PeerLinks
+from finchshed.control.raft.node_links import ControlNodeLinks, PeerLink
 from finchshed.control.raft.node_messages import ForwardedCommand, ForwardOutcome, ForwardReply
 from finchshed.control.state.commands import ApplyChange
 from finchshed.control.state.machine import ControlStateMachine
@@ -28,7 +28,7 @@
     is_leader = False
     node = SimpleNamespace(leader_address=LEADER)
 
-    def start(self, links: PeerLinks) -> None:
+    def start(self, links: ControlNodeLinks) -> None:
         """Take part in nothing."""
 
     async def wait_for_role_change(self, seconds: float) -> None:
@@ -62,7 +62,7 @@
     background = Background(on_broken=lambda error: pytest.fail(str(error)))
     host = cast(Any, Follower())
     log = GroupLog(cast(RaftHost, host), ControlStateMachine(), background, TIMEOUT_SECONDS)
-    log.start(cast(PeerLinks, links))
+    log.start(cast(ControlNodeLinks, links))
     links.log = log
     return log
 
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -7,7 +7,7 @@
 import pytest
 
 from finchshed.control.background import Background
-from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import (
     ForwardOutcome,
     ForwardReply,
@@ -36,7 +36,7 @@
         background = Background(lambda error: pytest.fail(str(error)))
         hello = PeerHello("c1", "127.0.0.1:2")
         allowed = PeerNetworks(networks)
-        self.links = PeerLinks(hello, self._receive, background, allowed)
+        self.links = ControlNodeLinks(hello, self._receive, background, allowed)
 
     def _receive(self, _link: object, message: PeerMessage) -> None:
         self.received.append(message)
--- a/tests/control/test_raft_host.py
+++ b/tests/control/test_raft_host.py
@@ -11,7 +11,7 @@
 from finchshed.control.background import Background
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.raft.host import RaftHost
-from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import PeerHello
 from finchshed.control.state.commands import NoteAction
 from finchshed.control.state.machine import ControlStateMachine
@@ -63,7 +63,7 @@
         background=background,
     )
     made = GroupLog(host, machine, background, timeout_seconds=TIMEOUT_SECONDS)
-    links = PeerLinks(PeerHello("c1", ""), made.on_message, background)
+    links = ControlNodeLinks(PeerHello("c1", ""), made.on_message, background)
     await links.start(address)
     made.start(links)
     yield made
--- a/tests/control/test_replacement.py
+++ b/tests/control/test_replacement.py
@@ -1,12 +1,12 @@
 from finchshed.consensus.membership import AddMember, RemoveMember
 from finchshed.control.operators.replacement import Replacement, next_step
-from finchshed.control.raft.replicated_log import MemberRole, MemberStatus
+from finchshed.control.raft.replicated_log import LogMemberRole, LogMemberStatus
 
 
-def members(*texts: str) -> list[MemberStatus]:
+def members(*texts: str) -> list[LogMemberStatus]:
     """Return members given as ``name:role``."""
     pairs = (text.split(":") for text in texts)
-    return [MemberStatus(name, "", MemberRole(role)) for name, role in pairs]
+    return [LogMemberStatus(name, "", LogMemberRole(role)) for name, role in pairs]
 
 
 GROUP = ("c1:leader", "c2:voter", "c3:voter")
--- a/tests/tls/test_control_peers.py
+++ b/tests/tls/test_control_peers.py
@@ -10,7 +10,7 @@
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import Envelope, PreVoteReply
 from finchshed.control.background import Background
-from finchshed.control.raft.node_links import PeerLinks
+from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
 from finchshed.distribution.status import InForceReport
 from finchshed.link.encoding import encode_line
@@ -37,7 +37,7 @@
         (self.address,) = free_addresses(1)
         credentials = Credentials(keys.issue(Role.CONTROL, "c1"))
         self.background = Background(lambda error: pytest.fail(str(error)))
-        self.links = PeerLinks(
+        self.links = ControlNodeLinks(
             PeerHello("c1", ""),
             lambda _, message: self.received.put_nowait(message),
             self.background,
@@ -89,7 +89,7 @@
 
 
 async def test_links_of_two_nodes_carry_messages(node: Node, tmp_path: Path) -> None:
-    other = PeerLinks(
+    other = ControlNodeLinks(
         PeerHello("c2", "127.0.0.1:1"),
         lambda *_: None,
         node.background,
@@ -101,7 +101,7 @@
 
 
 async def test_a_node_that_is_refused_comes_back_less_and_less_often(node: Node) -> None:
-    other = PeerLinks(
+    other = ControlNodeLinks(
         PeerHello("c9", ""),
         lambda *_: None,
         node.background,
