--- a/src/finchshed/control/daemons/directory_service.py
+++ b/src/finchshed/control/daemons/directory_service.py
@@ -1,14 +1,14 @@
 """What a control node does with registrations of back ends: keep, pass on to daemons and peers.
 
-Soft state: nothing of it is written to the log or a disk. A control node passes on what the daemons
-connected to it tell, at once to its peers and to its daemons, and now and then all of it again, so
-that a lost message is made good.
+Owns the directory of one control node, as soft state. A control node passes on what the daemons
+connected to it report, at once to its peers and to its daemons, and all of it again now and then,
+so that a lost message is made good. Relies on :mod:`finchshed.directory.table` for what is news.
 """
 
 import asyncio
 from collections.abc import Callable, Sequence
 
-from finchshed.control.daemons.gathering import Gathering
+from finchshed.control.daemons.soft_state_updates import SoftStateUpdates
 from finchshed.control.raft.node_messages import DirectoryReport
 from finchshed.directory.registration import Registration
 from finchshed.directory.table import Directory
@@ -20,13 +20,16 @@
 )
 
 CONFIRM_SECONDS = 2.0
-"""Time between reports to the peers of all registrations that were told here."""
+"""Time between reports to the peers of all registrations that were reported here. Chosen, not
+measured."""
 
 FORGET_SECONDS = 15.0
-"""A registration is dropped if no control node has heard its daemon for this long."""
+"""A registration is dropped if no control node has heard its daemon for this long. Chosen, not
+measured."""
 
 OWN_SECONDS = 5.0
-"""A daemon that announced itself here within this time counts as connected here."""
+"""A daemon that announced itself here within this time counts as connected here. Chosen,
+not measured."""
 
 
 class DirectoryService:
@@ -48,27 +51,24 @@
         self._broadcast = broadcast
         self._send_report = send_report
         self._directory = Directory(FORGET_SECONDS)
-        self._told_here: dict[str, float] = {}
+        self._reported_here: dict[str, float] = {}
         self._addresses: tuple[str, ...] = ()
-        self._news: Gathering[Registration] = Gathering(
+        self._updates: SoftStateUpdates[Registration] = SoftStateUpdates(
             lambda registration: registration.address,
             lambda registrations: broadcast(DirectoryUpdate(registrations)),
+            lambda registrations: send_report(DirectoryReport(registrations)),
         )
 
     def on_announce(self, message: Announce) -> None:
-        """Take a registration from a daemon connected here."""
+        """Merge a registration of a daemon connected here."""
         registration = message.registration
         now = _now()
-        self._told_here[registration.address] = now
-        news = self._directory.take((registration,), now)
-        if news:
-            self._send_report(DirectoryReport(news))
-            self._news.add(news)
+        self._reported_here[registration.address] = now
+        self._updates.on_own_news(self._directory.take((registration,), now))
 
     def on_report(self, report: DirectoryReport) -> None:
-        """Take registrations that another control node passes on."""
-        news = self._directory.take(report.registrations, _now())
-        self._news.add(news)
+        """Merge registrations that another control node passes on."""
+        self._updates.on_peer_news(self._directory.take(report.registrations, _now()))
 
     def greeting(self) -> Sequence[ControlToDaemon]:
         """Return what a daemon is sent when it connects."""
@@ -76,7 +76,7 @@
         return (held, ControlNodes(self._addresses)) if self._addresses else (held,)
 
     def set_control_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Take the distribution addresses of the control nodes, and tell them if they changed."""
+        """Keep the distribution addresses of the control nodes, and send them if they changed."""
         if addresses != self._addresses:
             self._addresses = addresses
             self._broadcast(ControlNodes(addresses))
@@ -93,8 +93,10 @@
 
     def _own(self, now: float) -> tuple[Registration, ...]:
         since = now - OWN_SECONDS
-        self._told_here = {address: at for address, at in self._told_here.items() if at >= since}
-        held = (self._directory.get(address) for address in self._told_here)
+        self._reported_here = {
+            address: at for address, at in self._reported_here.items() if at >= since
+        }
+        held = (self._directory.get(address) for address in self._reported_here)
         return tuple(registration for registration in held if registration is not None)
 
 
--- a/src/finchshed/control/daemons/distribution_service.py
+++ b/src/finchshed/control/daemons/distribution_service.py
@@ -1,4 +1,8 @@
-"""What control does for its daemons: configuration down, ledger requests and reports up."""
+"""What control does for its daemons: configuration down, ledger requests and reports up.
+
+Owns the hub, and the services of soft state and quotas that share its connections. Relies on the
+replicated log for what is committed.
+"""
 
 import asyncio
 import time
@@ -28,11 +32,14 @@
 from finchshed.tls.names import Role
 
 CONTACT_SECONDS = 0.4
-"""Time between looks at whether this node is in contact with a quorum."""
+"""Time between looks at whether this node is in contact with a quorum; the hub asks for one each
+half second at least. Chosen, not measured."""
 
 REPORT_SECONDS = 1.0
+"""Time between reports of this node's daemons to the other control nodes. Chosen, not measured."""
+
 FULL_REPORT_EVERY = 10
-"""Each so many reports one lists every daemon, in case one was lost."""
+"""Each so many reports one lists every daemon, in case one was lost. Chosen, not measured."""
 
 
 class DistributionService:
@@ -56,35 +63,16 @@
         *,
         credentials: Credentials | None = None,
     ) -> None:
-        connect = Connector(credentials, Role.CONTROL)
         self._machine = machine
         self._log = log
         self._background = background
-        self._ledger = LedgerRouter(
-            machine,
-            log,
-            LedgerService(log, background),
-            make_shard=lambda addresses: ShardClient(node, addresses, connect),
-            now=clock.now,
-            unix_now=time.time,
-        )
+        self._ledger = self._make_ledger(node, credentials)
         self._hub = Hub(node)
         self._explanations = Explanations()
         self.directory = DirectoryService(self._broadcast, log.send_report)
         self.quarantine = QuarantineService(self._broadcast, log.send_report)
         self.quotas = QuotaService(machine, log, self._send_to)
-        self._server = HubServer(
-            self._hub,
-            self._confirm,
-            self._on_ledger,
-            self._explanations.on_reply,
-            networks=networks,
-            credentials=credentials,
-            on_announce=self.directory.on_announce,
-            on_quota=self.quotas.on_request,
-            on_crash_news=self.quarantine.on_daemon_news,
-            on_subscribed=self._greeting,
-        )
+        self._server = self._make_server(networks, credentials)
         self._requests: set[asyncio.Task[None]] = set()
         self._status: StatusTable | None = None
         self._is_serving = False
@@ -97,7 +85,7 @@
         await self._server.start(host, port)
         self._is_serving = True
         self._server.restore(self._configuration())
-        self._background.spawn(self._watch_contact())
+        self._background.spawn(self._look_for_contact())
         self._background.spawn(self._report())
         self._background.spawn(self.directory.run())
         self._background.spawn(self.quarantine.run())
@@ -127,7 +115,7 @@
             self._server.restore(self._configuration())
 
     def on_report(self, report: InForceReport) -> None:
-        """Take another control node's report of its daemons."""
+        """Merge another control node's report of its daemons."""
         if self._status is not None:
             self._status.merge(report, asyncio.get_running_loop().time())
 
@@ -149,6 +137,33 @@
         """Return recent decisions of a daemon, or None when it can't be asked here."""
         return await self._explanations.ask(self._server, node, root, limit)
 
+    def _make_ledger(self, node: str, credentials: Credentials | None) -> LedgerRouter:
+        connect = Connector(credentials, Role.CONTROL)
+        return LedgerRouter(
+            self._machine,
+            self._log,
+            LedgerService(self._log, self._background),
+            make_shard=lambda addresses: ShardClient(node, addresses, connect),
+            now=clock.now,
+            unix_now=time.time,
+        )
+
+    def _make_server(
+        self, networks: PeerNetworks | None, credentials: Credentials | None
+    ) -> HubServer:
+        return HubServer(
+            self._hub,
+            self._confirm,
+            self._on_ledger,
+            self._explanations.on_reply,
+            networks=networks,
+            credentials=credentials,
+            on_announce=self.directory.on_announce,
+            on_quota=self.quotas.on_request,
+            on_crash_news=self.quarantine.on_daemon_news,
+            on_subscribed=self._greeting,
+        )
+
     def _greeting(self) -> Sequence[ControlToDaemon]:
         return (*self.directory.greeting(), *self.quarantine.greeting())
 
@@ -174,7 +189,7 @@
     async def _answer_ledger(self, request: LedgerRequest, answer: Answer) -> None:
         answer(await self._ledger.answer(request))
 
-    async def _watch_contact(self) -> None:
+    async def _look_for_contact(self) -> None:
         while True:
             self._server.note_contact(self._log.in_contact())
             await asyncio.sleep(CONTACT_SECONDS)
--- a/src/finchshed/control/daemons/quarantine_service.py
+++ b/src/finchshed/control/daemons/quarantine_service.py
@@ -1,7 +1,8 @@
 """What a control node does with news of requests that crash back ends: keep, pass on, lift.
 
-Soft state, as the directory is: any control node takes news, no quorum is asked, and nothing of it
-is written to the log or a disk. After a loss of all control nodes daemons tell what they hold.
+Owns the register of one control node, as soft state: any control node takes news, no quorum is
+asked, and nothing of it is written to the log or a disk. After a loss of all control nodes daemons
+report what they hold. Relies on :mod:`finchshed.quarantine.register` for what is held of a request.
 """
 
 import asyncio
@@ -9,14 +10,15 @@
 
 from loguru import logger
 
-from finchshed.control.daemons.gathering import Gathering
+from finchshed.control.daemons.soft_state_updates import SoftStateUpdates
 from finchshed.distribution.messages import ControlToDaemon
 from finchshed.quarantine.messages import CrashNews, CrashRecord
 from finchshed.quarantine.register import FREE, Judgement, QuarantineRegister
 from finchshed.runtime import clock
 
 CONFIRM_SECONDS = 2.0
-"""Time between reports of all that is held to the other control nodes, in case one was lost."""
+"""Time between reports of all that is held to the other control nodes, in case one was lost.
+Chosen, not measured."""
 
 
 class QuarantineService:
@@ -37,20 +39,19 @@
     ) -> None:
         self._send_report = send_report
         self._register = QuarantineRegister()
-        self._news: Gathering[CrashRecord] = Gathering(
-            lambda record: record.signature, lambda records: broadcast(CrashNews(records))
+        self._updates: SoftStateUpdates[CrashRecord] = SoftStateUpdates(
+            lambda record: record.signature,
+            lambda records: broadcast(CrashNews(records)),
+            lambda records: send_report(CrashNews(records)),
         )
 
     def on_daemon_news(self, news: CrashNews) -> None:
-        """Take news of a daemon connected here."""
-        changed = self._register.merge(news.records, clock.now())
-        if changed:
-            self._send_report(CrashNews(changed))
-            self._news.add(changed)
+        """Merge news of a daemon connected here."""
+        self._updates.on_own_news(self._register.merge(news.records, clock.now()))
 
     def on_report(self, news: CrashNews) -> None:
-        """Take news that another control node passes on."""
-        self._news.add(self._register.merge(news.records, clock.now()))
+        """Merge news that another control node passes on."""
+        self._updates.on_peer_news(self._register.merge(news.records, clock.now()))
 
     def greeting(self) -> Sequence[ControlToDaemon]:
         """Return what a daemon is sent when it connects."""
@@ -70,8 +71,7 @@
         if record is None:
             return False
         logger.info("request {} is free: an operator says so", signature)
-        self._send_report(CrashNews((record,)))
-        self._news.add((record,))
+        self._updates.on_own_news((record,))
         return True
 
     async def run(self) -> None:
--- a/src/finchshed/control/node.py
+++ b/src/finchshed/control/node.py
@@ -1,4 +1,7 @@
-"""One control node: its parts, started and stopped in order."""
+"""One control node: its parts, started and stopped in order.
+
+Owns the parts. Which part tells which is set here and nowhere else.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -28,10 +31,14 @@
     from finchshed.observability.admin import AdminServer
 
 ELECTION_SPREAD = 2.0
-"""The longest election timeout, as a multiple of the shortest."""
+"""The longest election timeout, as a multiple of the shortest, as in the Raft paper
+(Ongaro and Ousterhout, 2014: 150 to 300 ms)."""
 
 TRANSFER_SECONDS = 2.0
+"""Longest wait at a stop until another node leads. Chosen, not measured."""
+
 ALTERNATIVES_SECONDS = 2.0
+"""Time between looks at which control nodes daemons may move to. Chosen, not measured."""
 
 
 class ControlNode:
@@ -48,32 +55,13 @@
         self._background = background
         self._machine = ControlStateMachine(self._on_committed, self._on_restored)
         self._feed = RevisionFeed(self._machine.store)
-        self._host = RaftHost(
-            settings.node,
-            settings.raft_advertised_address or settings.raft_address,
-            member_addresses(settings.voters),
-            settings.data_folder,
-            options=_options(settings),
-            may_form=settings.forms_group,
-            zone=settings.zone,
-            machine=self._machine,
-            background=background,
-        )
+        self._host = self._make_host()
         self._log = GroupLog(
             self._host, self._machine, background, settings.request_timeout_seconds
         )
-        hello = PeerHello(
-            settings.node, settings.distribution_advertised_address or settings.distribution_address
-        )
         networks = PeerNetworks(settings.peer_networks)
         credentials = credentials_of(settings)
-        self._links = ControlNodeLinks(
-            hello,
-            self._log.on_message,
-            background,
-            networks=networks,
-            credentials=credentials,
-        )
+        self._links = self._make_links(networks, credentials)
         self._distribution = DistributionService(
             settings.node,
             self._machine,
@@ -118,6 +106,37 @@
         if self._admin is not None:
             await self._admin.stop()
 
+    def _make_host(self) -> RaftHost:
+        settings = self._settings
+        return RaftHost(
+            settings.node,
+            settings.raft_advertised_address or settings.raft_address,
+            member_addresses(settings.voters),
+            settings.data_folder,
+            options=_options(settings),
+            may_form=settings.forms_group,
+            zone=settings.zone,
+            machine=self._machine,
+            background=self._background,
+        )
+
+    def _make_links(
+        self, networks: PeerNetworks, credentials: Credentials | None
+    ) -> ControlNodeLinks:
+        hello = PeerHello(self._settings.node, self._distribution_address())
+        return ControlNodeLinks(
+            hello,
+            self._log.on_message,
+            self._background,
+            networks=networks,
+            credentials=credentials,
+        )
+
+    def _distribution_address(self) -> str:
+        """Return the address where daemons reach this node."""
+        settings = self._settings
+        return settings.distribution_advertised_address or settings.distribution_address
+
     def _make_rpc(self, credentials: Credentials | None) -> "RpcServer":
         # Not at the import: a node without it needn't hold gRPC in memory.
         from finchshed.control.operators.rpc_server import RpcServer
@@ -147,7 +166,7 @@
             await self._host.wait_for_role_change(deadline - clock.now())
 
     async def _name_alternatives(self) -> None:
-        own = self._settings.distribution_advertised_address or self._settings.distribution_address
+        own = self._distribution_address()
         while True:
             known = {*self._links.distribution_addresses.values(), own}
             self._distribution.set_alternatives(tuple(sorted(known)))
--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -1,6 +1,9 @@
-"""The operators' RPC service on a control node."""
+"""The operators' RPC service on a control node: who may ask, what is done, and in which order.
+
+Owns no state. Relies on the replicated log for everything that is changed, and on
+:mod:`finchshed.control.operators.answers` for the form of the answers.
+"""
 
-import time
 from collections.abc import AsyncIterator
 from typing import Protocol
 
@@ -11,12 +14,18 @@
 from finchshed.configuration.changes import Accepted, Change, Conflict, Invalid
 from finchshed.control.daemons.distribution_service import DistributionService
 from finchshed.control.operators.access import Access, abort
+from finchshed.control.operators.answers import (
+    explain_answer,
+    history_answer,
+    members_answer,
+    quarantine_answer,
+    status_answer,
+)
 from finchshed.control.operators.replacement import Replacement
 from finchshed.control.operators.revisions import RevisionFeed
 from finchshed.control.raft.replicated_log import ReplicatedLog
 from finchshed.control.state.commands import ApplyChange, NoteAction
 from finchshed.control.state.machine import ControlStateMachine
-from finchshed.distribution.status import DaemonState
 from finchshed.observability import ring
 from finchshed.rpc.conversion import (
     key_from_message,
@@ -29,13 +38,22 @@
 from finchshed.rpc.generated import finchshed_pb2_grpc as pb_grpc
 
 MAX_CHANGE_ID_CHARACTERS = 200
+"""Longest identity of a change; the store keeps it. Chosen, not measured."""
+
 MAX_EXPLAINED_DECISIONS = 1_000
+"""Most decisions of a daemon in one answer. Chosen, not measured."""
+
 MAX_HISTORY_ENTRIES = 1_000
+"""Most entries of the audit trail in one answer. Chosen, not measured."""
+
 MAX_NAME_CHARACTERS = 63
+"""Longest name of a member or signature that is kept in the audit trail: that of any resource."""
+
 BACKUP_PIECE_BYTES = 1 << 20
+"""Size of one message of a backup, a quarter of gRPC's default bound. Chosen, not measured."""
 
 
-class Membership(Protocol):
+class MemberReplacer(Protocol):
     """Changes the members of the control group."""
 
     async def replace_member(self, replacement: Replacement) -> tuple[bool, str]:
@@ -60,7 +78,7 @@
         distribution: DistributionService,
         feed: RevisionFeed,
         bootstrap_token_sha256: str,
-        membership: Membership,
+        membership: MemberReplacer,
     ) -> None:
         self._machine = machine
         self._log = log
@@ -144,18 +162,12 @@
         """Read which daemons act on which revision."""
         await self._access.operator(context)
         confirmed = await self._is_confirmed()
-        status = self._log.status()
-        distribution = self._distribution.status()
-        return pb.StatusResponse(
-            node=status.node,
-            leader=status.leader,
+        return status_answer(
+            self._log.status(),
+            self._distribution.status(),
             revision=self._machine.store.revision,
-            confirmed=confirmed,
-            known=distribution.known,
-            in_force=distribution.in_force,
-            behind=[_daemon_status(daemon) for daemon in distribution.behind],
-            silent=[_daemon_status(daemon) for daemon in distribution.silent],
-            ledger=self._ledger_status(),
+            is_confirmed=confirmed,
+            ledger=self._machine.ledger,
         )
 
     async def Members(  # noqa: N802
@@ -163,26 +175,7 @@
     ) -> pb.MembersResponse:
         """Read the members of the control group."""
         await self._access.operator(context)
-        status = self._log.status()
-        members = [
-            pb.Member(
-                name=member.name,
-                address=member.address,
-                role=member.role.value,
-                incarnation=member.incarnation,
-                match_index=member.match_index,
-                silent_seconds=member.silent_seconds,
-            )
-            for member in status.members
-        ]
-        return pb.MembersResponse(
-            node=status.node,
-            leader=status.leader,
-            term=status.term,
-            commit_index=status.commit_index,
-            applied_index=status.applied_index,
-            members=members,
-        )
+        return members_answer(self._log.status())
 
     async def ReplaceMember(  # noqa: N802
         self, request: pb.ReplaceMemberRequest, context: grpc.aio.ServicerContext
@@ -211,38 +204,14 @@
         if decisions is None:
             detail = f"daemon {request.node} isn't connected here or didn't answer"
             await abort(context, grpc.StatusCode.NOT_FOUND, detail)
-        return pb.ExplainResponse(
-            decisions=[
-                pb.Decision(
-                    age_seconds=decision.age_seconds,
-                    root=decision.root,
-                    action=decision.action,
-                    reason=decision.reason,
-                    endpoint=decision.endpoint,
-                    detail=decision.detail,
-                )
-                for decision in decisions
-            ]
-        )
+        return explain_answer(decisions)
 
     async def Quarantine(  # noqa: N802
         self, request: pb.QuarantineRequest, context: grpc.aio.ServicerContext
     ) -> pb.QuarantineResponse:
         """Read which requests are held to crash back ends."""
         await self._access.operator(context)
-        judged = self._distribution.quarantine.judged()
-        return pb.QuarantineResponse(
-            requests=[
-                pb.QuarantinedRequest(
-                    signature=record.signature,
-                    standing=judgement.standing.value,
-                    instances=[crash.instance for crash in record.crashes],
-                    age_seconds=record.age_seconds,
-                    refused_seconds=judgement.seconds,
-                )
-                for record, judgement in judged
-            ]
-        )
+        return quarantine_answer(self._distribution.quarantine.judged())
 
     async def LiftQuarantine(  # noqa: N802
         self, request: pb.LiftQuarantineRequest, context: grpc.aio.ServicerContext
@@ -273,17 +242,7 @@
         await self._access.barrier(context)
         await self._access.operator(context)
         limit = min(request.limit or MAX_HISTORY_ENTRIES, MAX_HISTORY_ENTRIES)
-        entries = [
-            pb.HistoryEntry(
-                time=entry.time,
-                operator=entry.operator,
-                action=entry.action,
-                subject=entry.subject,
-                outcome=entry.outcome,
-            )
-            for entry in self._machine.audit.latest(limit)
-        ]
-        return pb.HistoryResponse(entries=entries)
+        return history_answer(self._machine.audit.latest(limit))
 
     async def Backup(  # noqa: N802
         self, request: pb.BackupRequest, context: grpc.aio.ServicerContext
@@ -312,25 +271,3 @@
         except ControlUnavailableError:
             return False
         return True
-
-    def _ledger_status(self) -> pb.LedgerStatus:
-        ledger = self._machine.ledger
-        counts = ledger.counts()
-        return pb.LedgerStatus(
-            free=counts["free"],
-            begun=counts["begun"],
-            completed=counts["completed"],
-            answer_bytes=ledger.total_answer_bytes,
-            log_time=ledger.time or time.time(),
-        )
-
-
-def _daemon_status(daemon: DaemonState) -> pb.DaemonStatus:
-    return pb.DaemonStatus(
-        node=daemon.node,
-        endpoint=daemon.endpoint,
-        service=daemon.service,
-        zone=daemon.zone,
-        revision=daemon.revision,
-        seconds=daemon.seconds,
-    )
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -11,7 +11,7 @@
 import asyncio
 import random
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import TypeAlias
 
 from loguru import logger
@@ -268,10 +268,7 @@
         if not self._is_stopped:
             self._step(events)
 
-    def _on_timer(self) -> None:
-        self._step([Tick()])
-
-    def _step(self, events: list[Event]) -> None:
+    def _step(self, events: Sequence[Event]) -> None:
         try:
             self._driver.handle(events, clock.now())
         except InvariantError as error:
@@ -285,7 +282,7 @@
         if self._timer is not None:
             self._timer.cancel()
         delay = self.node.next_delay()
-        self._timer = asyncio.get_running_loop().call_later(delay, self._on_timer)
+        self._timer = asyncio.get_running_loop().call_later(delay, self._step, [Tick()])
         now = clock.now()
         if now >= self._observe_due:
             self._observe_due = now + OBSERVE_SECONDS
--- a/tests/control/test_directory_service.py
+++ b/tests/control/test_directory_service.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchshed.control.daemons import directory_service, gathering
+from finchshed.control.daemons import directory_service, soft_state_updates
 from finchshed.control.daemons.directory_service import DirectoryService
 from finchshed.control.raft.node_messages import DirectoryReport
 from finchshed.directory.registration import InstanceState, Registration
@@ -46,7 +46,7 @@
     service = outside.service()
     service.on_report(DirectoryReport((registration(2),)))
     service.on_report(DirectoryReport((registration(1), registration(1, host=2))))
-    await asyncio.sleep(2 * gathering.GATHER_SECONDS)
+    await asyncio.sleep(2 * soft_state_updates.GATHER_SECONDS)
     assert outside.to_daemons == [
         DirectoryUpdate((registration(2),)),
         DirectoryUpdate((registration(1, host=2),)),
@@ -95,7 +95,7 @@
     for host in range(1, 189):
         service.on_announce(Announce(registration(1, host=host)))
         service.on_announce(Announce(registration(2, host=host)))
-    await asyncio.sleep(3 * gathering.GATHER_SECONDS)
+    await asyncio.sleep(3 * soft_state_updates.GATHER_SECONDS)
     updates = [item for item in outside.to_daemons if isinstance(item, DirectoryUpdate)]
     assert len(updates) <= 3
     latest = {item.address: item.serial for update in updates for item in update.registrations}
@@ -106,7 +106,7 @@
     outside = Outside()
     service = outside.service()
     service.on_announce(Announce(registration(1)))
-    await asyncio.sleep(3 * gathering.GATHER_SECONDS)
+    await asyncio.sleep(3 * soft_state_updates.GATHER_SECONDS)
     service.on_announce(Announce(registration(2)))
     assert outside.to_daemons == [
         DirectoryUpdate((registration(1),)),
--- a/tests/control/test_quarantine_service.py
+++ b/tests/control/test_quarantine_service.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from finchshed.control.daemons.gathering import GATHER_SECONDS
 from finchshed.control.daemons.quarantine_service import QuarantineService
+from finchshed.control.daemons.soft_state_updates import GATHER_SECONDS
 from finchshed.distribution.messages import ControlToDaemon
 from finchshed.quarantine.messages import Crash, CrashNews, CrashRecord
 from finchshed.quarantine.register import Standing
