--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -20,7 +20,7 @@
 from finchshed.daemon.listeners import Listeners
 from finchshed.daemon.serving.callee import Callee
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.distribution.effects import ServingGround
+from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.messages import DirectoryUpdate, Hints
 from finchshed.distribution.snapshot import Configuration
 from finchshed.runtime import clock, garbage
@@ -159,9 +159,9 @@
         """Open links to peers, to learn their revisions."""
         self._links.greet(endpoints)
 
-    def start_serving(self, ground: ServingGround) -> None:
+    def start_serving(self, basis: ServingBasis) -> None:
         """Take calls from now on."""
-        logger.info("taking calls, on the basis of {}", ground)
+        logger.info("taking calls, on the basis of {}", basis)
         garbage.settle()
         metrics.SERVING.set(1)
         self._is_serving = True
