--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -1,25 +1,15 @@
 """One call being served by an emulated daemon."""
 
-import enum
 from dataclasses import dataclass
 
 import msgspec
 
 from finchshed.common.context import CallContext
+from finchshed.daemon.serving.work import WorkState
 from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
 from finchshed.emulator.request import Cancel
 
 
-class WorkState(enum.Enum):
-    """Where a call is."""
-
-    QUEUED = "queued"
-    ASKING_LEDGER = "asking_ledger"
-    AT_BACK_END = "at_back_end"
-    RECORDING = "recording"
-    DONE = "done"
-
-
 @dataclass(slots=True, eq=False)
 class Work:
     """One call being served."""
