--- a/src/finchshed/fleet/acts.py
+++ b/src/finchshed/fleet/acts.py
@@ -80,7 +80,7 @@
     duration_seconds: PositiveSeconds
 
 
-class Misreport(Act, frozen=True, kw_only=True, tag="misreport"):
+class MisreportLoad(Act, frozen=True, kw_only=True, tag="misreport"):
     """Have an endpoint's back end report zero or old load and, if ``failing``, fail at once."""
 
     target: Name
@@ -157,7 +157,7 @@
     duration_seconds: PositiveSeconds
 
 
-class Change(Act, frozen=True, kw_only=True, tag="change"):
+class ChangeConfiguration(Act, frozen=True, kw_only=True, tag="change"):
     """Have one more operator change the policy ``times`` times, with a pause before each."""
 
     times: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
@@ -170,7 +170,7 @@
     | Restart
     | RollingRestart
     | Slow
-    | Misreport
+    | MisreportLoad
     | Leave
     | Edition
     | Cut
@@ -178,7 +178,7 @@
     | Throttle
     | Reset
     | FillDisk
-    | Change
+    | ChangeConfiguration
 )
 
 LINK_ACTS = (Cut, Delay, Throttle, Reset)
--- a/src/finchshed/fleet/listeners.py
+++ b/src/finchshed/fleet/addresses.py
@@ -3,7 +3,7 @@
 from finchshed.fleet.network import RELAYED_OFFSET, FleetNetwork, Port
 
 
-class Listeners:
+class FleetAddresses:
     """Addresses in the fleet's network.
 
     Parameters
--- a/src/finchshed/fleet/admin.py
+++ b/src/finchshed/fleet/admin.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from finchshed.fleet.processes import Role
+from finchshed.fleet.processes import ProcessRole
 from finchshed.fleet.runner import Fleet, FleetError
 
 POLL_SECONDS = 0.05
@@ -30,7 +30,7 @@
         If some don't in time; they are named.
     """
     deadline = time.monotonic() + timeout_seconds
-    waiting = {process.spec.name for process in fleet.of_role(Role.DAEMON, Role.EDGE)}
+    waiting = {process.spec.name for process in fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)}
     while waiting:
         healthy = await asyncio.gather(*(is_healthy(fleet, name) for name in sorted(waiting)))
         waiting = {name for name, good in zip(sorted(waiting), healthy, strict=True) if not good}
--- a/src/finchshed/fleet/demo.py
+++ b/src/finchshed/fleet/demo.py
@@ -2,22 +2,22 @@
 
 import pathlib
 
-from finchshed.fleet.deployment import Deployment, read_deployment
+from finchshed.fleet.deployment import FleetDeployment, read_deployment
 from finchshed.fleet.fault_run import FaultRun
-from finchshed.fleet.scenario import Expectation, Scenario
+from finchshed.fleet.scenario import Expectation, FaultScenario
 
-LEAST_SHARE = 1e-6
+LEAST_FRACTION = 1e-6
 """Each load must get an answer at all."""
 
 
-def demonstration_of(deployment: Deployment, load_factor: float) -> Scenario:
+def demonstration_of(deployment: FleetDeployment, load_factor: float) -> FaultScenario:
     """Return the scenario of a demonstration: the deployment's own phases and no faults."""
     loads = sorted({load.name for group in deployment.caller for load in group.loads})
-    return Scenario(
+    return FaultScenario(
         name="demo",
         description="A surge, without faults",
         phase=deployment.phase,
-        expect=tuple(Expectation(load=name, answered_at_least=LEAST_SHARE) for name in loads),
+        expect=tuple(Expectation(load=name, answered_at_least=LEAST_FRACTION) for name in loads),
         load_factor=load_factor,
         platform_lag_seconds=deployment.platform.lag_seconds,
     )
--- a/src/finchshed/fleet/deployment.py
+++ b/src/finchshed/fleet/deployment.py
@@ -12,7 +12,7 @@
 
 from finchshed.common.errors import SettingsError
 from finchshed.configuration.resources import Name
-from finchshed.standins.settings import CallOn, Count, Load, Phase, Seconds
+from finchshed.standins.settings import CallOn, Count, Phase, Seconds, StandinLoad
 
 EXAMPLE_NETWORK = "127.1."
 """Beginning of every address in a deployment's files."""
@@ -23,7 +23,7 @@
 Host = Annotated[str, msgspec.Meta(pattern=r"^127\.1\.[0-9]{1,3}\.[0-9]{1,3}$")]
 
 
-class Machine(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class MachineSpec(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A machine with one program of the system: a control node or an edge daemon."""
 
     name: Name
@@ -54,7 +54,7 @@
 
     name: Name
     zone: Name
-    loads: tuple[Load, ...]
+    loads: tuple[StandinLoad, ...]
 
 
 class Platform(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -64,7 +64,7 @@
     lag_seconds: Seconds = 30.0
 
 
-class Deployment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class FleetDeployment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A deployment file.
 
     Attributes
@@ -81,14 +81,14 @@
     client_delay_seconds: Seconds
     zone_delay_seconds: Seconds
     platform: Platform
-    control: tuple[Machine, ...]
-    edge: tuple[Machine, ...]
+    control: tuple[MachineSpec, ...]
+    edge: tuple[MachineSpec, ...]
     service: tuple[ServiceBehaviour, ...]
     caller: tuple[CallerGroup, ...]
     phase: tuple[Phase, ...]
 
 
-def read_deployment(folder: pathlib.Path) -> Deployment:
+def read_deployment(folder: pathlib.Path) -> FleetDeployment:
     """Read the deployment file in ``folder``.
 
     Raises
@@ -98,7 +98,7 @@
     """
     path = folder / DEPLOYMENT_FILE
     try:
-        deployment = msgspec.toml.decode(path.read_bytes(), type=Deployment)
+        deployment = msgspec.toml.decode(path.read_bytes(), type=FleetDeployment)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsError([f"{path}: {error}"]) from error
     problems = _problems_of(deployment)
@@ -107,7 +107,7 @@
     return deployment
 
 
-def _problems_of(deployment: Deployment) -> list[str]:
+def _problems_of(deployment: FleetDeployment) -> list[str]:
     services = {service.name for service in deployment.service}
     zones = {edge.zone for edge in deployment.edge}
     problems = [
--- a/src/finchshed/fleet/fault_run.py
+++ b/src/finchshed/fleet/fault_run.py
@@ -13,19 +13,19 @@
 from finchshed.fleet.coverage import CASES
 from finchshed.fleet.deployment import read_deployment
 from finchshed.fleet.expectations import unmet
-from finchshed.fleet.faults import FaultInjector
+from finchshed.fleet.faults import FleetFaultInjector
 from finchshed.fleet.histories import Records, build_history, read_all
 from finchshed.fleet.journal import FaultJournal
 from finchshed.fleet.links import FleetLinks
-from finchshed.fleet.operator import Operator
+from finchshed.fleet.observer import FleetObserver
+from finchshed.fleet.operator import FleetOperator
 from finchshed.fleet.path_times import path_times_of
 from finchshed.fleet.plan_options import PlanOptions
-from finchshed.fleet.processes import PRODUCTION_ROLES, Role
+from finchshed.fleet.processes import PRODUCTION_ROLES, ProcessRole
 from finchshed.fleet.results import VERDICT_FILE
-from finchshed.fleet.scenario import Scenario, problems_of
+from finchshed.fleet.scenario import FaultScenario, problems_of
 from finchshed.fleet.summary import rows_of, wrong_answers
-from finchshed.fleet.verdict import Check, Verdict, text_of
-from finchshed.fleet.watch import FleetWatch
+from finchshed.fleet.verdict import Check, RunVerdict, text_of
 from finchshed.proof.checks import CHECKS, violations_of
 from finchshed.proof.checks.index import Index
 from finchshed.proof.history import History, NodeStarted
@@ -54,7 +54,7 @@
         self,
         source: pathlib.Path,
         folder: pathlib.Path,
-        scenario: Scenario,
+        scenario: FaultScenario,
         seed: int,
         *,
         relayed: bool = False,
@@ -79,7 +79,7 @@
         self._fallen: list[str] = []
         self._table_problems: list[str] = []
 
-    async def run(self) -> Verdict:
+    async def run(self) -> RunVerdict:
         """Run it and return what it showed; prints what goes on."""
         problems = problems_of(self._scenario, self._fleet.plan)
         if problems:
@@ -100,23 +100,23 @@
         operator = await bring_up(fleet)
         self._note_started()
         started = time.monotonic() - self._journal.began
-        async with FleetWatch(fleet, self._journal) as watch:
-            self._first_revision = max(watch.revisions.values(), default=0)
+        async with FleetObserver(fleet, self._journal) as observer:
+            self._first_revision = max(observer.revisions.values(), default=0)
             _say(f"in force at every daemon after {started:.1f} s")
             phases = ", ".join(
                 f"{phase.name} {phase.duration_seconds:g} s x{phase.factor:g}"
                 for phase in self._scenario.phase
             )
             _say(f"callers send: {phases}; {len(self._scenario.act)} acts")
-            await self._load_and_faults(links, operator, watch)
+            await self._load_and_faults(links, operator, observer)
             self._fallen = fleet.ended_unasked()
             self._table_problems = process_table.problems_of(fleet.of_role(*PRODUCTION_ROLES))
-            await self._read_final(watch)
+            await self._read_final(observer)
 
     async def _load_and_faults(
-        self, links: FleetLinks, operator: Operator, watch: FleetWatch
+        self, links: FleetLinks, operator: FleetOperator, observer: FleetObserver
     ) -> None:
-        injector = FaultInjector(self._fleet, operator, self._journal, links, watch)
+        injector = FleetFaultInjector(self._fleet, operator, self._journal, links, observer)
         await self._fleet.start_callers()
         total = sum(phase.duration_seconds for phase in self._scenario.phase)
         async with asyncio.TaskGroup() as group:
@@ -126,20 +126,20 @@
             )
             await faults
 
-    async def _read_final(self, watch: FleetWatch) -> None:
+    async def _read_final(self, observer: FleetObserver) -> None:
         final = await asyncio.to_thread(final_configuration.read_final, self._fleet.plan)
         self._final = final
         if final is not None:
             self._behind = await final_configuration.behind_after(
-                watch, final.revision, SETTLE_SECONDS
+                observer, final.revision, SETTLE_SECONDS
             )
 
     def _note_started(self) -> None:
-        for process in self._fleet.of_role(Role.DAEMON, Role.EDGE):
+        for process in self._fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE):
             self._journal.add(NodeStarted(self._journal.now(), process.spec.name))
 
-    def _judge(self) -> Verdict:
-        operators = [process.spec.name for process in self._fleet.of_role(Role.OPERATOR)]
+    def _judge(self) -> RunVerdict:
+        operators = [process.spec.name for process in self._fleet.of_role(ProcessRole.OPERATOR)]
         records = read_all(self._fleet.plan, operators)
         history = build_history(
             self._fleet.plan, records, self._journal, self._scenario, self._seed
@@ -147,7 +147,7 @@
         history.write(self._folder / HISTORY_FILE)
         self._journal.write(self._folder / PROBLEMS_FILE)
         rows = rows_of(records.callers)
-        verdict = Verdict(
+        verdict = RunVerdict(
             scenario=self._scenario.name,
             deployment=self._deployment.name,
             seed=self._seed,
--- a/src/finchshed/fleet/faults.py
+++ b/src/finchshed/fleet/faults.py
@@ -18,11 +18,11 @@
 from finchshed.fleet.journal import FaultJournal
 from finchshed.fleet.link_faults import LinkFaults
 from finchshed.fleet.links import FleetLinks
-from finchshed.fleet.operator import Operator
+from finchshed.fleet.observer import FleetObserver
+from finchshed.fleet.operator import FleetOperator
 from finchshed.fleet.plan import backend_name, daemon_name
-from finchshed.fleet.processes import FleetProcess, Role
+from finchshed.fleet.processes import FleetProcess, ProcessRole
 from finchshed.fleet.runner import Fleet, FleetError
-from finchshed.fleet.watch import FleetWatch
 from finchshed.proof.history import (
     EndpointLeaving,
     EndpointReturned,
@@ -35,7 +35,7 @@
 KILL_WAIT_SECONDS = 5.0
 ABLE_SECONDS = 20.0
 POLL_SECONDS = 0.1
-FOLLOWING_ROLES = (Role.DAEMON, Role.EDGE)
+FOLLOWING_ROLES = (ProcessRole.DAEMON, ProcessRole.EDGE)
 """Processes that follow the configuration."""
 
 PLANNED_SIGN = "stop"
@@ -47,38 +47,38 @@
 UNLIMITED = resource.RLIM_INFINITY
 
 
-class FaultInjector:
+class FleetFaultInjector:
     """Does acts to a fleet and notes them in the journal.
 
     Parameters
     ----------
-    watch
+    observer
         Tells who leads the control group.
     """
 
     def __init__(
         self,
         fleet: Fleet,
-        operator: Operator,
+        operator: FleetOperator,
         journal: FaultJournal,
         links: FleetLinks,
-        watch: FleetWatch,
+        observer: FleetObserver,
     ) -> None:
         self._fleet = fleet
         self._operator = operator
         self._journal = journal
         self._links = links
-        self._watch = watch
+        self._observer = observer
         self._numbers = itertools.count(1)
         self._link_faults = LinkFaults(links, journal, self._end_of)
-        self._control = {process.spec.name for process in fleet.of_role(Role.CONTROL)}
+        self._control = {process.spec.name for process in fleet.of_role(ProcessRole.CONTROL)}
         self._perform: dict[type[acts.Act], Callable[[Any], Awaitable[None]]] = {
             acts.Kill: self._kill,
             acts.Freeze: self._freeze,
             acts.Restart: self._restart,
             acts.RollingRestart: self._rolling_restart,
             acts.Slow: self._slow,
-            acts.Misreport: self._misreport,
+            acts.MisreportLoad: self._misreport,
             acts.Leave: self._leave,
             acts.Edition: self._edition,
             acts.Cut: self._link_faults.cut,
@@ -86,7 +86,7 @@
             acts.Throttle: self._link_faults.throttle,
             acts.Reset: self._link_faults.reset,
             acts.FillDisk: self._fill_disk,
-            acts.Change: self._change,
+            acts.ChangeConfiguration: self._change,
         }
 
     async def run(self, script: tuple[acts.FaultAct, ...]) -> None:
@@ -100,7 +100,7 @@
         try:
             await self._perform[type(act)](act)
         except (FinchshedError, aiohttp.ClientError, TimeoutError) as error:
-            self._journal.problem(f"{type(act).__name__} at {act.at:g}: {error!r}")
+            self._journal.problem(f"{act.__struct_config__.tag} at {act.at:g}: {error!r}")
 
     async def _kill(self, act: acts.Kill) -> None:
         process = self._resolve(act.target)
@@ -129,7 +129,7 @@
         await self._planned_restart(self._resolve(act.target), act.down_seconds)
 
     async def _rolling_restart(self, act: acts.RollingRestart) -> None:
-        await self._restart_in_turn(self._fleet.of_role(Role.CONTROL), act.pause_seconds)
+        await self._restart_in_turn(self._fleet.of_role(ProcessRole.CONTROL), act.pause_seconds)
         by_service: dict[str, list[FleetProcess]] = collections.defaultdict(list)
         for endpoint in self._fleet.plan.endpoints:
             by_service[endpoint.service] += [
@@ -139,7 +139,7 @@
         async with asyncio.TaskGroup() as group:
             for processes in by_service.values():
                 group.create_task(self._restart_in_turn(processes, act.pause_seconds))
-        await self._restart_in_turn(self._fleet.of_role(Role.EDGE), act.pause_seconds)
+        await self._restart_in_turn(self._fleet.of_role(ProcessRole.EDGE), act.pause_seconds)
 
     async def _restart_in_turn(self, processes: list[FleetProcess], pause_seconds: float) -> None:
         for process in processes:
@@ -151,7 +151,7 @@
         if not await self._becomes_able_to_stop(process):
             return
         self._journal.add(PlannedStop(self._journal.now(), spec.name, spec.endpoint))
-        if spec.role is Role.DAEMON:
+        if spec.role is ProcessRole.DAEMON:
             self._journal.add(EndpointLeaving(self._journal.now(), spec.endpoint, PLANNED_SIGN))
         if spec.role in FOLLOWING_ROLES:
             self._journal.add(NodeStopped(self._journal.now(), spec.name))
@@ -180,7 +180,7 @@
             await self._fleet.command_backend(endpoint, "slow", "1.0")
         self._journal.add(Fault(self._journal.now(), "slow", tuple(endpoints), ended=True))
 
-    async def _misreport(self, act: acts.Misreport) -> None:
+    async def _misreport(self, act: acts.MisreportLoad) -> None:
         await self._fleet.command_backend(act.target, "report", act.report.value)
         await self._fleet.command_backend(act.target, "fail", "1" if act.failing else "0")
         self._journal.add(Fault(self._journal.now(), "misreport", (act.target,)))
@@ -200,7 +200,7 @@
         elif act.sign is acts.Sign.OPERATOR:
             await self._operator.must("drain", act.target)
         elif act.sign is acts.Sign.PLATFORM:
-            await self._fleet.mark_leaving(act.target)
+            await self._fleet.mark_draining(act.target)
         else:
             for name in (daemon_name(act.target), backend_name(act.target)):
                 process = self._fleet.processes[name]
@@ -228,16 +228,16 @@
         limit = largest_file_bytes(pathlib.Path(process.spec.data_folder))
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (limit, UNLIMITED))
         self._journal.add(Fault(self._journal.now(), "fill_disk", (name,)))
-        self._watch.disks_seen_full.discard(name)
+        self._observer.disks_seen_full.discard(name)
         await asyncio.sleep(act.duration_seconds)
         is_same = process.pid == pid and process.is_working
-        if is_same and name in self._control and name not in self._watch.disks_seen_full:
+        if is_same and name in self._control and name not in self._observer.disks_seen_full:
             self._journal.problem(f"{name}: its disk was never seen full")
         if process.pid == pid:
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (UNLIMITED, UNLIMITED))
         self._journal.add(Fault(self._journal.now(), "fill_disk", (name,), ended=True))
 
-    async def _change(self, act: acts.Change) -> None:
+    async def _change(self, act: acts.ChangeConfiguration) -> None:
         number = next(self._numbers)
         name = f"operator-{number}"
         code = await self._fleet.run_operator(name, number * FIRST_NUMBER_STEP, act)
@@ -269,11 +269,11 @@
     def _end_of(self, selector: str) -> str:
         """Return the process that a selector stands for now; other names as they are."""
         if selector == "leader":
-            if not self._watch.leader:
+            if not self._observer.leader:
                 raise FleetError("no control node leads")
-            return self._watch.leader
+            return self._observer.leader
         if selector == "follower":
-            return self._watch.followers()[0]
+            return self._observer.followers()[0]
         return selector
 
     def _endpoints(self, target: str) -> list[str]:
--- a/src/finchshed/fleet/final_configuration.py
+++ b/src/finchshed/fleet/final_configuration.py
@@ -11,9 +11,9 @@
 from finchshed.configuration.resources import Policy
 from finchshed.ctl.changes import read_in_force
 from finchshed.ctl.client import OperatorClient
+from finchshed.fleet.observer import FleetObserver
 from finchshed.fleet.plan import FleetPlan
-from finchshed.fleet.watch import FleetWatch
-from finchshed.standins.operator import POLICY, ChangeOutcome, OperatorRecord
+from finchshed.standins.operator import POLICY, OperatorRecord, StandinChangeOutcome
 
 READ_TIMEOUT_SECONDS = 5.0
 POLL_SECONDS = 0.25
@@ -41,13 +41,13 @@
     return FinalConfiguration(current.revision, policy.key_window_seconds)
 
 
-async def behind_after(watch: FleetWatch, revision: int, timeout_seconds: float) -> list[str]:
+async def behind_after(observer: FleetObserver, revision: int, timeout_seconds: float) -> list[str]:
     """Wait until every daemon has ``revision``; return those that don't in time."""
     deadline = time.monotonic() + timeout_seconds
     while True:
-        behind = [name for name, seen in sorted(watch.revisions.items()) if seen != revision]
+        behind = [name for name, seen in sorted(observer.revisions.items()) if seen != revision]
         if not behind or time.monotonic() >= deadline:
-            return [f"{name} acts on {watch.revisions[name]}" for name in behind]
+            return [f"{name} acts on {observer.revisions[name]}" for name in behind]
         await asyncio.sleep(POLL_SECONDS)
 
 
@@ -62,7 +62,7 @@
         Revision of the declarations, accepted before the operators began.
     """
     records = list(records)
-    accepted = [record for record in records if record.outcome is ChangeOutcome.ACCEPTED]
+    accepted = [record for record in records if record.outcome is StandinChangeOutcome.ACCEPTED]
     problems = _doubled(accepted)
     if final is None:
         return [*problems, "no control node says what is in force"]
@@ -91,10 +91,14 @@
     records: Iterable[OperatorRecord], in_force: int, highest_accepted: int
 ) -> set[float]:
     """Return the values that may be in force; empty if none was accepted."""
-    wanted = ChangeOutcome.ACCEPTED if in_force == highest_accepted else ChangeOutcome.UNKNOWN
+    wanted = (
+        StandinChangeOutcome.ACCEPTED
+        if in_force == highest_accepted
+        else StandinChangeOutcome.UNKNOWN
+    )
     return {
         record.value
         for record in records
         if record.outcome is wanted
-        and (wanted is ChangeOutcome.UNKNOWN or record.revision == in_force)
+        and (wanted is StandinChangeOutcome.UNKNOWN or record.revision == in_force)
     }
--- a/src/finchshed/fleet/histories.py
+++ b/src/finchshed/fleet/histories.py
@@ -16,8 +16,8 @@
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.fleet.journal import FaultJournal
 from finchshed.fleet.plan import FleetPlan
-from finchshed.fleet.processes import Role
-from finchshed.fleet.scenario import Scenario
+from finchshed.fleet.processes import ProcessRole
+from finchshed.fleet.scenario import FaultScenario
 from finchshed.fleet.serving_events import ServingEvents
 from finchshed.proof.history import (
     SCHEMA_VERSION,
@@ -30,7 +30,7 @@
     Header,
     History,
 )
-from finchshed.standins.operator import ChangeOutcome, OperatorRecord
+from finchshed.standins.operator import OperatorRecord, StandinChangeOutcome
 from finchshed.standins.records import (
     AttemptRecord,
     BackendRecord,
@@ -61,7 +61,7 @@
 def read_all(plan: FleetPlan, operators: Iterable[str]) -> Records:
     """Read the records of a run's stand-ins; ``operators`` are names of stand-in operators."""
     folder = plan.folder / "records"
-    callers = [spec.name for spec in plan.specs if spec.role is Role.CALLER]
+    callers = [spec.name for spec in plan.specs if spec.role is ProcessRole.CALLER]
     backends = [endpoint.name for endpoint in plan.endpoints]
     return Records(
         callers=_read(folder, callers, CallerRecord),
@@ -71,7 +71,7 @@
 
 
 def build_history(
-    plan: FleetPlan, records: Records, journal: FaultJournal, scenario: Scenario, seed: int
+    plan: FleetPlan, records: Records, journal: FaultJournal, scenario: FaultScenario, seed: int
 ) -> History:
     """Return the history of a run."""
     resources = read_declarations(plan.declarations).resources.values()
@@ -136,7 +136,7 @@
     """Yield what operators submitted and were told."""
     for record in records:
         time = record.at - began
-        if record.outcome is ChangeOutcome.SUBMITTED:
+        if record.outcome is StandinChangeOutcome.SUBMITTED:
             yield ChangeSubmitted(time, record.change_id, record.operator, record.expected_revision)
         else:
             yield ChangeAnswered(time, record.change_id, record.outcome.value, record.revision)
--- a/src/finchshed/fleet/link_faults.py
+++ b/src/finchshed/fleet/link_faults.py
@@ -6,8 +6,8 @@
 
 from finchshed.fleet import acts
 from finchshed.fleet.journal import FaultJournal
+from finchshed.fleet.link_conditions import Condition, LinkRule
 from finchshed.fleet.links import FleetLinks
-from finchshed.fleet.relay import Condition, Rule
 from finchshed.proof.history import Fault
 
 
@@ -59,7 +59,7 @@
         for source, target in ways:
             name = f"{fault}-{next(self._numbers)}"
             resolved = (self._resolve(source), self._resolve(target))
-            rule = Rule(source=resolved[0], target=resolved[1], condition=condition)
+            rule = LinkRule(source=resolved[0], target=resolved[1], condition=condition)
             self._links.set(name, rule)
             names.append(name)
             targets += resolved
--- a/src/finchshed/fleet/links.py
+++ b/src/finchshed/fleet/links.py
@@ -1,10 +1,11 @@
 """The links of a fleet: the relay in front of its processes, and what the links suffer."""
 
 from finchshed.fleet.journal import FaultJournal
+from finchshed.fleet.link_conditions import UNKNOWN_PEER, Condition, Conditions, LinkRule, Peer
 from finchshed.fleet.plan import FleetPlan
-from finchshed.fleet.processes import FleetProcess, Role
+from finchshed.fleet.processes import FleetProcess, ProcessRole
 from finchshed.fleet.reachability import reaching
-from finchshed.fleet.relay import UNKNOWN_PEER, Condition, Conditions, Peer, Relay, Rule
+from finchshed.fleet.relay import Relay
 from finchshed.fleet.runner import Fleet
 from finchshed.fleet.socket_diagnosis import inode_between
 from finchshed.fleet.sockets import holder_of
@@ -37,7 +38,7 @@
         """Stop relaying."""
         await self.relay.close()
 
-    def set(self, name: str, rule: Rule) -> None:
+    def set(self, name: str, rule: LinkRule) -> None:
         """Put a rule in force."""
         self.conditions.set(name, rule)
         self.note_reachability()
@@ -49,8 +50,10 @@
 
     def note_reachability(self) -> None:
         """Note for which daemons it changed whether they reach a majority of control."""
-        daemons = [_peer(process) for process in self._fleet.of_role(Role.DAEMON, Role.EDGE)]
-        control = self._fleet.of_role(Role.CONTROL)
+        daemons = [
+            _peer(process) for process in self._fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)
+        ]
+        control = self._fleet.of_role(ProcessRole.CONTROL)
         working = [_peer(process) for process in control if process.is_working]
         reached = reaching(daemons, working, len(control), self._connected)
         for daemon in daemons:
@@ -74,7 +77,7 @@
         for source in zones:
             for target in zones:
                 if source != target:
-                    rule = Rule(source=source, target=target, condition=condition)
+                    rule = LinkRule(source=source, target=target, condition=condition)
                     self.conditions.set(f"distance-{source}-{target}", rule)
 
     def _identify(self, local_address: str, remote_address: str) -> Peer:
--- a/src/finchshed/fleet/watch.py
+++ b/src/finchshed/fleet/observer.py
@@ -1,4 +1,4 @@
-"""Watches a running fleet through its admin listeners: who leads, and what is in force where."""
+"""Observes a running fleet through its admin listeners: who leads, and what is in force where."""
 
 import asyncio
 import contextlib
@@ -6,7 +6,7 @@
 import aiohttp
 
 from finchshed.fleet.journal import FaultJournal
-from finchshed.fleet.processes import Role
+from finchshed.fleet.processes import ProcessRole
 from finchshed.fleet.runner import Fleet
 from finchshed.proof.history import RevisionInForce
 
@@ -30,7 +30,7 @@
     return values
 
 
-class FleetWatch:
+class FleetObserver:
     """Polls the admin listeners and notes what changes.
 
     A daemon's revision is noted when it differs from the last one seen, so a history shows each
@@ -47,7 +47,7 @@
         """Control nodes that said that their disk was full."""
         self._task: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> "FleetWatch":
+    async def __aenter__(self) -> "FleetObserver":
         await self.poll()
         self._task = asyncio.create_task(self._run())
         return self
@@ -71,14 +71,16 @@
 
     def followers(self) -> list[str]:
         """Return the control nodes that run and don't lead."""
-        nodes = self._fleet.of_role(Role.CONTROL)
+        nodes = self._fleet.of_role(ProcessRole.CONTROL)
         running = [node.spec.name for node in nodes if node.is_running]
         return [name for name in running if name != self.leader]
 
     async def poll(self) -> None:
         """Read every process once."""
-        daemons = [node.spec.name for node in self._fleet.of_role(Role.DAEMON, Role.EDGE)]
-        control = [node.spec.name for node in self._fleet.of_role(Role.CONTROL)]
+        daemons = [
+            node.spec.name for node in self._fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)
+        ]
+        control = [node.spec.name for node in self._fleet.of_role(ProcessRole.CONTROL)]
         await asyncio.gather(
             *(self._read_daemon(name) for name in daemons),
             *(self._read_control(name) for name in control),
--- a/src/finchshed/fleet/operator.py
+++ b/src/finchshed/fleet/operator.py
@@ -24,7 +24,7 @@
     errors: str
 
 
-class Operator:
+class FleetOperator:
     """Runs operator's commands, each as a process of its own like a person would."""
 
     def __init__(self, plan: FleetPlan) -> None:
--- a/src/finchshed/fleet/path_times.py
+++ b/src/finchshed/fleet/path_times.py
@@ -68,6 +68,8 @@
 
 
 def _percentiles(values: Sequence[float]) -> str:
-    shares = (0.5, 0.99)
-    texts = [f"p{share * 100:g} {percentile(values, share) * MILLISECONDS:.1f}" for share in shares]
+    texts = [
+        f"p{fraction * 100:g} {percentile(values, fraction) * MILLISECONDS:.1f}"
+        for fraction in (0.5, 0.99)
+    ]
     return " ".join(texts) + " ms"
--- a/src/finchshed/fleet/plan.py
+++ b/src/finchshed/fleet/plan.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.fleet.acts import Change
-from finchshed.fleet.deployment import DECLARATIONS_FOLDER, Deployment
-from finchshed.fleet.processes import ProcessSpec, Role
+from finchshed.fleet.acts import ChangeConfiguration
+from finchshed.fleet.deployment import DECLARATIONS_FOLDER, FleetDeployment
+from finchshed.fleet.processes import ProcessRole, ProcessSpec
 from finchshed.fleet.toml_writer import to_toml
 from finchshed.standins.settings import OperatorSettings
 
@@ -16,7 +16,7 @@
     """All processes of a fleet, and where to reach them."""
 
     folder: pathlib.Path
-    deployment: Deployment
+    deployment: FleetDeployment
     specs: list[ProcessSpec]
     endpoints: tuple[Endpoint, ...]
     rpc_addresses: tuple[str, ...]
@@ -39,7 +39,7 @@
         """Return the process named ``name``."""
         return next(spec for spec in self.specs if spec.name == name)
 
-    def operator_spec(self, name: str, first_number: int, act: Change) -> ProcessSpec:
+    def operator_spec(self, name: str, first_number: int, act: ChangeConfiguration) -> ProcessSpec:
         """Write the settings of a stand-in operator and return how to start it."""
         settings = OperatorSettings(
             name=name,
@@ -54,7 +54,7 @@
         path.write_text(to_toml(settings))
         return ProcessSpec(
             name=name,
-            role=Role.OPERATOR,
+            role=ProcessRole.OPERATOR,
             zone="",
             arguments=("-m", "finchshed", "standin", "operator", str(path)),
         )
--- a/src/finchshed/fleet/planner.py
+++ b/src/finchshed/fleet/planner.py
@@ -11,18 +11,18 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.control.settings import ControlSettings
 from finchshed.daemon.settings import DaemonSettings
+from finchshed.fleet.addresses import FleetAddresses
 from finchshed.fleet.deployment import (
     DECLARATIONS_FOLDER,
     CallerGroup,
-    Deployment,
-    Machine,
+    FleetDeployment,
+    MachineSpec,
     ServiceBehaviour,
 )
-from finchshed.fleet.listeners import Listeners
 from finchshed.fleet.network import FleetNetwork, Port
 from finchshed.fleet.plan import FleetPlan, backend_name, daemon_name, host_of
 from finchshed.fleet.plan_options import PlanOptions
-from finchshed.fleet.processes import ProcessSpec, Role
+from finchshed.fleet.processes import ProcessRole, ProcessSpec
 from finchshed.fleet.toml_writer import to_toml
 from finchshed.standins.settings import (
     BackendSettings,
@@ -43,7 +43,7 @@
     def __init__(
         self,
         source: pathlib.Path,
-        deployment: Deployment,
+        deployment: FleetDeployment,
         folder: pathlib.Path,
         network: FleetNetwork,
         options: PlanOptions,
@@ -52,7 +52,7 @@
         self._deployment = deployment
         self._folder = folder
         self._network = network
-        self._listeners = Listeners(network, relayed=options.relayed)
+        self._listeners = FleetAddresses(network, relayed=options.relayed)
         self._at = self._listeners.at
         self._behind = self._listeners.behind
         self._options = options
@@ -111,9 +111,9 @@
             address=address,
             lag_seconds=self._platform_lag_seconds,
         )
-        self._add_standin("platform", Role.PLATFORM, settings, address)
+        self._add_standin("platform", ProcessRole.PLATFORM, settings, address)
 
-    def _plan_control(self, machine: Machine) -> None:
+    def _plan_control(self, machine: MachineSpec) -> None:
         data_folder = self._data_folder(machine.name)
         settings = ControlSettings(
             node=machine.name,
@@ -141,7 +141,7 @@
         )
         spec = ProcessSpec(
             name=machine.name,
-            role=Role.CONTROL,
+            role=ProcessRole.CONTROL,
             zone=machine.zone,
             arguments=self._program("control", machine.name, settings),
             listens=(settings.distribution_address, settings.rpc_address),
@@ -166,7 +166,7 @@
             calls=behaviour.calls,
         )
         name = backend_name(endpoint.name)
-        self._add_standin(name, Role.BACKEND, settings, address, endpoint)
+        self._add_standin(name, ProcessRole.BACKEND, settings, address, endpoint)
 
     def _plan_daemon(self, endpoint: Endpoint) -> None:
         name = daemon_name(endpoint.name)
@@ -186,9 +186,9 @@
             data_folder=data_folder,
             drain_seconds=DRAIN_SECONDS,
         )
-        self._add_daemon(name, Role.DAEMON, settings)
+        self._add_daemon(name, ProcessRole.DAEMON, settings)
 
-    def _plan_edge(self, machine: Machine) -> None:
+    def _plan_edge(self, machine: MachineSpec) -> None:
         settings = DaemonSettings(
             node=machine.name,
             region=machine.region,
@@ -200,7 +200,7 @@
             data_folder=self._data_folder(machine.name),
             drain_seconds=DRAIN_SECONDS,
         )
-        self._add_daemon(machine.name, Role.EDGE, settings)
+        self._add_daemon(machine.name, ProcessRole.EDGE, settings)
 
     def _plan_caller(self, group: CallerGroup) -> None:
         edges = sorted(self._deployment.edge, key=lambda edge: edge.zone != group.zone)
@@ -218,9 +218,9 @@
             client_delay_seconds=self._deployment.client_delay_seconds,
             seed=self._seed(group.name),
         )
-        self._add_standin(group.name, Role.CALLER, settings, "")
+        self._add_standin(group.name, ProcessRole.CALLER, settings, "")
 
-    def _add_daemon(self, name: str, role: Role, settings: DaemonSettings) -> None:
+    def _add_daemon(self, name: str, role: ProcessRole, settings: DaemonSettings) -> None:
         spec = ProcessSpec(
             name=name,
             role=role,
@@ -236,7 +236,7 @@
     def _add_standin(
         self,
         name: str,
-        role: Role,
+        role: ProcessRole,
         settings: msgspec.Struct,
         address: str,
         endpoint: Endpoint | None = None,
--- a/src/finchshed/fleet/processes.py
+++ b/src/finchshed/fleet/processes.py
@@ -18,7 +18,7 @@
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-class Role(enum.StrEnum):
+class ProcessRole(enum.StrEnum):
     """What a process is in its fleet; the order is the order of starting."""
 
     PLATFORM = "platform"
@@ -30,7 +30,7 @@
     OPERATOR = "operator"
 
 
-PRODUCTION_ROLES = (Role.CONTROL, Role.DAEMON, Role.EDGE)
+PRODUCTION_ROLES = (ProcessRole.CONTROL, ProcessRole.DAEMON, ProcessRole.EDGE)
 
 
 class ProcessSpec(msgspec.Struct, frozen=True, kw_only=True):
@@ -49,7 +49,7 @@
     """
 
     name: str
-    role: Role
+    role: ProcessRole
     zone: str
     arguments: tuple[str, ...]
     listens: tuple[str, ...] = ()
--- a/src/finchshed/fleet/reachability.py
+++ b/src/finchshed/fleet/reachability.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Sequence
 
-from finchshed.fleet.relay import Peer
+from finchshed.fleet.link_conditions import Peer
 
 Connected = Callable[[Peer, Peer], bool]
 """Whether bytes pass both ways between two processes."""
--- a/src/finchshed/fleet/relay.py
+++ b/src/finchshed/fleet/relay.py
@@ -21,95 +21,13 @@
 import struct
 from collections.abc import Callable
 
-import msgspec
+from finchshed.fleet.link_conditions import Conditions, Peer, is_named
 
 CHUNK_BYTES = 65_536
 RESET_LINGER = struct.pack("ii", 1, 0)
 """With this SO_LINGER a close sends a reset."""
 
 
-class Condition(msgspec.Struct, frozen=True, kw_only=True):
-    """What one direction of a link suffers."""
-
-    delay_seconds: float = 0.0
-    cut: bool = False
-    bytes_per_second: float = 0.0
-
-
-GOOD = Condition()
-
-
-class Peer(msgspec.Struct, frozen=True):
-    """A process at one end of a link, and its zone."""
-
-    name: str
-    zone: str
-
-
-UNKNOWN_PEER = Peer(name="", zone="")
-
-
-class Rule(msgspec.Struct, frozen=True, kw_only=True):
-    """A condition of all bytes that go from some peers to some others.
-
-    ``source`` and ``target`` are names of processes or zones; ``*`` stands for all.
-    """
-
-    source: str
-    target: str
-    condition: Condition
-
-    def matches(self, source: Peer, target: Peer) -> bool:
-        """Whether bytes from ``source`` to ``target`` suffer this rule."""
-        return _names(self.source, source) and _names(self.target, target)
-
-
-def _names(pattern: str, peer: Peer) -> bool:
-    return pattern in {"*", peer.name, peer.zone}
-
-
-class Conditions:
-    """The rules in force; every direction of every connection asks here."""
-
-    def __init__(self) -> None:
-        self._rules: dict[str, Rule] = {}
-        self._changed = asyncio.Event()
-
-    def set(self, name: str, rule: Rule) -> None:
-        """Put a rule in force under ``name``."""
-        self._rules[name] = rule
-        self._wake()
-
-    def clear(self, name: str) -> None:
-        """Take a rule out of force."""
-        self._rules.pop(name, None)
-        self._wake()
-
-    def between(self, source: Peer, target: Peer) -> Condition:
-        """Return what bytes from ``source`` to ``target`` suffer, all rules taken together."""
-        found = [rule.condition for rule in self._rules.values() if rule.matches(source, target)]
-        if not found:
-            return GOOD
-        rates = [item.bytes_per_second for item in found if item.bytes_per_second]
-        return Condition(
-            delay_seconds=sum(item.delay_seconds for item in found),
-            cut=any(item.cut for item in found),
-            bytes_per_second=min(rates, default=0.0),
-        )
-
-    async def until_open(self, source: Peer, target: Peer) -> Condition:
-        """Wait until bytes can pass and return what they suffer."""
-        while True:
-            condition = self.between(source, target)
-            if not condition.cut:
-                return condition
-            await self._changed.wait()
-
-    def _wake(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
-
-
 class Relay:
     """Listens on public addresses and copies to the private ones behind.
 
@@ -191,8 +109,8 @@
 
     def is_between(self, source: str, target: str) -> bool:
         """Whether the connection joins peers of these names or zones, either way."""
-        forth = _names(source, self.client) and _names(target, self.owner)
-        back = _names(target, self.client) and _names(source, self.owner)
+        forth = is_named(source, self.client) and is_named(target, self.owner)
+        back = is_named(target, self.client) and is_named(source, self.owner)
         return forth or back
 
     async def open(self, private: str) -> bool:
--- a/src/finchshed/fleet/results.py
+++ b/src/finchshed/fleet/results.py
@@ -7,7 +7,7 @@
 
 from finchshed.common.errors import SettingsError
 from finchshed.fleet import editions
-from finchshed.fleet.verdict import Verdict
+from finchshed.fleet.verdict import RunVerdict
 from finchshed.proof.checks import answers, configuration, leaving, runs, sessions
 
 VERDICT_FILE = "verdict.json"
@@ -27,7 +27,7 @@
 HEADINGS = ("deployment", "script", "processes", *CASES, "load average", "result")
 
 
-def read_verdicts(folder: pathlib.Path) -> list[Verdict]:
+def read_verdicts(folder: pathlib.Path) -> list[RunVerdict]:
     """Read the verdicts of all runs below ``folder``, by deployment and script.
 
     Raises
@@ -37,7 +37,7 @@
     """
     try:
         verdicts = [
-            msgspec.json.decode(path.read_bytes(), type=Verdict)
+            msgspec.json.decode(path.read_bytes(), type=RunVerdict)
             for path in folder.rglob(VERDICT_FILE)
         ]
     except (OSError, msgspec.MsgspecError) as error:
@@ -47,13 +47,13 @@
     return sorted(verdicts, key=lambda verdict: (verdict.deployment, verdict.scenario))
 
 
-def markdown_of(verdicts: Iterable[Verdict]) -> str:
+def markdown_of(verdicts: Iterable[RunVerdict]) -> str:
     """Return a table in Markdown, a row for each run."""
     rows = [HEADINGS, ("---",) * len(HEADINGS), *(_cells(verdict) for verdict in verdicts)]
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
-def _cells(verdict: Verdict) -> tuple[str, ...]:
+def _cells(verdict: RunVerdict) -> tuple[str, ...]:
     cases = {check.name: check.cases for check in verdict.checks}
     return (
         verdict.deployment,
@@ -65,6 +65,6 @@
     )
 
 
-def _result(verdict: Verdict) -> str:
+def _result(verdict: RunVerdict) -> str:
     failed = [f"{check.name} ({len(check.problems)})" for check in verdict.checks if check.problems]
     return "FAILED: " + ", ".join(failed) if failed else "passed"
--- a/src/finchshed/fleet/runner.py
+++ b/src/finchshed/fleet/runner.py
@@ -9,11 +9,11 @@
 import aiohttp
 
 from finchshed.common.errors import FinchshedError
-from finchshed.fleet.acts import Change
+from finchshed.fleet.acts import ChangeConfiguration
 from finchshed.fleet.network import FleetNetwork
 from finchshed.fleet.plan import FleetPlan
-from finchshed.fleet.processes import FleetProcess, ProcessSpec, Role, wait_until_listening
-from finchshed.standins.platform import Instance, InstanceState
+from finchshed.fleet.processes import FleetProcess, ProcessRole, ProcessSpec, wait_until_listening
+from finchshed.standins.platform import StandinInstance, StandinInstanceState
 
 READY_SECONDS = 60.0
 STOP_SECONDS = 15.0
@@ -22,17 +22,17 @@
 
 OPERATOR_SECONDS = 300.0
 CALLERS_START_SECONDS = 2.0
-STARTING_ORDER = tuple(Role)
+STARTING_ORDER = tuple(ProcessRole)
 STOPPING_ORDER = (
-    Role.OPERATOR,
-    Role.CALLER,
-    Role.EDGE,
-    Role.DAEMON,
-    Role.BACKEND,
-    Role.CONTROL,
-    Role.PLATFORM,
+    ProcessRole.OPERATOR,
+    ProcessRole.CALLER,
+    ProcessRole.EDGE,
+    ProcessRole.DAEMON,
+    ProcessRole.BACKEND,
+    ProcessRole.CONTROL,
+    ProcessRole.PLATFORM,
 )
-ENDING_ROLES = (Role.CALLER, Role.OPERATOR)
+ENDING_ROLES = (ProcessRole.CALLER, ProcessRole.OPERATOR)
 """Processes that end by themselves when their work is done."""
 
 LOG_TAIL_BYTES = 2000
@@ -56,7 +56,7 @@
         self.processes = {
             spec.name: FleetProcess(spec, self.log_path(spec.name)) for spec in plan.specs
         }
-        self._leaving: set[str] = set()
+        self._draining: set[str] = set()
         self.http: aiohttp.ClientSession
 
     async def __aenter__(self) -> "Fleet":
@@ -76,11 +76,11 @@
         """How late the platform's list shows a change."""
         return self.plan.platform_lag_seconds
 
-    def of_role(self, *roles: Role) -> list[FleetProcess]:
+    def of_role(self, *roles: ProcessRole) -> list[FleetProcess]:
         """Return the processes in one of ``roles``."""
         return [process for process in self.processes.values() if process.spec.role in roles]
 
-    async def start(self, *roles: Role) -> None:
+    async def start(self, *roles: ProcessRole) -> None:
         """Start all processes of ``roles`` and wait until they listen.
 
         Raises
@@ -102,7 +102,7 @@
         the same moment meet the phase they are meant for.
         """
         begin_at = time.monotonic() + CALLERS_START_SECONDS
-        for process in self.of_role(Role.CALLER):
+        for process in self.of_role(ProcessRole.CALLER):
             process.start(f"--begin_at={begin_at}")
         await asyncio.sleep(begin_at - time.monotonic())
 
@@ -124,12 +124,14 @@
     async def publish_instances(self) -> None:
         """Tell the platform which machines are live or leaving."""
         instances = [
-            Instance(
+            StandinInstance(
                 name=endpoint.name,
                 address=endpoint.address,
                 incarnation=INCARNATION,
                 state=(
-                    InstanceState.LEAVING if endpoint.name in self._leaving else InstanceState.LIVE
+                    StandinInstanceState.LEAVING
+                    if endpoint.name in self._draining
+                    else StandinInstanceState.LIVE
                 ),
             )
             for endpoint in self.plan.endpoints
@@ -147,9 +149,9 @@
         async with self.http.put(url, json=body) as response:
             response.raise_for_status()
 
-    async def mark_leaving(self, endpoint: str) -> None:
+    async def mark_draining(self, endpoint: str) -> None:
         """Have the platform say, after its lag, that a machine leaves."""
-        self._leaving.add(endpoint)
+        self._draining.add(endpoint)
         await self.publish_instances()
 
     async def command_backend(self, endpoint: str, act: str, value: str = "") -> None:
@@ -159,7 +161,7 @@
         async with self.http.post(url, params={"value": value}) as response:
             response.raise_for_status()
 
-    async def run_operator(self, name: str, first_number: int, act: Change) -> int:
+    async def run_operator(self, name: str, first_number: int, act: ChangeConfiguration) -> int:
         """Run a stand-in operator that makes changes; return its exit code."""
         spec = self.plan.operator_spec(name, first_number, act)
         process = FleetProcess(spec, self.log_path(spec.name))
@@ -170,7 +172,7 @@
 
     async def wait_callers(self, timeout_seconds: float) -> bool:
         """Wait until every caller has sent its requests; return whether all ended well."""
-        callers = self.of_role(Role.CALLER)
+        callers = self.of_role(ProcessRole.CALLER)
         ended = [await caller.wait(timeout_seconds) for caller in callers]
         return all(ended) and all(caller.exit_code == 0 for caller in callers)
 
@@ -192,7 +194,7 @@
         """Stop every process, role by role."""
         for role in STOPPING_ORDER:
             # A back end's own drain is for a deployment that goes on; here it ends with the rest.
-            number = signal.SIGINT if role is Role.BACKEND else signal.SIGTERM
+            number = signal.SIGINT if role is ProcessRole.BACKEND else signal.SIGTERM
             chosen = self.of_role(role)
             await asyncio.gather(*(process.stop(number, STOP_SECONDS) for process in chosen))
 
--- a/src/finchshed/fleet/scenario.py
+++ b/src/finchshed/fleet/scenario.py
@@ -12,7 +12,7 @@
     Edition,
     FaultAct,
     Leave,
-    Misreport,
+    MisreportLoad,
     Slow,
 )
 from finchshed.fleet.plan import FleetPlan
@@ -31,7 +31,7 @@
     phase
         Name of a phase, or ``*`` for the whole run.
     answered_at_least
-        Share of the requests that must be answered in the end.
+        Fraction of the requests that must be answered in the end.
     failed_at_most, refused_at_most
         Number of requests that may end so.
     attempts_mean_at_most
@@ -46,7 +46,7 @@
     attempts_mean_at_most: Annotated[float, msgspec.Meta(gt=0.0)] = 1e9
 
 
-class Scenario(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class FaultScenario(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A scenario file.
 
     Attributes
@@ -74,7 +74,7 @@
         return any(isinstance(act, LINK_ACTS) for act in self.act)
 
 
-def read_scenario(path: pathlib.Path) -> Scenario:
+def read_scenario(path: pathlib.Path) -> FaultScenario:
     """Read a scenario file.
 
     Raises
@@ -83,12 +83,12 @@
         If the file can't be read or holds a wrong key or value.
     """
     try:
-        return msgspec.toml.decode(path.read_bytes(), type=Scenario)
+        return msgspec.toml.decode(path.read_bytes(), type=FaultScenario)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsError([f"{path}: {error}"]) from error
 
 
-def problems_of(scenario: Scenario, plan: FleetPlan) -> list[str]:
+def problems_of(scenario: FaultScenario, plan: FleetPlan) -> list[str]:
     """Return a line for each name of ``scenario`` that the planned fleet doesn't have."""
     processes = {spec.name for spec in plan.specs}
     zones = {spec.zone for spec in plan.specs if spec.zone}
@@ -101,7 +101,7 @@
         where = f"act at {act.at:g}"
         if isinstance(act, Slow | Edition):
             problems += _unknown(where, act.target, endpoints | services)
-        elif isinstance(act, Leave | Misreport):
+        elif isinstance(act, Leave | MisreportLoad):
             problems += _unknown(where, act.target, endpoints)
         elif isinstance(act, LINK_ACTS):
             allowed = processes | zones | SPECIAL_SELECTORS
--- a/src/finchshed/fleet/serving_events.py
+++ b/src/finchshed/fleet/serving_events.py
@@ -56,7 +56,7 @@
         self._runs: dict[str, BackendRecord] = {}
         self._open_runs: dict[str, BackendRecord] = {}
         self._open_calls: dict[str, BackendRecord] = {}
-        self._told_leaving: set[str] = set()
+        self._reported_draining: set[str] = set()
         self.roots = {
             record.call: record.root
             for record in self._records
@@ -89,11 +89,11 @@
         A back end that drains tells it by its answers; before the first one nobody can know.
         """
         if record.event is BackendEvent.DRAINING:
-            self._told_leaving.discard(record.backend)
+            self._reported_draining.discard(record.backend)
             return
-        is_told = record.backend in self._told_leaving
-        if record.event in ANSWERS and record.draining_seconds >= 0.0 and not is_told:
-            self._told_leaving.add(record.backend)
+        is_reported = record.backend in self._reported_draining
+        if record.event in ANSWERS and record.draining_seconds >= 0.0 and not is_reported:
+            self._reported_draining.add(record.backend)
             yield EndpointLeaving(self._time(record), record.backend, ANSWER_SIGN)
 
     def _started(self, record: BackendRecord) -> Iterator[Event]:
--- a/src/finchshed/fleet/storm.py
+++ b/src/finchshed/fleet/storm.py
@@ -13,7 +13,7 @@
 
 from finchshed.fleet import acts
 from finchshed.fleet.plan import backend_name, daemon_name
-from finchshed.fleet.scenario import Expectation, Scenario
+from finchshed.fleet.scenario import Expectation, FaultScenario
 from finchshed.standins.settings import Phase
 
 CALM_SECONDS = 3.0
@@ -34,8 +34,8 @@
 SLOW_FACTORS = (2.0, 6.0)
 DELAYS = (0.01, 0.2)
 NARROW_BYTES = (5_000.0, 100_000.0)
-TOGETHER_SHARE = 0.3
-"""Share of faults that come at the same moment as the one before."""
+TOGETHER_FRACTION = 0.3
+"""Fraction of faults that come at the same moment as the one before."""
 
 ANSWERED_AFTER = 0.97
 
@@ -57,10 +57,10 @@
         return (*self.edges, *(daemon_name(endpoint) for endpoint in self.endpoints))
 
 
-def storm(targets: Targets, seed: int) -> Scenario:
+def storm(targets: Targets, seed: int) -> FaultScenario:
     """Return the storm of a seed."""
     generator = _Generator(targets, random.Random(seed))
-    return Scenario(
+    return FaultScenario(
         name=f"storm-{seed}",
         description="Faults drawn from a seed; everything that must hold holds",
         phase=(
@@ -98,7 +98,9 @@
     def script(self) -> tuple[acts.FaultAct, ...]:
         operators = self._rng.randint(*OPERATORS)
         changes = [
-            acts.Change(at=CALM_SECONDS, times=CHANGES, pause_seconds=CHANGE_PAUSE_SECONDS)
+            acts.ChangeConfiguration(
+                at=CALM_SECONDS, times=CHANGES, pause_seconds=CHANGE_PAUSE_SECONDS
+            )
             for _ in range(operators)
         ]
         number = self._rng.randint(*FAULTS)
@@ -108,7 +110,7 @@
     def _times(self, number: int) -> list[float]:
         times: list[float] = []
         for _ in itertools.repeat(None, number):
-            if times and self._rng.random() < TOGETHER_SHARE:
+            if times and self._rng.random() < TOGETHER_FRACTION:
                 times.append(times[-1])
             else:
                 times.append(round(self._rng.uniform(CALM_SECONDS, LAST_ACT_SECONDS), 2))
@@ -196,7 +198,7 @@
         )
 
     def _misreport(self, at: float) -> acts.FaultAct:
-        return acts.Misreport(
+        return acts.MisreportLoad(
             at=at, target=self._one(self._targets.endpoints), duration_seconds=self._seconds()
         )
 
--- a/src/finchshed/fleet/storm_runs.py
+++ b/src/finchshed/fleet/storm_runs.py
@@ -6,7 +6,7 @@
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.configuration.declarations import read_declarations
 from finchshed.configuration.resources import Endpoint
-from finchshed.fleet.deployment import DECLARATIONS_FOLDER, Deployment, read_deployment
+from finchshed.fleet.deployment import DECLARATIONS_FOLDER, FleetDeployment, read_deployment
 from finchshed.fleet.fault_run import FaultRun
 from finchshed.fleet.storm import Targets, storm
 from finchshed.fleet.toml_writer import to_toml
@@ -14,7 +14,7 @@
 SCRIPT_FILE = "script.toml"
 
 
-def targets_of(source: pathlib.Path, deployment: Deployment) -> Targets:
+def targets_of(source: pathlib.Path, deployment: FleetDeployment) -> Targets:
     """Return what of a deployment faults can strike; its declarations stand in ``source``."""
     resources = read_declarations(source / DECLARATIONS_FOLDER).resources.values()
     endpoints = [item for item in resources if isinstance(item, Endpoint)]
--- a/src/finchshed/fleet/summary.py
+++ b/src/finchshed/fleet/summary.py
@@ -74,12 +74,12 @@
         )
 
 
-def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value below which ``share`` of ``values`` lie; 0 for none."""
+def percentile(values: Sequence[float], fraction: float) -> float:
+    """Return the value below which ``fraction`` of ``values`` lie; 0 for none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def rows_of(records: Iterable[CallerRecord]) -> list[Row]:
--- a/src/finchshed/fleet/verdict.py
+++ b/src/finchshed/fleet/verdict.py
@@ -19,7 +19,7 @@
     problems: list[str]
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class RunVerdict(msgspec.Struct, frozen=True):
     """Result of a fault run, as written to ``verdict.json``.
 
     Attributes
@@ -46,7 +46,7 @@
         path.write_bytes(msgspec.json.format(msgspec.json.encode(self), indent=1) + b"\n")
 
 
-def text_of(verdict: Verdict, rows: list[Row], times: Mapping[str, PathTimes]) -> str:
+def text_of(verdict: RunVerdict, rows: list[Row], times: Mapping[str, PathTimes]) -> str:
     """Return the verdict for people."""
     lines = [table_of(rows), "", *lines_of(times), ""]
     for check in verdict.checks:
--- a/src/finchshed/standins/arrivals.py
+++ b/src/finchshed/standins/arrivals.py
@@ -6,10 +6,10 @@
 import msgspec
 import numpy
 
-from finchshed.standins.settings import Load, Phase
+from finchshed.standins.settings import Phase, StandinLoad
 
 
-class Arrival(msgspec.Struct, frozen=True, order=True):
+class StandinArrival(msgspec.Struct, frozen=True, order=True):
     """One request to send at ``at`` seconds after the start.
 
     Attributes
@@ -28,8 +28,8 @@
 
 
 def schedule(
-    loads: Sequence[Load], phases: Sequence[Phase], generator: numpy.random.Generator
-) -> list[Arrival]:
+    loads: Sequence[StandinLoad], phases: Sequence[Phase], generator: numpy.random.Generator
+) -> list[StandinArrival]:
     """Return all arrivals of a run in order of time."""
     streams = [
         list(_arrivals_of(index, load, phases, generator)) for index, load in enumerate(loads)
@@ -39,8 +39,8 @@
 
 
 def _arrivals_of(
-    index: int, load: Load, phases: Sequence[Phase], generator: numpy.random.Generator
-) -> Iterator[Arrival]:
+    index: int, load: StandinLoad, phases: Sequence[Phase], generator: numpy.random.Generator
+) -> Iterator[StandinArrival]:
     start = 0.0
     for phase in phases:
         factor = phase.factor if load.surges else 1.0
@@ -52,5 +52,5 @@
             if at >= end:
                 break
             caller = int(generator.integers(load.identities))
-            yield Arrival(at=at, number=0, load=index, phase=phase.name, caller=caller)
+            yield StandinArrival(at=at, number=0, load=index, phase=phase.name, caller=caller)
         start = end
--- a/src/finchshed/standins/backend.py
+++ b/src/finchshed/standins/backend.py
@@ -60,7 +60,7 @@
     deadline: float
 
 
-class Backend:
+class StandinBackend:
     """One stand-in back end."""
 
     def __init__(self, settings: BackendSettings, session: aiohttp.ClientSession) -> None:
@@ -260,7 +260,7 @@
     ended = stop_event((signal.SIGINT,))
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        backend = Backend(settings, session)
+        backend = StandinBackend(settings, session)
         runner = await start_site(backend.application(), settings.address)
         await _first_of(leaving.wait(), ended.wait())
         if leaving.is_set():
--- a/src/finchshed/standins/caller.py
+++ b/src/finchshed/standins/caller.py
@@ -17,11 +17,11 @@
 from finchshed.ledger.keys import new_key
 from finchshed.proof.history import HEADER_CALL
 from finchshed.standins import answers
-from finchshed.standins.arrivals import Arrival, schedule
+from finchshed.standins.arrivals import StandinArrival, schedule
 from finchshed.standins.downloads import EDITION_CHANGED_STATUS, WHOLE_STATUS
 from finchshed.standins.outgoing import (
     Outgoing,
-    Reply,
+    StandinReply,
     attempt_record,
     is_final,
     may_repeat,
@@ -36,7 +36,7 @@
     monotonic,
 )
 from finchshed.standins.serving import stop_event
-from finchshed.standins.settings import CallerSettings, Load, RetryHabit
+from finchshed.standins.settings import CallerSettings, RetryHabit, StandinLoad
 
 PATIENCE_SECONDS = 5.0
 """How much longer than its deadline a caller waits for an answer; chosen, not measured."""
@@ -45,7 +45,7 @@
 """More than the callers of the examples have open at a surge; chosen, not measured."""
 
 
-class Caller:
+class StandinCaller:
     """Sends the requests of one caller process."""
 
     def __init__(self, settings: CallerSettings, session: aiohttp.ClientSession) -> None:
@@ -69,11 +69,11 @@
                     break
                 group.create_task(self._serve_arrival(arrival))
 
-    def _arrivals(self) -> list[Arrival]:
+    def _arrivals(self) -> list[StandinArrival]:
         generator = numpy.random.default_rng(self.settings.seed)
         return schedule(self.settings.loads, self.settings.phases, generator)
 
-    async def _serve_arrival(self, arrival: Arrival) -> None:
+    async def _serve_arrival(self, arrival: StandinArrival) -> None:
         load = self.settings.loads[arrival.load]
         request = f"{self.settings.name}-{arrival.number}"
         outgoing = Outgoing(
@@ -130,7 +130,7 @@
 
     async def _attempts(
         self, outgoing: Outgoing, home: int = 0
-    ) -> tuple[list[AttemptRecord], Reply]:
+    ) -> tuple[list[AttemptRecord], StandinReply]:
         load = outgoing.load
         session = (load.service, outgoing.session)
         body = answers.answer_body(outgoing.identity, load.body_bytes) if load.body_bytes else b""
@@ -155,13 +155,15 @@
             await asyncio.sleep(self._pause(load, record))
         return attempts, reply
 
-    def _edge(self, load: Load, home: int, number: int) -> str:
+    def _edge(self, load: StandinLoad, home: int, number: int) -> str:
         edges = self.settings.edge_addresses
         if load.download_bytes and not load.conditional:
             return edges[home]
         return edges[number % len(edges)]
 
-    async def _send(self, load: Load, edge: str, headers: dict[str, str], body: bytes) -> Reply:
+    async def _send(
+        self, load: StandinLoad, edge: str, headers: dict[str, str], body: bytes
+    ) -> StandinReply:
         delay = self.settings.client_delay_seconds
         await asyncio.sleep(delay)
         timeout = aiohttp.ClientTimeout(total=load.deadline_seconds + PATIENCE_SECONDS)
@@ -175,12 +177,14 @@
             ) as response:
                 content = await response.read()
         except (aiohttp.ClientError, TimeoutError) as error:
-            return Reply(status=0, headers={}, body=b"", error=f"{type(error).__name__}: {error}")
+            return StandinReply(
+                status=0, headers={}, body=b"", error=f"{type(error).__name__}: {error}"
+            )
         await asyncio.sleep(delay)
         received = {name.lower(): value for name, value in response.headers.items()}
-        return Reply(status=response.status, headers=received, body=content)
+        return StandinReply(status=response.status, headers=received, body=content)
 
-    def _pause(self, load: Load, record: AttemptRecord) -> float:
+    def _pause(self, load: StandinLoad, record: AttemptRecord) -> float:
         if load.retry is RetryHabit.HARD:
             return load.backoff_seconds * (0.5 + self._entropy.random())
         return record.retry_after
@@ -218,5 +222,5 @@
     stopped = stop_event()
     connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
     async with aiohttp.ClientSession(connector=connector) as session:
-        await Caller(settings, session).run(stopped, begin_at)
+        await StandinCaller(settings, session).run(stopped, begin_at)
     return 0
--- a/src/finchshed/standins/operator.py
+++ b/src/finchshed/standins/operator.py
@@ -31,7 +31,7 @@
 """A change not answered for so long is given up; chosen, not measured."""
 
 
-class ChangeOutcome(enum.StrEnum):
+class StandinChangeOutcome(enum.StrEnum):
     """What a stand-in operator was told of a change."""
 
     SUBMITTED = "submitted"
@@ -55,7 +55,7 @@
     change_id: str
     expected_revision: int
     value: float
-    outcome: ChangeOutcome
+    outcome: StandinChangeOutcome
     revision: int = 0
 
 
@@ -92,22 +92,22 @@
             attempt += 1
             identity = f"{self._settings.name}-{number}-{attempt}"
             outcome = self._submit(identity, number, deadline)
-            if outcome is not ChangeOutcome.CONFLICT:
-                return outcome is ChangeOutcome.ACCEPTED
+            if outcome is not StandinChangeOutcome.CONFLICT:
+                return outcome is StandinChangeOutcome.ACCEPTED
         return False
 
-    def _submit(self, identity: str, number: int, deadline: float) -> ChangeOutcome:
+    def _submit(self, identity: str, number: int, deadline: float) -> StandinChangeOutcome:
         held = self._revision(deadline)
         if held is None:
-            return ChangeOutcome.UNKNOWN
+            return StandinChangeOutcome.UNKNOWN
         value = BASE_VALUE_SECONDS + number
         return self._send(_ChangeToMake(identity, held[0], held[1], value), deadline)
 
-    def _send(self, change: "_ChangeToMake", deadline: float) -> ChangeOutcome:
+    def _send(self, change: "_ChangeToMake", deadline: float) -> StandinChangeOutcome:
         """Send a change until it is answered; return the answer."""
         policy = msgspec.structs.replace(change.policy, key_window_seconds=change.value)
         changed = Difference((policy,), ())
-        self._note(change, ChangeOutcome.SUBMITTED, 0)
+        self._note(change, StandinChangeOutcome.SUBMITTED, 0)
         while monotonic() < deadline:
             try:
                 result = submit(self._client, change.identity, change.expected, changed)
@@ -116,8 +116,8 @@
             outcome, accepted = _outcome_of(result)
             self._note(change, outcome, accepted)
             return outcome
-        self._note(change, ChangeOutcome.UNKNOWN, 0)
-        return ChangeOutcome.UNKNOWN
+        self._note(change, StandinChangeOutcome.UNKNOWN, 0)
+        return StandinChangeOutcome.UNKNOWN
 
     def _revision(self, deadline: float) -> tuple[int, Policy] | None:
         while monotonic() < deadline:
@@ -128,7 +128,7 @@
             return current.revision, cast(Policy, current.resources[POLICY])
         return None
 
-    def _note(self, change: "_ChangeToMake", outcome: ChangeOutcome, revision: int) -> None:
+    def _note(self, change: "_ChangeToMake", outcome: StandinChangeOutcome, revision: int) -> None:
         self._records.write(
             OperatorRecord(
                 at=monotonic(),
@@ -142,12 +142,12 @@
         )
 
 
-def _outcome_of(result: object) -> tuple[ChangeOutcome, int]:
+def _outcome_of(result: object) -> tuple[StandinChangeOutcome, int]:
     if isinstance(result, Accepted):
-        return ChangeOutcome.ACCEPTED, result.revision
+        return StandinChangeOutcome.ACCEPTED, result.revision
     if isinstance(result, Conflict):
-        return ChangeOutcome.CONFLICT, 0
-    return ChangeOutcome.INVALID, 0
+        return StandinChangeOutcome.CONFLICT, 0
+    return StandinChangeOutcome.INVALID, 0
 
 
 def run_operator(settings: OperatorSettings) -> int:
--- a/src/finchshed/standins/outgoing.py
+++ b/src/finchshed/standins/outgoing.py
@@ -18,14 +18,14 @@
 from finchshed.standins import answers
 from finchshed.standins.downloads import EDITION_CHANGED_STATUS, WHOLE_STATUS
 from finchshed.standins.records import AttemptRecord, CallerOutcome, monotonic
-from finchshed.standins.settings import Load
+from finchshed.standins.settings import StandinLoad
 
 SUCCESS_BELOW = 400
 FINAL_STATUSES = frozenset({400, 404, 409, 413, 422})
 """Statuses of refusals that a resend would get again (RFC 9110, 15.5)."""
 
 
-class Reply(msgspec.Struct, frozen=True):
+class StandinReply(msgspec.Struct, frozen=True):
     """What came back over HTTP; ``status`` 0 if nothing whole did."""
 
     status: int
@@ -38,7 +38,7 @@
     """A request, or one range of a download, that a caller wants answered."""
 
     request: str
-    load: Load
+    load: StandinLoad
     phase: str
     caller: str
     key: str = ""
@@ -77,7 +77,7 @@
         return headers
 
 
-def path_of(load: Load) -> str:
+def path_of(load: StandinLoad) -> str:
     """Return the path with its query."""
     if load.download_bytes:
         return f"{load.path}?size={load.download_bytes}"
@@ -89,16 +89,16 @@
     return record.outcome is CallerOutcome.REFUSED and record.status in FINAL_STATUSES
 
 
-def may_repeat(load: Load, number: int) -> bool:
+def may_repeat(load: StandinLoad, number: int) -> bool:
     """Whether attempt ``number`` may be followed by another."""
     return number + 1 < load.max_attempts
 
 
-def _is_answer(reply: Reply) -> bool:
+def _is_answer(reply: StandinReply) -> bool:
     return 0 < reply.status < SUCCESS_BELOW or reply.status == EDITION_CHANGED_STATUS
 
 
-def problem_of(outgoing: Outgoing, reply: Reply, sent: bytes) -> str:
+def problem_of(outgoing: Outgoing, reply: StandinReply, sent: bytes) -> str:
     """Say why an answer isn't this request's whole answer; empty if it is, or is none."""
     if not _is_answer(reply):
         return ""
@@ -107,7 +107,7 @@
     return answers.problem_of(outgoing.identity, reply.body, reply.headers, sent)
 
 
-def _range_problem(outgoing: Outgoing, reply: Reply) -> str:
+def _range_problem(outgoing: Outgoing, reply: StandinReply) -> str:
     named = reply.headers.get(answers.HEADER_IDENTITY)
     if named != outgoing.identity:
         return f"answer names request {named!r}"
@@ -130,7 +130,9 @@
     return ""
 
 
-def attempt_record(call: str, edge: str, begun: float, reply: Reply, problem: str) -> AttemptRecord:
+def attempt_record(
+    call: str, edge: str, begun: float, reply: StandinReply, problem: str
+) -> AttemptRecord:
     """Return the record of an attempt that has just ended."""
     answered = _is_answer(reply)
     ran = "yes" if answered else reply.headers.get(HEADER_RAN, "unknown")
@@ -156,7 +158,7 @@
     )
 
 
-def _retry_after(reply: Reply) -> float:
+def _retry_after(reply: StandinReply) -> float:
     milliseconds = reply.headers.get(HEADER_RETRY_AFTER_MS, "")
     if milliseconds:
         return float(milliseconds) / 1000.0
--- a/src/finchshed/standins/platform.py
+++ b/src/finchshed/standins/platform.py
@@ -15,20 +15,20 @@
 from finchshed.standins.settings import PlatformSettings
 
 
-class InstanceState(enum.StrEnum):
+class StandinInstanceState(enum.StrEnum):
     """What the platform says of a machine."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
-class Instance(msgspec.Struct, frozen=True):
+class StandinInstance(msgspec.Struct, frozen=True):
     """One machine of the list."""
 
     name: str
     address: str
     incarnation: str
-    state: InstanceState
+    state: StandinInstanceState
 
 
 class LaggingList:
@@ -36,14 +36,16 @@
 
     def __init__(self, lag_seconds: float) -> None:
         self._lag_seconds = lag_seconds
-        self._shown: tuple[Instance, ...] = ()
-        self._pending: collections.deque[tuple[float, tuple[Instance, ...]]] = collections.deque()
+        self._shown: tuple[StandinInstance, ...] = ()
+        self._pending: collections.deque[tuple[float, tuple[StandinInstance, ...]]] = (
+            collections.deque()
+        )
 
-    def replace(self, instances: tuple[Instance, ...], now: float) -> None:
+    def replace(self, instances: tuple[StandinInstance, ...], now: float) -> None:
         """Set what is true from ``now`` on."""
         self._pending.append((now + self._lag_seconds, instances))
 
-    def shown(self, now: float) -> tuple[Instance, ...]:
+    def shown(self, now: float) -> tuple[StandinInstance, ...]:
         """Return what the platform tells at ``now``."""
         while self._pending and self._pending[0][0] <= now:
             _, self._shown = self._pending.popleft()
@@ -61,7 +63,7 @@
 
     async def put(request: web.Request) -> web.Response:
         nonlocal first
-        replacement = msgspec.json.decode(await request.read(), type=tuple[Instance, ...])
+        replacement = msgspec.json.decode(await request.read(), type=tuple[StandinInstance, ...])
         now = monotonic()
         # The first list is what the platform knew before the run began: it has no lag.
         instances.replace(replacement, now - settings.lag_seconds if first else now)
--- a/src/finchshed/standins/settings.py
+++ b/src/finchshed/standins/settings.py
@@ -78,7 +78,7 @@
     calls: tuple[CallOn, ...] = ()
 
 
-class Load(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class StandinLoad(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Requests of one kind that a caller sends.
 
     Attributes
@@ -141,7 +141,7 @@
     zone: Name
     edge_addresses: tuple[Address, ...]
     record_path: str
-    loads: tuple[Load, ...]
+    loads: tuple[StandinLoad, ...]
     phases: tuple[Phase, ...]
     client_delay_seconds: Seconds = 0.0
     seed: int = 1
--- a/tests/fleet/test_fault_run.py
+++ b/tests/fleet/test_fault_run.py
@@ -4,8 +4,8 @@
 
 from finchshed.fleet import acts
 from finchshed.fleet.fault_run import FaultRun
-from finchshed.fleet.scenario import Expectation, Scenario
-from finchshed.fleet.verdict import Verdict
+from finchshed.fleet.scenario import Expectation, FaultScenario
+from finchshed.fleet.verdict import RunVerdict
 from finchshed.proof import history
 from finchshed.proof.checks import answers, configuration, leaving, runs
 from finchshed.standins.settings import Phase
@@ -17,8 +17,8 @@
 """Wider than what the system is to keep, which scripts judge: a busy machine runs these tests."""
 
 
-async def run(folder: pathlib.Path, *script: acts.FaultAct, **more: object) -> Verdict:
-    scenario = Scenario(
+async def run(folder: pathlib.Path, *script: acts.FaultAct, **more: object) -> RunVerdict:
+    scenario = FaultScenario(
         name="test",
         description="",
         phase=(Phase(name="all", duration_seconds=SECONDS),),
@@ -30,7 +30,7 @@
     return await FaultRun(SMALL, folder / "run", scenario, seed=3).run()
 
 
-def cases(verdict: Verdict) -> dict[str, int]:
+def cases(verdict: RunVerdict) -> dict[str, int]:
     return {check.name: check.cases for check in verdict.checks}
 
 
@@ -42,7 +42,7 @@
 async def test_kills_and_a_cut_keep_every_property(tmp_path: pathlib.Path) -> None:
     verdict = await run(
         tmp_path,
-        acts.Change(at=0.5, times=5),
+        acts.ChangeConfiguration(at=0.5, times=5),
         acts.Freeze(at=0.8, target="front-1-daemon", duration_seconds=1.5),
         acts.Kill(at=1.0, target="front-1-daemon"),
         acts.Kill(at=1.0, target="front-1-daemon", restart_after_seconds=0.2),
--- a/tests/fleet/test_final_configuration.py
+++ b/tests/fleet/test_final_configuration.py
@@ -1,8 +1,10 @@
 from finchshed.fleet.final_configuration import FinalConfiguration, problems_of
-from finchshed.standins.operator import ChangeOutcome, OperatorRecord
+from finchshed.standins.operator import OperatorRecord, StandinChangeOutcome
 
 
-def record(change: str, value: float, outcome: ChangeOutcome, revision: int = 0) -> OperatorRecord:
+def record(
+    change: str, value: float, outcome: StandinChangeOutcome, revision: int = 0
+) -> OperatorRecord:
     return OperatorRecord(
         at=0.0,
         operator="one",
@@ -15,9 +17,9 @@
 
 
 ACCEPTED = [
-    record("a", 601.0, ChangeOutcome.ACCEPTED, 2),
-    record("b", 602.0, ChangeOutcome.CONFLICT),
-    record("c", 603.0, ChangeOutcome.ACCEPTED, 3),
+    record("a", 601.0, StandinChangeOutcome.ACCEPTED, 2),
+    record("b", 602.0, StandinChangeOutcome.CONFLICT),
+    record("c", 603.0, StandinChangeOutcome.ACCEPTED, 3),
 ]
 
 
@@ -36,13 +38,13 @@
 
 
 def test_change_of_unknown_result_may_be_in_force() -> None:
-    records = [*ACCEPTED, record("d", 604.0, ChangeOutcome.UNKNOWN)]
+    records = [*ACCEPTED, record("d", 604.0, StandinChangeOutcome.UNKNOWN)]
     assert problems_of(FinalConfiguration(4, 604.0), records, 1) == []
     assert problems_of(FinalConfiguration(4, 602.0), records, 1)
 
 
 def test_revision_told_to_two_operators_is_found() -> None:
-    records = [*ACCEPTED, record("e", 605.0, ChangeOutcome.ACCEPTED, 3)]
+    records = [*ACCEPTED, record("e", 605.0, StandinChangeOutcome.ACCEPTED, 3)]
     assert "told to both" in problems_of(FinalConfiguration(3, 603.0), records, 1)[0]
 
 
--- a/tests/fleet/test_histories.py
+++ b/tests/fleet/test_histories.py
@@ -9,7 +9,7 @@
 from finchshed.fleet.network import FleetNetwork
 from finchshed.fleet.plan_options import PlanOptions
 from finchshed.fleet.planner import Planner
-from finchshed.fleet.scenario import Scenario
+from finchshed.fleet.scenario import FaultScenario
 from finchshed.fleet.serving_events import ServingEvents
 from finchshed.proof.history import (
     CallBegan,
@@ -24,7 +24,7 @@
     RunEnded,
     RunResult,
 )
-from finchshed.standins.operator import ChangeOutcome, OperatorRecord
+from finchshed.standins.operator import OperatorRecord, StandinChangeOutcome
 from finchshed.standins.records import (
     AttemptRecord,
     BackendEvent,
@@ -151,8 +151,8 @@
 def test_operators_records_become_changes() -> None:
     fields = {"operator": "o", "change_id": "c", "expected_revision": 1, "value": 601.0}
     records = [
-        OperatorRecord(at=BEGAN + 1.0, outcome=ChangeOutcome.SUBMITTED, **fields),  # type: ignore[arg-type]
-        OperatorRecord(at=BEGAN + 2.0, outcome=ChangeOutcome.ACCEPTED, revision=2, **fields),  # type: ignore[arg-type]
+        OperatorRecord(at=BEGAN + 1.0, outcome=StandinChangeOutcome.SUBMITTED, **fields),  # type: ignore[arg-type]
+        OperatorRecord(at=BEGAN + 2.0, outcome=StandinChangeOutcome.ACCEPTED, revision=2, **fields),  # type: ignore[arg-type]
     ]
     assert list(operator_events(records, BEGAN)) == [
         ChangeSubmitted(1.0, "c", "o", 1),
@@ -167,7 +167,7 @@
         plan = planner.plan()
     finally:
         network.release()
-    scenario = Scenario(
+    scenario = FaultScenario(
         name="x",
         description="",
         phase=(Phase(name="all", duration_seconds=1.0),),
--- a/tests/fleet/test_watch.py
+++ b/tests/fleet/test_observer.py
@@ -1,7 +1,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 from prometheus_client.exposition import generate_latest
 
-from finchshed.fleet.watch import values_of
+from finchshed.fleet.observer import values_of
 
 
 def test_values_without_labels_are_read_from_an_exposition() -> None:
--- a/tests/fleet/test_process_table.py
+++ b/tests/fleet/test_process_table.py
@@ -3,7 +3,7 @@
 import sys
 
 from finchshed.fleet import process_table
-from finchshed.fleet.processes import FleetProcess, ProcessSpec, Role
+from finchshed.fleet.processes import FleetProcess, ProcessRole, ProcessSpec
 
 READY = "ready"
 # The child ends with its parent, whose end of the pipe closes.
@@ -23,7 +23,7 @@
 
 
 async def problems_of(folder: pathlib.Path, program: str) -> list[str]:
-    spec = ProcessSpec(name="one", role=Role.DAEMON, zone="", arguments=("-c", program))
+    spec = ProcessSpec(name="one", role=ProcessRole.DAEMON, zone="", arguments=("-c", program))
     process = FleetProcess(spec, folder / "one.log")
     process.start()
     try:
@@ -45,5 +45,5 @@
 
 
 def test_process_that_does_not_run_is_left_out(tmp_path: pathlib.Path) -> None:
-    spec = ProcessSpec(name="one", role=Role.DAEMON, zone="", arguments=())
+    spec = ProcessSpec(name="one", role=ProcessRole.DAEMON, zone="", arguments=())
     assert process_table.problems_of([FleetProcess(spec, tmp_path / "one.log")]) == []
--- a/tests/fleet/test_reachability.py
+++ b/tests/fleet/test_reachability.py
@@ -1,5 +1,5 @@
+from finchshed.fleet.link_conditions import Peer
 from finchshed.fleet.reachability import reaching, serving_group
-from finchshed.fleet.relay import Peer
 
 CONTROL = [Peer("control-1", "north"), Peer("control-2", "south"), Peer("control-3", "east")]
 DAEMONS = [Peer("a-daemon", "north"), Peer("b-daemon", "south"), Peer("c-daemon", "west")]
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from finchshed.fleet.relay import Condition, Conditions, Peer, Relay, Rule
+from finchshed.fleet.link_conditions import Condition, Conditions, LinkRule, Peer
+from finchshed.fleet.relay import Relay
 
 CLIENT = Peer(name="edge-1", zone="north")
 OWNER = Peer(name="one-daemon", zone="south")
@@ -58,8 +59,8 @@
     await running.stop()
 
 
-def rule(source: str, target: str, **condition: float | bool) -> Rule:
-    return Rule(source=source, target=target, condition=Condition(**condition))  # type: ignore[arg-type]
+def rule(source: str, target: str, **condition: float | bool) -> LinkRule:
+    return LinkRule(source=source, target=target, condition=Condition(**condition))  # type: ignore[arg-type]
 
 
 async def test_bytes_pass_both_ways_and_the_end_is_passed_on(echo: Echo) -> None:
--- a/tests/fleet/test_results.py
+++ b/tests/fleet/test_results.py
@@ -6,14 +6,14 @@
 
 from finchshed.common.errors import SettingsError
 from finchshed.fleet.results import HEADINGS, markdown_of, read_verdicts
-from finchshed.fleet.verdict import Check, Verdict
+from finchshed.fleet.verdict import Check, RunVerdict
 from finchshed.proof.checks import answers, leaving
 
 
 def written(folder: pathlib.Path, script: str, *problems: str) -> None:
     run = folder / script
     run.mkdir()
-    Verdict(
+    RunVerdict(
         scenario=script,
         deployment="brazos",
         seed=1,
--- a/tests/fleet/test_running_processes.py
+++ b/tests/fleet/test_running_processes.py
@@ -11,13 +11,13 @@
 from finchshed.fleet.bring_up import bring_up, plan_fleet
 from finchshed.fleet.deployment import read_deployment
 from finchshed.fleet.plan_options import PlanOptions
-from finchshed.fleet.processes import PRODUCTION_ROLES, Role
+from finchshed.fleet.processes import PRODUCTION_ROLES, ProcessRole
 from finchshed.observability.process_checks import thread_count, violations_of
 
 SMALL = Path(__file__).parent / "small"
 WAIT_SECONDS = 30.0
 
-MOST_THREADS = {Role.DAEMON: 8, Role.EDGE: 8, Role.CONTROL: 48}
+MOST_THREADS = {ProcessRole.DAEMON: 8, ProcessRole.EDGE: 8, ProcessRole.CONTROL: 48}
 """A daemon has its event loop's thread, four of libuv's pool and the executor's that syncs the
 revision it holds (six in all when this was written); a control node has grpcio's own besides, whose
 number follows the machine's cores (21 in all on 12 cores)."""
@@ -29,7 +29,7 @@
     fleet = plan_fleet(SMALL, read_deployment(SMALL), tmp_path / "run", PlanOptions())
     async with fleet:
         await bring_up(fleet)
-        await fleet.start(Role.CALLER)
+        await fleet.start(ProcessRole.CALLER)
         processes = fleet.of_role(*PRODUCTION_ROLES)
         found = {process.spec.name: violations_of(process.pid) for process in processes}
         threads = {process.spec.name: thread_count(process.pid) for process in processes}
--- a/tests/fleet/test_scripts.py
+++ b/tests/fleet/test_scripts.py
@@ -10,7 +10,7 @@
 from finchshed.fleet.plan import FleetPlan
 from finchshed.fleet.plan_options import PlanOptions
 from finchshed.fleet.planner import Planner
-from finchshed.fleet.scenario import Scenario, problems_of, read_scenario
+from finchshed.fleet.scenario import FaultScenario, problems_of, read_scenario
 from finchshed.standins.settings import Phase
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
@@ -48,7 +48,7 @@
 
 
 def test_a_name_that_the_deployment_lacks_is_told(plans: dict[str, FleetPlan]) -> None:
-    scenario = Scenario(
+    scenario = FaultScenario(
         name="wrong",
         description="",
         phase=(Phase(name="all", duration_seconds=1.0),),
--- a/tests/fleet/test_storm.py
+++ b/tests/fleet/test_storm.py
@@ -7,7 +7,7 @@
 from finchshed.fleet import acts
 from finchshed.fleet.command import seed_range
 from finchshed.fleet.deployment import read_deployment
-from finchshed.fleet.scenario import Scenario, read_scenario
+from finchshed.fleet.scenario import FaultScenario, read_scenario
 from finchshed.fleet.storm import LAST_ACT_SECONDS, STORM_SECONDS, storm
 from finchshed.fleet.storm_runs import targets_of
 from finchshed.fleet.toml_writer import to_toml
@@ -16,7 +16,7 @@
 SEEDS = range(200)
 
 
-def storms() -> list[Scenario]:
+def storms() -> list[FaultScenario]:
     targets = targets_of(BRAZOS, read_deployment(BRAZOS))
     return [storm(targets, seed) for seed in SEEDS]
 
@@ -32,7 +32,7 @@
 
 def test_storms_end_before_the_last_phase_and_lose_at_most_one_control_disk() -> None:
     for scenario in storms():
-        faults = [act for act in scenario.act if not isinstance(act, acts.Change)]
+        faults = [act for act in scenario.act if not isinstance(act, acts.ChangeConfiguration)]
         assert 5 <= len(faults) <= 9
         assert max(act.at for act in faults) <= LAST_ACT_SECONDS
         assert sum(isinstance(act, acts.Kill) and act.wipe for act in faults) <= 1
@@ -50,7 +50,7 @@
     }
     together = 0
     for scenario in storms():
-        times = [act.at for act in scenario.act if not isinstance(act, acts.Change)]
+        times = [act.at for act in scenario.act if not isinstance(act, acts.ChangeConfiguration)]
         together += len(set(times)) < len(times)
     assert together > len(SEEDS) // 2
 
--- a/tests/standins/test_arrivals.py
+++ b/tests/standins/test_arrivals.py
@@ -1,11 +1,13 @@
 import numpy
 
 from finchshed.standins.arrivals import schedule
-from finchshed.standins.settings import Load, Phase
+from finchshed.standins.settings import Phase, StandinLoad
 
 LOADS = (
-    Load(name="browse", service="booklets", path="/page", rate_per_second=50.0),
-    Load(name="check", service="officers", path="/check", rate_per_second=10.0, surges=False),
+    StandinLoad(name="browse", service="booklets", path="/page", rate_per_second=50.0),
+    StandinLoad(
+        name="check", service="officers", path="/check", rate_per_second=10.0, surges=False
+    ),
 )
 PHASES = (
     Phase(name="calm", duration_seconds=20.0),
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -7,7 +7,7 @@
 from finchshed.common.context import HEADER_DEADLINE, HEADER_RAN
 from finchshed.proof.history import HEADER_CALL
 from finchshed.standins import answers
-from finchshed.standins.backend import Backend
+from finchshed.standins.backend import StandinBackend
 from finchshed.standins.records import BackendEvent, BackendRecord, read_records
 from finchshed.standins.serving import start_site
 from finchshed.standins.settings import BackendSettings, Distribution, LoadReporting
@@ -44,7 +44,7 @@
 
     async def __aenter__(self) -> "Running":
         self.session = aiohttp.ClientSession()
-        self.backend = Backend(self.settings, self.session)
+        self.backend = StandinBackend(self.settings, self.session)
         self.runner = await start_site(self.backend.application(), self.settings.address)
         return self
 
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -10,10 +10,10 @@
 
 from finchshed.fleet import editions
 from finchshed.standins import answers, downloads
-from finchshed.standins.caller import Caller
+from finchshed.standins.caller import StandinCaller
 from finchshed.standins.records import CallerOutcome, CallerRecord, read_records
 from finchshed.standins.serving import start_site
-from finchshed.standins.settings import CallerSettings, Load, Phase
+from finchshed.standins.settings import CallerSettings, Phase, StandinLoad
 
 SIZE = 400
 RANGE = 100
@@ -62,7 +62,7 @@
 ) -> CallerRecord:
     """Return the record of the first download that a caller makes; ``dead`` are edges it tries."""
     address = free_address()
-    load = Load(
+    load = StandinLoad(
         name="edition",
         service="charts",
         path=PATH,
@@ -84,7 +84,7 @@
     runner = await start_site(app, address)
     try:
         async with aiohttp.ClientSession() as session:
-            caller = Caller(settings, session)
+            caller = StandinCaller(settings, session)
             first = caller._arrivals()[0]
             await asyncio.wait_for(caller._serve_arrival(first), 30.0)
     finally:
--- a/tests/standins/test_downloads.py
+++ b/tests/standins/test_downloads.py
@@ -4,8 +4,8 @@
 
 from finchshed.common.context import HEADER_SESSION
 from finchshed.standins import answers, downloads
-from finchshed.standins.outgoing import Outgoing, Reply, problem_of
-from finchshed.standins.settings import Load
+from finchshed.standins.outgoing import Outgoing, StandinReply, problem_of
+from finchshed.standins.settings import StandinLoad
 
 PATH = "/edition/bay"
 SIZE = 250
@@ -38,7 +38,7 @@
 
 
 def outgoing(*, conditional: bool) -> Outgoing:
-    load = Load(
+    load = StandinLoad(
         name="edition",
         service="charts",
         path=PATH,
@@ -58,9 +58,9 @@
     )
 
 
-def reply(told: downloads.Part) -> Reply:
+def reply(told: downloads.Part) -> StandinReply:
     headers = {name.lower(): value for name, value in told.headers.items()}
-    return Reply(told.status, {**headers, answers.HEADER_IDENTITY: "d-1"}, told.body)
+    return StandinReply(told.status, {**headers, answers.HEADER_IDENTITY: "d-1"}, told.body)
 
 
 def test_only_a_conditional_download_names_its_edition() -> None:
--- a/tests/standins/test_operator.py
+++ b/tests/standins/test_operator.py
@@ -11,8 +11,8 @@
 from finchshed.standins.operator import (
     BASE_VALUE_SECONDS,
     POLICY,
-    ChangeOutcome,
     OperatorRecord,
+    StandinChangeOutcome,
     run_operator,
 )
 from finchshed.standins.records import read_records
@@ -61,12 +61,12 @@
     )
     assert run_operator(settings) == 0
     records = read_records(folder / "dana.jsonl", OperatorRecord)
-    return [item for item in records if item.outcome is not ChangeOutcome.SUBMITTED]
+    return [item for item in records if item.outcome is not StandinChangeOutcome.SUBMITTED]
 
 
 def test_changes_follow_each_other(tmp_path: pathlib.Path, group: Group) -> None:
     records = records_of_run(tmp_path)
-    assert [item.outcome for item in records] == [ChangeOutcome.ACCEPTED] * CHANGES
+    assert [item.outcome for item in records] == [StandinChangeOutcome.ACCEPTED] * CHANGES
     assert [item.expected_revision for item in records] == list(range(1, 1 + CHANGES))
     first = BASE_VALUE_SECONDS + FIRST_NUMBER
     assert [item.value for item in records] == [first + number for number in range(CHANGES)]
@@ -79,9 +79,9 @@
     group.conflicts = 2
     records = records_of_run(tmp_path)
     assert [item.outcome for item in records[:3]] == [
-        ChangeOutcome.CONFLICT,
-        ChangeOutcome.CONFLICT,
-        ChangeOutcome.ACCEPTED,
+        StandinChangeOutcome.CONFLICT,
+        StandinChangeOutcome.CONFLICT,
+        StandinChangeOutcome.ACCEPTED,
     ]
     assert len({item.value for item in records[:3]}) == 1
     assert len({item.change_id for item in records}) == len(records) == CHANGES + 2
--- a/tests/standins/test_session_place.py
+++ b/tests/standins/test_session_place.py
@@ -9,10 +9,10 @@
 
 from finchshed.common.context import HEADER_SESSION_AT
 from finchshed.standins import answers, downloads
-from finchshed.standins.arrivals import Arrival
-from finchshed.standins.caller import Caller
+from finchshed.standins.arrivals import StandinArrival
+from finchshed.standins.caller import StandinCaller
 from finchshed.standins.serving import start_site
-from finchshed.standins.settings import CallerSettings, Load, Phase
+from finchshed.standins.settings import CallerSettings, Phase, StandinLoad
 from tests.standins.test_caller import free_address
 
 SIZE = 200
@@ -36,7 +36,7 @@
         return web.Response(status=503, headers=refusal)
 
     addresses = (free_address(), free_address())
-    load = Load(
+    load = StandinLoad(
         name="tags",
         service="tags",
         path="/tag",
@@ -62,9 +62,9 @@
     arrivals = 1 if size else 2
     try:
         async with aiohttp.ClientSession() as client:
-            caller = Caller(settings, client)
+            caller = StandinCaller(settings, client)
             for number in range(arrivals):
-                arrival = Arrival(at=0.0, load=0, phase="all", number=number)
+                arrival = StandinArrival(at=0.0, load=0, phase="all", number=number)
                 await asyncio.wait_for(caller._serve_arrival(arrival), 30.0)
     finally:
         for runner in runners:
