--- a/src/finchshed/bench/consensus_group.py
+++ b/src/finchshed/bench/consensus_group.py
@@ -1,4 +1,7 @@
-"""A control group in one process and without disks, to measure its leader's processor time."""
+"""A control group in one process without disks, to measure its leader's processor time.
+
+Owns the log entries that the measurements of the log write; relies on the pure node of consensus.
+"""
 
 import random
 import time
@@ -26,13 +29,20 @@
 from finchshed.storage.records import Entry, EntryKind, Stored, Vote
 
 SERVICES = 52
+"""Services of the design size (docs/CAPACITY.md)."""
+
 ENDPOINTS = 1_100
 """Back ends of the size to design for; a configuration declares them and their services."""
 
 _TIME = 1_800_000_000.0
+"""Wall-clock time of every entry, Unix seconds; nothing measured rests on it."""
+
 _OPERATOR = Operator(name="ana", token_sha256="a" * 64)
 _TICK_SECONDS = 0.05
+"""Step of the group's own clock; chosen, not measured."""
+
 _MOST_TICKS = 200
+"""An election that takes longer than so many steps is a fault of the measurement."""
 
 
 def first_change(endpoints: int = ENDPOINTS) -> bytes:
--- a/src/finchshed/bench/consensus_restart.py
+++ b/src/finchshed/bench/consensus_restart.py
@@ -1,4 +1,7 @@
-"""How long a control node takes to come back, by the number of changes made before."""
+"""How long a control node takes to come back, by the number of changes made before.
+
+Owns a node with its data folder, driven on a clock of its own; relies on the disk of that folder.
+"""
 
 import random
 import statistics
@@ -22,9 +25,16 @@
 
 _NAME = "only"
 _BATCH = 256
+"""Changes proposed at once while the log is filled; chosen, not measured."""
+
 _TICK_SECONDS = 0.1
+"""Step of the node's own clock; chosen, not measured."""
+
 _MOST_TICKS = 200
+"""A node that leads only after more steps is a fault of the measurement."""
+
 _NEVER = 1 << 40
+"""More entries and bytes than a measurement writes: no snapshot is taken."""
 
 
 class RestartPoint(msgspec.Struct, frozen=True, tag="restart"):
--- a/src/finchshed/bench/keys.py
+++ b/src/finchshed/bench/keys.py
@@ -1,4 +1,7 @@
-"""Certificates for measured processes."""
+"""Certificates for measured processes.
+
+Owns an authority of its own for one measurement; relies on the product's own issuing.
+"""
 
 import datetime
 from pathlib import Path
@@ -15,6 +18,8 @@
 from finchshed.tls.names import Role, name_of
 
 VALID = datetime.timedelta(days=1)
+"""Longer than any measurement."""
+
 AUTHORITY_FILE = "authority.pem"
 
 
--- a/src/finchshed/bench/linear_fit.py
+++ b/src/finchshed/bench/linear_fit.py
@@ -1,4 +1,7 @@
-"""Linear least squares with what is needed to judge the fit. Pure."""
+"""Linear least squares with what is needed to judge the fit.
+
+Pure: no I/O and no clock.
+"""
 
 from collections.abc import Mapping, Sequence
 
--- a/src/finchshed/bench/paired_results.py
+++ b/src/finchshed/bench/paired_results.py
@@ -1,4 +1,7 @@
-"""Results of the paired measure of latency, and their table."""
+"""Results of the paired measurement of latency, and their table.
+
+Owns the form of the result's JSON lines.
+"""
 
 from collections.abc import Sequence
 
--- a/src/finchshed/fleet/acts.py
+++ b/src/finchshed/fleet/acts.py
@@ -1,4 +1,8 @@
-"""What a fault script can do to a fleet, as typed tables of a scenario file."""
+"""What a fault script can do to a fleet, as typed tables of a scenario file.
+
+Owns the kinds of acts and their bounds; the injector carries them out. The names of kinds and
+keys are those of scripts that are stored, so they stay.
+"""
 
 import enum
 from typing import Annotated, TypeAlias
--- a/src/finchshed/fleet/addresses.py
+++ b/src/finchshed/fleet/addresses.py
@@ -1,4 +1,7 @@
-"""Where the programs of a planned fleet listen, and which of them stand behind the relay."""
+"""Where the programs of a planned fleet listen, and which of them stand behind the relay.
+
+Owns the pairs of public and private addresses; relies on a network that is held.
+"""
 
 from finchshed.fleet.network import RELAYED_OFFSET, FleetNetwork, Port
 
--- a/src/finchshed/fleet/admin.py
+++ b/src/finchshed/fleet/admin.py
@@ -9,6 +9,7 @@
 from finchshed.fleet.runner import Fleet, FleetError
 
 POLL_SECONDS = 0.05
+"""Between two questions whether a process serves; chosen, not measured."""
 
 
 async def is_healthy(fleet: Fleet, name: str) -> bool:
--- a/src/finchshed/fleet/bring_up.py
+++ b/src/finchshed/fleet/bring_up.py
@@ -1,4 +1,7 @@
-"""Plans a fleet and starts everything but its callers."""
+"""Plans a fleet and starts everything but its callers.
+
+Relies on free ports in the network it holds; a fleet that is returned is stopped by its context.
+"""
 
 import pathlib
 
@@ -12,6 +15,7 @@
 from finchshed.fleet.runner import Fleet
 
 IN_FORCE_SECONDS = 20.0
+"""How long daemons may take to serve after their start; chosen, not measured."""
 
 
 def plan_fleet(
--- a/src/finchshed/fleet/command.py
+++ b/src/finchshed/fleet/command.py
@@ -1,4 +1,7 @@
-"""Command line of the fleet runner."""
+"""Command line of the fleet runner: the demonstration, one script, storms, the table of results.
+
+Owns the run's folder; an exit code other than 0 means that something checked failed.
+"""
 
 import pathlib
 import time
--- a/src/finchshed/fleet/fault_run.py
+++ b/src/finchshed/fleet/fault_run.py
@@ -1,21 +1,22 @@
-"""A run of a deployment of real processes under a fault script, judged from its history."""
+"""A run of a deployment of real processes under a fault script.
+
+Owns the fleet, its links and the journal for the length of the run, and stops all of it whatever
+happens. What the run showed is judged by :mod:`finchshed.fleet.judgement`.
+"""
 
 import asyncio
 import os
 import pathlib
 import time
-from collections.abc import Iterable
 
 from finchshed.common.errors import SettingsError
-from finchshed.fleet import editions, final_configuration, process_table
-from finchshed.fleet.acts import Edition
+from finchshed.fleet import final_configuration, process_table
 from finchshed.fleet.bring_up import bring_up, plan_fleet
-from finchshed.fleet.coverage import CASES
 from finchshed.fleet.deployment import read_deployment
-from finchshed.fleet.expectations import unmet
 from finchshed.fleet.faults import FleetFaultInjector
-from finchshed.fleet.histories import Records, build_history, read_all
+from finchshed.fleet.histories import build_history, read_all
 from finchshed.fleet.journal import FaultJournal
+from finchshed.fleet.judgement import RunFindings, checks_of
 from finchshed.fleet.links import FleetLinks
 from finchshed.fleet.observer import FleetObserver
 from finchshed.fleet.operator import FleetOperator
@@ -24,16 +25,16 @@
 from finchshed.fleet.processes import PRODUCTION_ROLES, ProcessRole
 from finchshed.fleet.results import VERDICT_FILE
 from finchshed.fleet.scenario import FaultScenario, problems_of
-from finchshed.fleet.summary import rows_of, wrong_answers
-from finchshed.fleet.verdict import Check, RunVerdict, text_of
-from finchshed.proof.checks import CHECKS, violations_of
+from finchshed.fleet.summary import rows_of
+from finchshed.fleet.verdict import RunVerdict, text_of
 from finchshed.proof.checks.index import Index
-from finchshed.proof.history import History, NodeStarted
-from finchshed.standins.records import CallerOutcome
+from finchshed.proof.history import NodeStarted
 
 CALLERS_MARGIN_SECONDS = 40.0
+"""How long callers may take after the last phase, with all their repeats; chosen, not measured."""
+
 SETTLE_SECONDS = 10.0
-"""How long daemons may take after the run to act on the last revision."""
+"""How long daemons may take after the run to act on the last revision; chosen, not measured."""
 
 HISTORY_FILE = "history.jsonl"
 PROBLEMS_FILE = "problems.txt"
@@ -72,12 +73,7 @@
         self._fleet = plan_fleet(source, self._deployment, folder, options)
         self._folder = folder
         self._journal = FaultJournal(time.monotonic())
-        self._final: final_configuration.FinalConfiguration | None = None
-        self._first_revision = 0
-        self._behind: list[str] = []
-        self._callers_ended_well = False
-        self._fallen: list[str] = []
-        self._table_problems: list[str] = []
+        self._findings = RunFindings()
 
     async def run(self) -> RunVerdict:
         """Run it and return what it showed; prints what goes on."""
@@ -101,7 +97,7 @@
         self._note_started()
         started = time.monotonic() - self._journal.began
         async with FleetObserver(fleet, self._journal) as observer:
-            self._first_revision = max(observer.revisions.values(), default=0)
+            self._findings.first_revision = max(observer.revisions.values(), default=0)
             _say(f"in force at every daemon after {started:.1f} s")
             phases = ", ".join(
                 f"{phase.name} {phase.duration_seconds:g} s x{phase.factor:g}"
@@ -109,8 +105,10 @@
             )
             _say(f"callers send: {phases}; {len(self._scenario.act)} acts")
             await self._load_and_faults(links, operator, observer)
-            self._fallen = fleet.ended_unasked()
-            self._table_problems = process_table.problems_of(fleet.of_role(*PRODUCTION_ROLES))
+            self._findings.ended_unasked = fleet.ended_unasked()
+            self._findings.process_table_problems = process_table.problems_of(
+                fleet.of_role(*PRODUCTION_ROLES)
+            )
             await self._read_final(observer)
 
     async def _load_and_faults(
@@ -121,16 +119,16 @@
         total = sum(phase.duration_seconds for phase in self._scenario.phase)
         async with asyncio.TaskGroup() as group:
             faults = group.create_task(injector.run(self._scenario.act))
-            self._callers_ended_well = await self._fleet.wait_callers(
+            self._findings.callers_ended_well = await self._fleet.wait_callers(
                 total + CALLERS_MARGIN_SECONDS
             )
             await faults
 
     async def _read_final(self, observer: FleetObserver) -> None:
         final = await asyncio.to_thread(final_configuration.read_final, self._fleet.plan)
-        self._final = final
+        self._findings.final = final
         if final is not None:
-            self._behind = await final_configuration.behind_after(
+            self._findings.behind = await final_configuration.behind_after(
                 observer, final.revision, SETTLE_SECONDS
             )
 
@@ -146,73 +144,22 @@
         )
         history.write(self._folder / HISTORY_FILE)
         self._journal.write(self._folder / PROBLEMS_FILE)
-        rows = rows_of(records.callers)
+        findings = self._findings
+        findings.processes = len(self._fleet.processes)
+        findings.production_processes = len(self._fleet.of_role(*PRODUCTION_ROLES))
         verdict = RunVerdict(
             scenario=self._scenario.name,
             deployment=self._deployment.name,
             seed=self._seed,
-            processes=len(self._fleet.processes),
+            processes=findings.processes,
             acts=len(self._scenario.act),
             load_average=os.getloadavg()[0],
-            checks=[
-                *_invariants(history),
-                *self._checks(records),
-                Check(
-                    "outcomes the scenario states",
-                    len(self._scenario.expect),
-                    unmet(self._scenario.expect, rows),
-                ),
-            ],
+            checks=checks_of(self._scenario, history, records, findings, self._journal.problems),
         )
         verdict.write(self._folder / VERDICT_FILE)
-        print(text_of(verdict, rows, path_times_of(Index(history))))
+        print(text_of(verdict, rows_of(records.callers), path_times_of(Index(history))))
         return verdict
 
-    def _checks(self, records: Records) -> Iterable[Check]:
-        answered = sum(
-            attempt.outcome is CallerOutcome.ANSWERED
-            for record in records.callers
-            for attempt in record.attempts
-        )
-        yield Check("answers whole and the caller's own", answered, wrong_answers(records.callers))
-        yield Check(
-            editions.NAME,
-            sum(editions.met_a_new_one(record) for record in records.callers),
-            editions.problems_of(
-                records.callers,
-                published=any(isinstance(act, Edition) for act in self._scenario.act),
-            ),
-        )
-        lost = [] if self._callers_ended_well else ["a caller process didn't end well"]
-        fallen = [f"ended unasked: {name}" for name in self._fallen]
-        yield Check(
-            "processes and acts",
-            len(self._fleet.processes),
-            [*lost, *fallen, *self._journal.problems],
-        )
-        yield Check(
-            "no children, io_uring or shared memory",
-            len(self._fleet.of_role(*PRODUCTION_ROLES)),
-            self._table_problems,
-        )
-        yield Check(
-            "configuration at the end",
-            len(records.operators),
-            [
-                *final_configuration.problems_of(
-                    self._final, records.operators, self._first_revision
-                ),
-                *self._behind,
-            ],
-        )
-
-
-def _invariants(history: History) -> Iterable[Check]:
-    index = Index(history)
-    for name in CHECKS:
-        problems = [str(violation) for violation in violations_of(history, [name])]
-        yield Check(name, CASES[name](index), problems)
-
 
 def _say(text: str) -> None:
     print(text, flush=True)
--- a/src/finchshed/fleet/faults.py
+++ b/src/finchshed/fleet/faults.py
@@ -1,4 +1,8 @@
-"""Carries out the acts of a fault script on a running fleet."""
+"""Carries out the acts of a fault script on a running fleet.
+
+Owns the order of each act's steps and what the journal says of them. Signals go to processes that
+the fleet started, by their id; who leads comes from the observer.
+"""
 
 import asyncio
 import collections
@@ -33,8 +37,17 @@
 )
 
 KILL_WAIT_SECONDS = 5.0
+"""How long the kernel may take to end a killed process; chosen, not measured."""
+
 ABLE_SECONDS = 20.0
+"""How long a planned restart waits for a process that another act has frozen or killed.
+
+Longer than any such act of a storm lasts. Chosen, not measured.
+"""
+
 POLL_SECONDS = 0.1
+"""Between two looks at such a process; chosen, not measured."""
+
 FOLLOWING_ROLES = (ProcessRole.DAEMON, ProcessRole.EDGE)
 """Processes that follow the configuration."""
 
--- a/src/finchshed/fleet/final_configuration.py
+++ b/src/finchshed/fleet/final_configuration.py
@@ -1,4 +1,7 @@
-"""Compares the configuration a run ends with to what its operators were told was accepted."""
+"""Compares the configuration a run ends with to what its operators were told was accepted.
+
+Relies on the operators' records and on control nodes that still run.
+"""
 
 import asyncio
 import time
@@ -16,7 +19,10 @@
 from finchshed.standins.operator import POLICY, OperatorRecord, StandinChangeOutcome
 
 READ_TIMEOUT_SECONDS = 5.0
+"""How long a control node may take to answer; chosen, not measured."""
+
 POLL_SECONDS = 0.25
+"""Between two looks at the revisions; as often as the observer reads them."""
 
 
 class FinalConfiguration(msgspec.Struct, frozen=True):
--- a/src/finchshed/fleet/interruption.py
+++ b/src/finchshed/fleet/interruption.py
@@ -1,4 +1,8 @@
-"""Runs work that starts processes so that a signal stops them all."""
+"""Runs work that starts processes so that a signal stops them all.
+
+Owns the handlers of SIGTERM, SIGHUP and SIGINT; relies on work that stops what it started when it
+is cancelled.
+"""
 
 import asyncio
 import signal
--- a/src/finchshed/fleet/journal.py
+++ b/src/finchshed/fleet/journal.py
@@ -1,4 +1,7 @@
-"""What the fault layer did during a run, on the run's clock."""
+"""What the fault layer did during a run, on the run's clock.
+
+Owns the events that only the fault layer knows, and the acts that failed.
+"""
 
 import pathlib
 import time
--- a/src/finchshed/fleet/link_faults.py
+++ b/src/finchshed/fleet/link_faults.py
@@ -1,4 +1,7 @@
-"""Acts of a fault script on the links of a fleet."""
+"""Acts of a fault script on the links of a fleet.
+
+Owns the names of the rules it puts in force; takes each out of force when its act is over.
+"""
 
 import asyncio
 import itertools
--- a/src/finchshed/fleet/links.py
+++ b/src/finchshed/fleet/links.py
@@ -1,4 +1,8 @@
-"""The links of a fleet: the relay in front of its processes, and what the links suffer."""
+"""The links of a fleet: the relay in front of its processes, and what the links suffer.
+
+Owns the relay, its rules, and the account of which daemons can reach control. Relies on the
+kernel's tables to tell which process holds a connection.
+"""
 
 from finchshed.fleet.journal import FaultJournal
 from finchshed.fleet.link_conditions import UNKNOWN_PEER, Condition, Conditions, LinkRule, Peer
--- a/src/finchshed/fleet/network.py
+++ b/src/finchshed/fleet/network.py
@@ -12,9 +12,14 @@
 from finchshed.fleet.deployment import EXAMPLE_NETWORK
 
 FIRST_NETWORK = 1
+"""Second byte of the first network tried."""
+
 LAST_NETWORK = 99
+"""Second byte of the last network tried: so many fleets can run on one machine."""
+
 HOLD_HOST = "255.254"
 HOLD_PORT = 7000
+"""A port and a host that no program of a fleet listens at."""
 
 RELAYED_OFFSET = 10
 """Added to a port to get the one a program listens on behind a relay."""
--- a/src/finchshed/fleet/observer.py
+++ b/src/finchshed/fleet/observer.py
@@ -1,4 +1,7 @@
-"""Observes a running fleet through its admin listeners: who leads, and what is in force where."""
+"""Observes a running fleet by its admin listeners: who leads, and what is in force where.
+
+Owns the last value seen of each; relies on the names of the programs' metrics.
+"""
 
 import asyncio
 import contextlib
@@ -11,7 +14,10 @@
 from finchshed.proof.history import RevisionInForce
 
 POLL_SECONDS = 0.25
+"""Between two rounds; a revision in force is judged against 4 s. Chosen, not measured."""
+
 READ_TIMEOUT_SECONDS = 1.0
+"""How long a process may take to answer; a frozen one doesn't. Chosen, not measured."""
 
 REVISION = "finchshed_configuration_revision"
 SERVING = "finchshed_serving"
--- a/src/finchshed/fleet/operator.py
+++ b/src/finchshed/fleet/operator.py
@@ -1,4 +1,8 @@
-"""The operator of a fleet: runs ``finchshed ctl`` against its control nodes."""
+"""The operator of a fleet: runs ``finchshed ctl`` against its control nodes.
+
+Each command is a process of its own, as a person would run it. The stand-in operators, which
+change the configuration under load, are processes of the fleet.
+"""
 
 import asyncio
 import os
@@ -10,6 +14,7 @@
 from finchshed.fleet.plan import FleetPlan
 
 APPLY_TIMEOUT_SECONDS = 30.0
+"""How long the declarations may take to be accepted; chosen, not measured."""
 
 
 class OperatorError(FinchshedError):
--- a/src/finchshed/fleet/plan.py
+++ b/src/finchshed/fleet/plan.py
@@ -1,4 +1,7 @@
-"""All processes of a fleet, their names, and where to reach them."""
+"""All processes of a fleet, their names, and where to reach them.
+
+Owns the names of daemons and back ends; the planner fills the plan.
+"""
 
 import pathlib
 
--- a/src/finchshed/fleet/planner.py
+++ b/src/finchshed/fleet/planner.py
@@ -1,4 +1,8 @@
-"""Plans a fleet: every process with its settings file, from a deployment and its declarations."""
+"""Plans a fleet: every process with its settings file, from a deployment and declarations.
+
+Owns the settings files under the run's folder; relies on the settings types of the programs and
+stand-ins.
+"""
 
 import hashlib
 import pathlib
--- a/src/finchshed/fleet/processes.py
+++ b/src/finchshed/fleet/processes.py
@@ -1,4 +1,8 @@
-"""One process of a fleet: started from a settings file, watched, signalled, and ended."""
+"""One process of a fleet: started from a settings file, signalled, and ended.
+
+Owns the process and its log file. Relies on the kernel's death signal, so that no process outlives
+the runner.
+"""
 
 import asyncio
 import ctypes
@@ -13,7 +17,10 @@
 import msgspec
 
 POLL_SECONDS = 0.02
+"""Between two looks at a process that starts or ends; chosen, not measured."""
+
 PR_SET_PDEATHSIG = 1
+"""Option of prctl(2)."""
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
--- a/src/finchshed/fleet/relay.py
+++ b/src/finchshed/fleet/relay.py
@@ -24,6 +24,8 @@
 from finchshed.fleet.link_conditions import Conditions, Peer, is_named
 
 CHUNK_BYTES = 65_536
+"""Most that is read at once; chosen, not measured."""
+
 RESET_LINGER = struct.pack("ii", 1, 0)
 """With this SO_LINGER a close sends a reset."""
 
--- a/src/finchshed/fleet/results.py
+++ b/src/finchshed/fleet/results.py
@@ -1,4 +1,7 @@
-"""Tables of the results of fault runs, from the verdicts in their folders."""
+"""Tables of the results of fault runs, from the verdicts in their folders.
+
+Relies on the names of checks that verdicts carry.
+"""
 
 import pathlib
 from collections.abc import Iterable, Mapping
--- a/src/finchshed/fleet/runner.py
+++ b/src/finchshed/fleet/runner.py
@@ -1,4 +1,7 @@
-"""Starts a planned fleet, keeps it, and stops all of it, whatever happens."""
+"""Starts a planned fleet, keeps it, and stops all of it, whatever happens.
+
+Owns the processes; relies on a plan whose settings files are written.
+"""
 
 import asyncio
 import pathlib
@@ -16,12 +19,20 @@
 from finchshed.standins.platform import StandinInstance, StandinInstanceState
 
 READY_SECONDS = 60.0
+"""How long a process may take to listen on a busy machine; chosen, not measured."""
+
 STOP_SECONDS = 15.0
+"""How long a process may take to end at the end of a run; chosen, not measured."""
+
 RESTART_STOP_SECONDS = 45.0
 """A planned stop may take a daemon's whole drain (planner.DRAIN_SECONDS) and a little more."""
 
 OPERATOR_SECONDS = 300.0
+"""How long a stand-in operator may take for its changes; chosen, not measured."""
+
 CALLERS_START_SECONDS = 2.0
+"""How long callers are given to start in; chosen, not measured."""
+
 STARTING_ORDER = tuple(ProcessRole)
 STOPPING_ORDER = (
     ProcessRole.OPERATOR,
@@ -36,6 +47,8 @@
 """Processes that end by themselves when their work is done."""
 
 LOG_TAIL_BYTES = 2000
+"""How much of a log goes into an error; chosen, not measured."""
+
 INCARNATION = "1"
 """A run replaces no machine, so each endpoint's stays the first one."""
 
--- a/src/finchshed/fleet/scenario.py
+++ b/src/finchshed/fleet/scenario.py
@@ -1,4 +1,7 @@
-"""Scenario files: a load, a fault script and what must hold."""
+"""Scenario files: a load, a fault script and what must hold.
+
+Owns the form of the file, which stored scripts have; names are checked against a plan.
+"""
 
 import pathlib
 from typing import Annotated
--- a/src/finchshed/fleet/serving_events.py
+++ b/src/finchshed/fleet/serving_events.py
@@ -1,4 +1,7 @@
-"""What back ends ran, and the calls they made on, as events of a history."""
+"""What back ends ran, and the calls they made on, as events of a history.
+
+Owns the rules of when a run or a call counts as ended; relies on records in order of time.
+"""
 
 from collections.abc import Iterable, Iterator, Mapping
 
--- a/src/finchshed/fleet/socket_diagnosis.py
+++ b/src/finchshed/fleet/socket_diagnosis.py
@@ -7,12 +7,14 @@
 import socket
 import struct
 
+# Numbers of the kernel's interface: linux/netlink.h, linux/sock_diag.h and linux/inet_diag.h.
 NETLINK_SOCK_DIAG = 4
 SOCK_DIAG_BY_FAMILY = 20
 NLM_F_REQUEST = 1
 ALL_STATES = 0xFFFFFFFF
 ANY_COOKIE = b"\xff" * 8
 RECEIVE_BYTES = 8192
+"""More than the answer for one socket."""
 
 MESSAGE_HEADER = struct.Struct("=IHHII")
 """Length, type, flags, sequence number and port of a netlink message (struct nlmsghdr)."""
--- a/src/finchshed/fleet/storm.py
+++ b/src/finchshed/fleet/storm.py
@@ -16,28 +16,49 @@
 from finchshed.fleet.scenario import Expectation, FaultScenario
 from finchshed.standins.settings import Phase
 
+# The shape of a storm is chosen, not measured. A change of any figure changes the script of every
+# seed, and with it what a seed that once failed stands for.
 CALM_SECONDS = 3.0
 STORM_SECONDS = 22.0
 AFTER_SECONDS = 10.0
+"""Lengths of the three phases; callers must be served in the last."""
+
 LAST_ACT_SECONDS = CALM_SECONDS + STORM_SECONDS - 8.0
 """No fault begins later, and none takes longer than what is left then."""
 
 FAULT_SECONDS = (0.5, 6.0)
+"""Least and most seconds that a fault lasts."""
+
 FULL_DISK_SECONDS = (3.0, 6.0)
 """Long enough for a change to meet it."""
 
 FAULTS = (5, 9)
+"""Least and most faults of a storm."""
+
 OPERATORS = (1, 2)
+"""Least and most operators, who change the configuration throughout."""
+
 CHANGES = 20
 CHANGE_PAUSE_SECONDS = 0.6
+"""Changes of each operator, and the pause before each: 12 s of the storm."""
+
 RESTART_SECONDS = (0.2, 3.0)
+"""Least and most seconds that a killed process is gone."""
+
 SLOW_FACTORS = (2.0, 6.0)
+"""Least and most times that the work of a slow back end takes longer."""
+
 DELAYS = (0.01, 0.2)
+"""Least and most seconds that bytes between two zones come later."""
+
 NARROW_BYTES = (5_000.0, 100_000.0)
+"""Least and most bytes a second of a narrow link."""
+
 TOGETHER_FRACTION = 0.3
 """Fraction of faults that come at the same moment as the one before."""
 
 ANSWERED_AFTER = 0.97
+"""Fraction of the last phase's requests that must be answered."""
 
 Draw = Callable[[float], acts.FaultAct]
 
--- a/src/finchshed/fleet/storm_runs.py
+++ b/src/finchshed/fleet/storm_runs.py
@@ -1,4 +1,7 @@
-"""Runs storms of faults on a fleet, one seed after another."""
+"""Runs storms of faults on a fleet, one seed after another.
+
+Owns the folder of each run with its script, from which the run can be repeated.
+"""
 
 import pathlib
 from collections.abc import Iterable
--- a/src/finchshed/fleet/summary.py
+++ b/src/finchshed/fleet/summary.py
@@ -1,4 +1,7 @@
-"""What a run's callers got, by load and phase, from their records."""
+"""What a run's callers got, by load and phase, from their records.
+
+Owns the counts and their table for people.
+"""
 
 import collections
 from collections.abc import Iterable, Sequence
--- a/src/finchshed/fleet/verdict.py
+++ b/src/finchshed/fleet/verdict.py
@@ -1,4 +1,7 @@
-"""What a fault run showed: counts, checks and whether it passed."""
+"""What a fault run showed: counts, checks and whether it passed.
+
+Owns the form of ``verdict.json``, which stored runs have.
+"""
 
 import pathlib
 from collections.abc import Mapping
@@ -9,6 +12,7 @@
 from finchshed.fleet.summary import Row, table_of
 
 SHOWN_LINES = 12
+"""Lines of a failed check that are printed; all are in the verdict's file."""
 
 
 class Check(msgspec.Struct, frozen=True):
--- a/src/finchshed/standins/answers.py
+++ b/src/finchshed/standins/answers.py
@@ -17,6 +17,7 @@
 """Digest of the request's body as the back end got it."""
 
 PATTERN_BYTES = 16
+"""Length of a digest, which the pattern repeats."""
 
 
 class RangeRequest(msgspec.Struct, frozen=True):
--- a/src/finchshed/standins/arrivals.py
+++ b/src/finchshed/standins/arrivals.py
@@ -1,4 +1,7 @@
-"""Seeded open-loop arrivals: requests come whether or not earlier ones were answered."""
+"""Seeded open-loop arrivals: requests come whether or not earlier ones were answered.
+
+Owns the order of the draws: one seed gives one list of arrivals.
+"""
 
 import heapq
 from collections.abc import Iterator, Sequence
--- a/src/finchshed/standins/backend.py
+++ b/src/finchshed/standins/backend.py
@@ -40,11 +40,16 @@
 REFUSED_STATUS = 503
 DEADLINE_STATUS = 504
 DEFAULT_EDITION_BYTES = 1 << 20
+"""Size of a download whose request names none."""
+
 MAX_REQUEST_BYTES = 64 << 20
+"""As much as a service may declare to take (configuration/resources.py)."""
+
 LEAVE_TIMEOUT_SECONDS = 30.0
 """A drain ends at the latest after so long; chosen, not measured."""
 
 DRAIN_POLL_SECONDS = 0.05
+"""Between two looks whether the last request has ended; chosen, not measured."""
 
 
 class Incoming(msgspec.Struct, frozen=True):
--- a/src/finchshed/standins/calling.py
+++ b/src/finchshed/standins/calling.py
@@ -1,4 +1,7 @@
-"""Calls a stand-in back end makes on to further services, through its own daemon."""
+"""Calls a stand-in back end makes on to further services, through its own daemon.
+
+Owns the names of these calls and their records; relies on the daemon for repeats and budgets.
+"""
 
 import asyncio
 import itertools
@@ -15,6 +18,7 @@
 
 CONTEXT_PREFIX = "finchshed-"
 SUCCESS_BELOW = 400
+"""Statuses from here on are refusals and errors (RFC 9110, 15)."""
 
 
 class ChildRefusedError(Exception):
--- a/src/finchshed/standins/downloads.py
+++ b/src/finchshed/standins/downloads.py
@@ -12,6 +12,7 @@
 from finchshed.proof.history import HEADER_ANSWER_DIGEST
 from finchshed.standins import answers
 
+# Statuses of RFC 9110: 15.3.1, 15.3.7 and 15.5.13.
 WHOLE_STATUS = 200
 PART_STATUS = 206
 EDITION_CHANGED_STATUS = 412
--- a/src/finchshed/standins/load_reports.py
+++ b/src/finchshed/standins/load_reports.py
@@ -1,4 +1,4 @@
-"""What a stand-in back end tells of its load: the truth, an old truth, or nothing true."""
+"""What a stand-in back end reports of its load: the truth, an old truth, or nothing true."""
 
 import collections
 
--- a/src/finchshed/standins/outgoing.py
+++ b/src/finchshed/standins/outgoing.py
@@ -1,4 +1,7 @@
-"""One request of a stand-in caller: what it sends, what came back, and whether that is its own."""
+"""One request of a stand-in caller: what it sends, what came back, and whether it is its own.
+
+Owns the rules by which a caller counts an answer as whole, as a refusal, or as a failure.
+"""
 
 import msgspec
 
@@ -21,6 +24,8 @@
 from finchshed.standins.settings import StandinLoad
 
 SUCCESS_BELOW = 400
+"""Statuses from here on are refusals and errors (RFC 9110, 15)."""
+
 FINAL_STATUSES = frozenset({400, 404, 409, 413, 422})
 """Statuses of refusals that a resend would get again (RFC 9110, 15.5)."""
 
--- a/src/finchshed/standins/serving.py
+++ b/src/finchshed/standins/serving.py
@@ -6,6 +6,7 @@
 from aiohttp import web
 
 SHUTDOWN_SECONDS = 1.0
+"""How long open requests may take at a stop; chosen, not measured."""
 
 
 def stop_event(
--- a/src/finchshed/standins/slots.py
+++ b/src/finchshed/standins/slots.py
@@ -1,4 +1,7 @@
-"""Slots of a stand-in back end: so many requests run, a few wait, more are refused."""
+"""Slots of a stand-in back end: so many requests run, a few wait, more are refused.
+
+Owns the queue; whoever acquires a slot gives it back.
+"""
 
 import asyncio
 import collections
