--- a/src/finchshed/fleet/acts.py
+++ b/src/finchshed/fleet/acts.py
@@ -1,4 +1,8 @@
-"""What a fault script can do to a fleet, as typed tables of a scenario file."""
+"""What a fault script can do to a fleet, as typed tables of a scenario file.
+
+Owns the kinds of acts and their bounds; the injector carries them out. The names of kinds and
+keys are those of scripts that are stored, so they stay.
+"""
 
 import enum
 from typing import Annotated, TypeAlias
@@ -80,7 +84,7 @@
     duration_seconds: PositiveSeconds
 
 
-class Misreport(Act, frozen=True, kw_only=True, tag="misreport"):
+class MisreportLoad(Act, frozen=True, kw_only=True, tag="misreport"):
     """Have an endpoint's back end report zero or old load and, if ``failing``, fail at once."""
 
     target: Name
@@ -157,7 +161,7 @@
     duration_seconds: PositiveSeconds
 
 
-class Change(Act, frozen=True, kw_only=True, tag="change"):
+class ChangeConfiguration(Act, frozen=True, kw_only=True, tag="change"):
     """Have one more operator change the policy ``times`` times, with a pause before each."""
 
     times: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
@@ -170,7 +174,7 @@
     | Restart
     | RollingRestart
     | Slow
-    | Misreport
+    | MisreportLoad
     | Leave
     | Edition
     | Cut
@@ -178,7 +182,7 @@
     | Throttle
     | Reset
     | FillDisk
-    | Change
+    | ChangeConfiguration
 )
 
 LINK_ACTS = (Cut, Delay, Throttle, Reset)
--- a/src/finchshed/fleet/listeners.py
+++ b/src/finchshed/fleet/addresses.py
@@ -1,9 +1,12 @@
-"""Where the programs of a planned fleet listen, and which of them stand behind the relay."""
+"""Where the programs of a planned fleet listen, and which of them stand behind the relay.
+
+Owns the pairs of public and private addresses; relies on a network that is held.
+"""
 
 from finchshed.fleet.network import RELAYED_OFFSET, FleetNetwork, Port
 
 
-class Listeners:
+class FleetAddresses:
     """Addresses in the fleet's network.
 
     Parameters
--- a/src/finchshed/fleet/admin.py
+++ b/src/finchshed/fleet/admin.py
@@ -5,10 +5,11 @@
 
 import aiohttp
 
-from finchshed.fleet.processes import Role
+from finchshed.fleet.processes import ProcessRole
 from finchshed.fleet.runner import Fleet, FleetError
 
 POLL_SECONDS = 0.05
+"""Between two questions whether a process serves; chosen, not measured."""
 
 
 async def is_healthy(fleet: Fleet, name: str) -> bool:
@@ -30,7 +31,7 @@
         If some don't in time; they are named.
     """
     deadline = time.monotonic() + timeout_seconds
-    waiting = {process.spec.name for process in fleet.of_role(Role.DAEMON, Role.EDGE)}
+    waiting = {process.spec.name for process in fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)}
     while waiting:
         healthy = await asyncio.gather(*(is_healthy(fleet, name) for name in sorted(waiting)))
         waiting = {name for name, good in zip(sorted(waiting), healthy, strict=True) if not good}
--- a/src/finchshed/fleet/watch.py
+++ b/src/finchshed/fleet/observer.py
@@ -1,4 +1,7 @@
-"""Watches a running fleet through its admin listeners: who leads, and what is in force where."""
+"""Observes a running fleet by its admin listeners: who leads, and what is in force where.
+
+Owns the last value seen of each; relies on the names of the programs' metrics.
+"""
 
 import asyncio
 import contextlib
@@ -6,12 +9,15 @@
 import aiohttp
 
 from finchshed.fleet.journal import FaultJournal
-from finchshed.fleet.processes import Role
+from finchshed.fleet.processes import ProcessRole
 from finchshed.fleet.runner import Fleet
 from finchshed.proof.history import RevisionInForce
 
 POLL_SECONDS = 0.25
+"""Between two rounds; a revision in force is judged against 4 s. Chosen, not measured."""
+
 READ_TIMEOUT_SECONDS = 1.0
+"""How long a process may take to answer; a frozen one doesn't. Chosen, not measured."""
 
 REVISION = "finchshed_configuration_revision"
 SERVING = "finchshed_serving"
@@ -30,7 +36,7 @@
     return values
 
 
-class FleetWatch:
+class FleetObserver:
     """Polls the admin listeners and notes what changes.
 
     A daemon's revision is noted when it differs from the last one seen, so a history shows each
@@ -47,7 +53,7 @@
         """Control nodes that said that their disk was full."""
         self._task: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> "FleetWatch":
+    async def __aenter__(self) -> "FleetObserver":
         await self.poll()
         self._task = asyncio.create_task(self._run())
         return self
@@ -71,14 +77,16 @@
 
     def followers(self) -> list[str]:
         """Return the control nodes that run and don't lead."""
-        nodes = self._fleet.of_role(Role.CONTROL)
+        nodes = self._fleet.of_role(ProcessRole.CONTROL)
         running = [node.spec.name for node in nodes if node.is_running]
         return [name for name in running if name != self.leader]
 
     async def poll(self) -> None:
         """Read every process once."""
-        daemons = [node.spec.name for node in self._fleet.of_role(Role.DAEMON, Role.EDGE)]
-        control = [node.spec.name for node in self._fleet.of_role(Role.CONTROL)]
+        daemons = [
+            node.spec.name for node in self._fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)
+        ]
+        control = [node.spec.name for node in self._fleet.of_role(ProcessRole.CONTROL)]
         await asyncio.gather(
             *(self._read_daemon(name) for name in daemons),
             *(self._read_control(name) for name in control),
--- a/src/finchshed/fleet/plan.py
+++ b/src/finchshed/fleet/plan.py
@@ -1,13 +1,16 @@
-"""All processes of a fleet, their names, and where to reach them."""
+"""All processes of a fleet, their names, and where to reach them.
+
+Owns the names of daemons and back ends; the planner fills the plan.
+"""
 
 import pathlib
 
 import msgspec
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.fleet.acts import Change
-from finchshed.fleet.deployment import DECLARATIONS_FOLDER, Deployment
-from finchshed.fleet.processes import ProcessSpec, Role
+from finchshed.fleet.acts import ChangeConfiguration
+from finchshed.fleet.deployment import DECLARATIONS_FOLDER, FleetDeployment
+from finchshed.fleet.processes import ProcessRole, ProcessSpec
 from finchshed.fleet.toml_writer import to_toml
 from finchshed.standins.settings import OperatorSettings
 
@@ -16,7 +19,7 @@
     """All processes of a fleet, and where to reach them."""
 
     folder: pathlib.Path
-    deployment: Deployment
+    deployment: FleetDeployment
     specs: list[ProcessSpec]
     endpoints: tuple[Endpoint, ...]
     rpc_addresses: tuple[str, ...]
@@ -39,7 +42,7 @@
         """Return the process named ``name``."""
         return next(spec for spec in self.specs if spec.name == name)
 
-    def operator_spec(self, name: str, first_number: int, act: Change) -> ProcessSpec:
+    def operator_spec(self, name: str, first_number: int, act: ChangeConfiguration) -> ProcessSpec:
         """Write the settings of a stand-in operator and return how to start it."""
         settings = OperatorSettings(
             name=name,
@@ -54,7 +57,7 @@
         path.write_text(to_toml(settings))
         return ProcessSpec(
             name=name,
-            role=Role.OPERATOR,
+            role=ProcessRole.OPERATOR,
             zone="",
             arguments=("-m", "finchshed", "standin", "operator", str(path)),
         )
--- a/src/finchshed/fleet/processes.py
+++ b/src/finchshed/fleet/processes.py
@@ -1,4 +1,8 @@
-"""One process of a fleet: started from a settings file, watched, signalled, and ended."""
+"""One process of a fleet: started from a settings file, signalled, and ended.
+
+Owns the process and its log file. Relies on the kernel's death signal, so that no process outlives
+the runner.
+"""
 
 import asyncio
 import ctypes
@@ -13,12 +17,15 @@
 import msgspec
 
 POLL_SECONDS = 0.02
+"""Between two looks at a process that starts or ends; chosen, not measured."""
+
 PR_SET_PDEATHSIG = 1
+"""Option of prctl(2)."""
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-class Role(enum.StrEnum):
+class ProcessRole(enum.StrEnum):
     """What a process is in its fleet; the order is the order of starting."""
 
     PLATFORM = "platform"
@@ -30,7 +37,7 @@
     OPERATOR = "operator"
 
 
-PRODUCTION_ROLES = (Role.CONTROL, Role.DAEMON, Role.EDGE)
+PRODUCTION_ROLES = (ProcessRole.CONTROL, ProcessRole.DAEMON, ProcessRole.EDGE)
 
 
 class ProcessSpec(msgspec.Struct, frozen=True, kw_only=True):
@@ -49,7 +56,7 @@
     """
 
     name: str
-    role: Role
+    role: ProcessRole
     zone: str
     arguments: tuple[str, ...]
     listens: tuple[str, ...] = ()
--- a/src/finchshed/fleet/verdict.py
+++ b/src/finchshed/fleet/verdict.py
@@ -1,4 +1,7 @@
-"""What a fault run showed: counts, checks and whether it passed."""
+"""What a fault run showed: counts, checks and whether it passed.
+
+Owns the form of ``verdict.json``, which stored runs have.
+"""
 
 import pathlib
 from collections.abc import Mapping
@@ -9,6 +12,7 @@
 from finchshed.fleet.summary import Row, table_of
 
 SHOWN_LINES = 12
+"""Lines of a failed check that are printed; all are in the verdict's file."""
 
 
 class Check(msgspec.Struct, frozen=True):
@@ -19,7 +23,7 @@
     problems: list[str]
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class RunVerdict(msgspec.Struct, frozen=True):
     """Result of a fault run, as written to ``verdict.json``.
 
     Attributes
@@ -46,7 +50,7 @@
         path.write_bytes(msgspec.json.format(msgspec.json.encode(self), indent=1) + b"\n")
 
 
-def text_of(verdict: Verdict, rows: list[Row], times: Mapping[str, PathTimes]) -> str:
+def text_of(verdict: RunVerdict, rows: list[Row], times: Mapping[str, PathTimes]) -> str:
     """Return the verdict for people."""
     lines = [table_of(rows), "", *lines_of(times), ""]
     for check in verdict.checks:
