--- a/src/finchshed/daemon/serving/backend_runs.py
+++ b/src/finchshed/daemon/serving/backend_runs.py
@@ -29,7 +29,8 @@
 from finchshed.daemon.serving.call_admission import CallAdmission
 from finchshed.daemon.serving.crash_detection import BrokenRun, CrashDetector
 from finchshed.daemon.serving.guarded import GuardedRuns
-from finchshed.daemon.serving.work import Work, WorkState
+from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.http.status import STATUS_MISDIRECTED_REQUEST
 from finchshed.quarantine.register import Suspicion
 from finchshed.retry.policy import retry_after
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -26,7 +26,8 @@
 from finchshed.daemon.serving.guarded import GuardedRuns
 from finchshed.daemon.serving.replies import ReplySender
 from finchshed.daemon.serving.suspect_queue import SuspectQueue, Turn
-from finchshed.daemon.serving.work import Work, WorkState
+from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import Signatures
 from finchshed.limit.concurrency import slots_to_use
--- a/src/finchshed/daemon/serving/work.py
+++ b/src/finchshed/daemon/serving/work.py
@@ -1,25 +1,15 @@
 """One call from another daemon, on its way through the daemon beside the back end."""
 
-import enum
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from finchshed.common.context import CallContext
 from finchshed.daemon.serving.accounts import ServedRequest
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
 
 
-class WorkState(enum.Enum):
-    """How far a call has come."""
-
-    QUEUED = "queued"
-    ASKING_LEDGER = "asking_ledger"
-    AT_BACKEND = "at_backend"
-    RECORDING = "recording"
-    DONE = "done"
-
-
 @dataclass(slots=True)
 class Work:
     """A call in progress. Times are monotonic seconds; ``started`` is 0 until it was sent.
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -23,7 +23,7 @@
 )
 from finchshed.common.results import SERVER_ERROR, CallResult, result_of
 from finchshed.daemon.serving.accounts import ServedRequest
-from finchshed.daemon.serving.work import WorkState
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.backend import HEADER_DRAINING, BackEnd
 from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
 from finchshed.emulator.daemons.guarded import LEDGER_TIMEOUT_SECONDS, GuardedStart
--- a/src/finchshed/emulator/daemons/guarded.py
+++ b/src/finchshed/emulator/daemons/guarded.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from finchshed.common.outcomes import Failed, FailureReason, Outcome, RefusalReason, Refused
-from finchshed.daemon.serving.work import WorkState
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.daemons.work import Work
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from finchshed.common.context import CallContext
-from finchshed.daemon.serving.work import WorkState
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
 from finchshed.emulator.request import Cancel
 
