--- a/src/finchshed/emulator/daemons/control_plane.py
+++ b/src/finchshed/emulator/control/control_plane.py
@@ -1,34 +1,22 @@
 """What the daemons and operators of a run need of control, however it is emulated."""
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from finchshed.configuration.resources import Endpoint, Policy
 from finchshed.emulator import acts
-from finchshed.emulator.daemons.follower_shell import FollowerShell
-from finchshed.emulator.daemons.ledger_client import LedgerClient
-
-if TYPE_CHECKING:
-    from finchshed.emulator.daemons.daemon import Daemon
-
-
-@dataclass(slots=True)
-class ControlConnection:
-    """A daemon's way to control in one life; without a follower it is configured from outside."""
-
-    ledger: LedgerClient
-    follower: FollowerShell | None = None
+from finchshed.emulator.daemons.control_connection import ControlConnection
+from finchshed.emulator.daemons.daemon import Daemon
 
 
 class ControlPlane(Protocol):
     """The control nodes of a run."""
 
-    def connect(self, daemon: "Daemon") -> ControlConnection:
+    def connect(self, daemon: Daemon) -> ControlConnection:
         """Return the way to control for the present life of ``daemon``."""
         ...
 
-    def start(self, endpoints: Iterable[Endpoint], policy: Policy, daemons: "list[Daemon]") -> None:
+    def start(self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[Daemon]) -> None:
         """Begin, with the first configuration."""
 
     def crash(self, node: str, seconds: float, wipe_disk: bool) -> None:
--- a/src/finchshed/emulator/control/planes.py
+++ b/src/finchshed/emulator/control/planes.py
@@ -9,7 +9,7 @@
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.emulator import acts
 from finchshed.emulator.control.group import PLATFORM_LAG_SECONDS, ControlGroup
-from finchshed.emulator.daemons.control_plane import ControlConnection
+from finchshed.emulator.daemons.control_connection import ControlConnection
 from finchshed.emulator.daemons.daemon import Daemon
 from finchshed.emulator.daemons.follower_shell import FollowerDisk, FollowerShell
 from finchshed.emulator.plain_control import COMMIT_SECONDS, PlainControl
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -172,7 +172,7 @@
             effects = self._gate.cancel(work.token, self._process.now)
             self._forget(work)
             self._apply(effects)
-        elif work.state is WorkState.AT_BACK_END and work.repeatable:
+        elif work.state is WorkState.AT_BACKEND and work.repeatable:
             if work.cancel_back_end is not None:
                 work.cancel_back_end()
             self._end(work, CallResult.CANCELLED)
@@ -180,7 +180,7 @@
     def abort(self) -> None:
         """Close the connections to the back end, because the process is gone."""
         for work in list(self._works.values()):
-            if work.state is WorkState.AT_BACK_END and work.cancel_back_end is not None:
+            if work.state is WorkState.AT_BACKEND and work.cancel_back_end is not None:
                 work.cancel_back_end()
 
     def _tick(self) -> None:
@@ -263,7 +263,7 @@
         return None
 
     def _send_to_back_end(self, work: Work) -> None:
-        work.state = WorkState.AT_BACK_END
+        work.state = WorkState.AT_BACKEND
         context = work.message.context
         work.account = f"{self._process.name}.{self._process.life}.{work.token}"
         self._accounts.open(work.account, context.spare_attempts)
@@ -294,7 +294,7 @@
         work.cancel_back_end = self._back_end.serve(served, returned)
 
     def _returned(self, work: Work, outcome: Outcome) -> None:
-        if work.state is not WorkState.AT_BACK_END:
+        if work.state is not WorkState.AT_BACKEND:
             return
         if isinstance(outcome, Answered) and (HEADER_DRAINING, "1") in outcome.headers:
             self.drain()
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -2,15 +2,11 @@
 
 import random
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from typing import Final
+from typing import Final, Protocol
 
-from finchshed.admission.fairness import FairPositions
 from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import PathThresholds
-from finchshed.common.context import CallContext
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
-from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Endpoint, Policy
 from finchshed.control.state.machine import POLICY_KEY
 from finchshed.distribution.messages import Delta, Hints
@@ -19,19 +15,16 @@
 from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
 from finchshed.emulator.daemons.callee import Callee
 from finchshed.emulator.daemons.configuration_digest import digest_of_configuration
-from finchshed.emulator.daemons.control_plane import ControlPlane
-from finchshed.emulator.daemons.directory import Directory
+from finchshed.emulator.daemons.control_connection import ControlConnection
+from finchshed.emulator.daemons.incoming import IncomingRequests, nothing
 from finchshed.emulator.daemons.link import DaemonLink
-from finchshed.emulator.daemons.outgoing import CallingProcess, OnFinish, OutgoingCall
-from finchshed.emulator.daemons.pins import SessionPins
+from finchshed.emulator.daemons.outgoing import CallingProcess
 from finchshed.emulator.network import Site
 from finchshed.emulator.request import Cancel, Done, Request
 from finchshed.emulator.simulation import Simulation
 from finchshed.proof.history import RevisionInForce
 from finchshed.retry.account import RetryAccounts
-from finchshed.retry.bucket import RetryBucket
 from finchshed.retry.policy import retry_after
-from finchshed.routing.caller import CallerLogic
 from finchshed.routing.endpoint import LeavingSign
 from finchshed.routing.table import RoutingTable
 
@@ -39,12 +32,16 @@
 LOCAL_DELAY_SECONDS: Final = 0.0002
 
 
-@dataclass(slots=True, eq=False)
-class _Joined:
-    """A root request in progress, and the repeats that joined it."""
+class Directory(Protocol):
+    """Where a daemon finds the processes of other daemons."""
 
-    outgoing: OutgoingCall
-    waiting: dict[str, Done] = field(default_factory=dict)
+    def daemon_of(self, endpoint: str) -> "Daemon":
+        """Return the daemon beside an endpoint."""
+        ...
+
+    def node_called(self, name: str) -> "Daemon | None":
+        """Return the daemon of this name: an endpoint's or an edge."""
+        ...
 
 
 class Daemon(CallingProcess):
@@ -54,6 +51,8 @@
     ----------
     back_end
         The back end beside it, or None for an edge.
+    connect
+        Returns the way to control for the present life of the daemon.
     """
 
     def __init__(
@@ -61,16 +60,15 @@
         simulation: Simulation,
         site: Site,
         directory: Directory,
-        control: ControlPlane,
+        connect: Callable[["Daemon"], ControlConnection],
         back_end: BackEnd | None,
     ) -> None:
         super().__init__(simulation, site)
         self._directory = directory
-        self._control = control
+        self._connect = connect
         self.back_end = back_end
         self.stopping = False
         self._endpoints: tuple[Endpoint, ...] = ()
-        self._policy = Policy()
         self._begin_life()
 
     def _begin_life(self) -> None:
@@ -80,19 +78,14 @@
         self.accounts = RetryAccounts()
         self._links: dict[str, DaemonLink] = {}
         self._accepted: list[AcceptedLink] = []
-        self._buckets: dict[str, RetryBucket] = {}
-        self._joined: dict[str, _Joined] = {}
-        self._pins = SessionPins()
-        self._fair = FairPositions(self.now)
         self._linked_at: dict[str, float] = {}
         self._listed: set[str] = set()
         self._began_at = self.now
-        self._in_progress = 0
         self.stopping = False
         self.is_serving = False
         self.held_revision = 0
         self._digest = ""
-        self._connection = self._control.connect(self)
+        self._connection = self._connect(self)
         self.callee: Callee | None = None
         if self.back_end is not None:
             self.callee = Callee(
@@ -104,6 +97,7 @@
                 rng=self.random,
                 revision=self.revision,
             )
+        self._incoming = IncomingRequests(self, self.table, self.accounts, self.callee)
 
     def begin(self) -> None:
         """Follow the configuration, where this daemon does so itself."""
@@ -136,9 +130,7 @@
     def configure(self, endpoints: Iterable[Endpoint], policy: Policy, revision: int) -> None:
         """Act on a configuration."""
         self._endpoints = tuple(endpoints)
-        if policy.retry_ratio != self._policy.retry_ratio:
-            self._buckets.clear()
-        self._policy = policy
+        self._incoming.set_policy(policy)
         self.held_revision = revision
         self._note_in_force()
         self.table.replace(self._endpoints, self.now)
@@ -147,7 +139,7 @@
         """Take a request over HTTP from an outside caller or the back end beside it."""
         if not self.up:
             done(Refused(RefusalReason.CONNECT_FAILED, 0.1, "connection refused"))
-            return _nothing
+            return nothing
         holder: list[Cancel] = []
 
         def take() -> None:
@@ -164,104 +156,13 @@
 
         if not self.is_serving:
             answer(Refused(RefusalReason.NO_CONFIGURATION, retry_after(0.0, self.random)))
-            return _nothing
-        if request.parent:
-            return self._call_on(request, answer)
-        held = self._joined.get(request.root)
-        if held is not None:
-            held.waiting[request.call] = answer
-        else:
-            held = self._start_root(request, answer)
-        joined = held
-        return lambda: self._leave(joined, request.call)
+            return nothing
+        return self._incoming.take(request, answer)
 
     def _answer(self, life: int, done: Done, outcome: Outcome) -> None:
         if life == self.life:
             done(outcome)
 
-    def _start_root(self, request: Request, answer: Done) -> _Joined:
-        context = CallContext(
-            request.root,
-            request.importance,
-            request.deadline - self.now,
-            self._policy.retry_budget,
-            0,
-            request.caller,
-            request.session,
-            request.key,
-            self._fair.place(request.caller, request.importance, request.root, self.now),
-        )
-
-        def finished(outcome: Outcome, _spare: int) -> None:
-            self._in_progress -= 1
-            self._joined.pop(request.root, None)
-            self._pins.answered(request, joined.outgoing.endpoint, outcome, self.now)
-            waiting = list(joined.waiting.values())
-            joined.waiting.clear()
-            for waiter in waiting:
-                waiter(outcome)
-
-        joined = _Joined(self._outgoing(request, context, finished))
-        joined.waiting[request.call] = answer
-        self._joined[request.root] = joined
-        self._in_progress += 1
-        joined.outgoing.begin()
-        self._pins.sent(request, joined.outgoing.endpoint, self.now)
-        return joined
-
-    def _leave(self, joined: _Joined, call: str) -> None:
-        if joined.waiting.pop(call, None) is not None and not joined.waiting:
-            joined.outgoing.cancel()
-
-    def _call_on(self, request: Request, answer: Done) -> Cancel:
-        deadline = None if self.callee is None else self.callee.deadline_of(request.account)
-        served = None if self.callee is None else self.callee.ranked_by(request.account)
-        if self.callee is None or deadline is None or served is None:
-            answer(Refused(RefusalReason.CANCELLED, retry_after(0.0, self.random)))
-            return _nothing
-        self.callee.call_on_began(request.account, request)
-        lent = self.accounts.lend(request.account)
-        context = CallContext(
-            request.root,
-            request.importance,
-            deadline - self.now,
-            lent,
-            1,
-            request.caller,
-            served.session,
-            request.key,
-            served.position,
-        )
-
-        def finished(outcome: Outcome, spare: int) -> None:
-            self._in_progress -= 1
-            self.accounts.give_back(request.account, lent, spare)
-            if result_of(outcome) is not CallResult.OK and self.callee is not None:
-                self.callee.call_on_failed(request.account)
-            answer(outcome)
-
-        outgoing = self._outgoing(request, context, finished)
-        self._in_progress += 1
-        outgoing.begin()
-        return outgoing.cancel
-
-    def _outgoing(self, request: Request, context: CallContext, finished: OnFinish) -> OutgoingCall:
-        service = request.hop.service
-        bucket = self._buckets.get(service)
-        if bucket is None:
-            bucket = self._buckets[service] = RetryBucket(self._policy.retry_ratio, self.now)
-        logic = CallerLogic(
-            self.table,
-            bucket,
-            service,
-            context,
-            repeatable=request.repeatable,
-            rng=self.random,
-            pinned=self._pins.endpoint_of(request),
-            route=request.kind,
-        )
-        return OutgoingCall(self, logic, request, context, finished)
-
     def link_to(self, endpoint: str) -> DaemonLink:
         """Return the link to an endpoint, made if there is none."""
         link = self._links.get(endpoint)
@@ -357,7 +258,7 @@
     def in_progress(self) -> int:
         """Calls on their way through this daemon."""
         serving = 0 if self.callee is None else self.callee.in_progress
-        return serving + self._in_progress
+        return serving + self._incoming.in_progress
 
     def announce_draining(self) -> None:
         """Tell every caller that no new calls are taken."""
@@ -385,7 +286,3 @@
         """Begin a new life, with nothing but what is on disk."""
         self.start()
         self._begin_life()
-
-
-def _nothing() -> None:
-    """Cancel a call that has ended already."""
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -11,11 +11,11 @@
 
 
 class WorkState(enum.Enum):
-    """Where a call is."""
+    """How far a call has come; the product's own stands beside code that needs an event loop."""
 
     QUEUED = "queued"
     ASKING_LEDGER = "asking_ledger"
-    AT_BACK_END = "at_back_end"
+    AT_BACKEND = "at_backend"
     RECORDING = "recording"
     DONE = "done"
 
--- a/src/finchshed/emulator/scheme.py
+++ b/src/finchshed/emulator/scheme.py
@@ -4,9 +4,9 @@
 from finchshed.emulator import acts
 from finchshed.emulator.backend import BackEnd
 from finchshed.emulator.clock import Clock
+from finchshed.emulator.control.control_plane import ControlPlane
 from finchshed.emulator.control.group import PLATFORM_LAG_SECONDS
 from finchshed.emulator.control.planes import GroupPlane, PlainPlane
-from finchshed.emulator.daemons.control_plane import ControlPlane
 from finchshed.emulator.daemons.daemon import REGION, Daemon
 from finchshed.emulator.faults import UnknownTargetError
 from finchshed.emulator.network import Site
@@ -171,7 +171,7 @@
         back_end.path = daemon
 
     def _daemon(self, site: Site, back_end: BackEnd | None) -> Daemon:
-        return Daemon(self._simulation, site, self, self._control, back_end)
+        return Daemon(self._simulation, site, self, self._control.connect, back_end)
 
     def _every_daemon(self) -> list[Daemon]:
         return [*self._daemons.values(), *self._edges.values()]
--- a/src/finchshed/proof/consensus/campaign.py
+++ b/src/finchshed/proof/consensus/campaign.py
@@ -59,13 +59,3 @@
             for verdict in pool.map(simulate, names, seeds, chunksize=_SEEDS_PER_TASK):
                 summary.add(verdict)
             yield summary
-
-
-def run_here(scenario: str, seeds: range, stop_at_failure: bool = False) -> Summary:
-    """Run one scenario in this process."""
-    summary = Summary(scenario=scenario)
-    for seed in seeds:
-        summary.add(simulate(scenario, seed))
-        if stop_at_failure and summary.failures:
-            break
-    return summary
--- a/src/finchshed/proof/consensus/node.py
+++ b/src/finchshed/proof/consensus/node.py
@@ -1,4 +1,8 @@
-"""A simulated control node: production code on a simulated disk, clock and network."""
+"""A simulated control node: production code on a simulated disk, clock and network.
+
+Owns the machine's disk and clock over the lives of its process. Every decision is the production
+``RaftNode``'s; the register stands in for the state machine.
+"""
 
 import random
 from collections.abc import Callable
@@ -6,13 +10,9 @@
 import msgspec
 import simpy
 
-from finchshed.common.errors import CorruptRecordError, InvariantError, StorageError
+from finchshed.common.errors import InvariantError, StorageError
 from finchshed.consensus.driver import Driver
-from finchshed.consensus.effects import (
-    Effect,
-    Role,
-    RoleChanged,
-)
+from finchshed.consensus.effects import Effect, Role, RoleChanged
 from finchshed.consensus.events import (
     ChangeMembership,
     Event,
@@ -26,30 +26,23 @@
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
 from finchshed.consensus.options import RaftOptions
+from finchshed.proof.consensus.inbox import Inbox
 from finchshed.proof.consensus.network import SimulatedNetwork
 from finchshed.proof.consensus.observer import Observer
 from finchshed.proof.consensus.process import SimulatedProcess
 from finchshed.proof.consensus.register import Change, ChangeResult, Register
 from finchshed.proof.consensus.requests import WaitingRequests
 from finchshed.proof.consensus.scheduler import Scheduler
-from finchshed.storage.log_store import (
-    LogStore,
-    OpenedStore,
-    WriteOutcome,
-    discard_damaged,
-    open_store,
-)
+from finchshed.proof.consensus.simulated_disk import open_with_damage, write_seconds
+from finchshed.storage.log_store import LogStore, WriteOutcome
 from finchshed.storage.simulated import SimulatedDisk
 
 _DISK_RETRY_SECONDS = 0.5
+"""Wait before a full disk is tried again; chosen, not measured."""
 _START_RETRY_SECONDS = 1.0
-_BUSY_CHANCE = 0.15
-_BUSY_SECONDS = 0.005
-_WRITE_SECONDS = (0.0003, 0.004)
-_SLOW_WRITE_CHANCE = 0.01
-_SLOW_WRITE_SECONDS = (0.05, 0.4)
-_LONGEST_WRITE_SECONDS = 3.0
+"""Wait before a start that failed at the disk is tried again; chosen, not measured."""
 _MOST_OPERATIONS_OF_A_WRITE = 12
+"""Operations on the disk after which a crash cuts a write, at most; chosen, not measured."""
 
 
 class SimulatedNode:
@@ -101,8 +94,7 @@
         self._process = SimulatedProcess(scheduler, rng)
         self._requests = WaitingRequests(scheduler)
         self._timer = 0
-        self._inbox: list[Event] = []
-        self._flush_planned = False
+        self._inbox = Inbox(self._process, rng, self._step)
         self._last_result: tuple[int, ChangeResult | None] = (0, None)
         self._store: LogStore
         self._driver: Driver
@@ -128,14 +120,13 @@
         if self.is_running:
             return
         try:
-            opened = self._open()
+            opened = open_with_damage(self.disk, self._rng, self._observer)
         except StorageError:
             self._observer.count("start_failed")
             self._scheduler.call_later(_START_RETRY_SECONDS, self.start)
             return
-        self._inbox = []
+        self._inbox.clear()
         self._requests.forget()
-        self._flush_planned = False
         self._store = opened.store
         self.register = Register()
         raft = RaftNode(
@@ -209,7 +200,7 @@
     def transfer_leadership(self) -> None:
         """Hand leadership over, if this node leads."""
         if self.is_running:
-            self._take(TransferLeadership())
+            self._inbox.add(TransferLeadership())
 
     def send(self, address: str, envelope: Envelope) -> None:
         """Send a line."""
@@ -238,15 +229,6 @@
         else:
             self._requests.report(effect, self.register, self._last_result)
 
-    def _open(self) -> OpenedStore:
-        """Open the disk as the production node does."""
-        try:
-            return open_store(self.disk, self._rng)
-        except CorruptRecordError:
-            self._observer.count("damage_found")
-            discard_damaged(self.disk)
-            return open_store(self.disk, self._rng)
-
     def _end_process(self) -> None:
         self._process.end()
         self.disk.restart()
@@ -257,30 +239,12 @@
     def _submit(self, make_event: Callable[[int], Event]) -> simpy.Event:
         token, answer = self._requests.add()
         if self.is_running:
-            self._take(make_event(token))
+            self._inbox.add(make_event(token))
         return answer
 
     def _deliver(self, envelope: Envelope) -> None:
         if self.is_running:
-            self._take(Received(envelope))
-
-    def _take(self, event: Event) -> None:
-        """Handle an event now, or with others that come while the process is busy."""
-        self._inbox.append(event)
-        if self._flush_planned:
-            return
-        if self._rng.random() < _BUSY_CHANCE:
-            self._flush_planned = True
-            delay = self._rng.uniform(0.0, _BUSY_SECONDS)
-            self._process.later(delay, self._flush)
-        else:
-            self._process.now(self._flush)
-
-    def _flush(self) -> None:
-        self._flush_planned = False
-        events, self._inbox = self._inbox, []
-        if events:
-            self._step(events)
+            self._inbox.add(Received(envelope))
 
     def _tick(self) -> None:
         self._step([Tick()])
@@ -302,7 +266,7 @@
     def _plan_next(self) -> None:
         if self._driver.has_writes:
             self._driver.next_writes()
-            delay = self._write_seconds()
+            delay = write_seconds(self._rng, self.disk_slowness)
             self._process.later(delay, self._finish_write)
             if self._doomed is not None:
                 power_lost = self._doomed
@@ -329,11 +293,6 @@
             lambda: self._guarded(lambda: self._driver.written(outcome, self._host_now())),
         )
 
-    def _write_seconds(self) -> float:
-        slow = self._rng.random() < _SLOW_WRITE_CHANCE
-        seconds = self._rng.uniform(*(_SLOW_WRITE_SECONDS if slow else _WRITE_SECONDS))
-        return min(self.disk_slowness * seconds, _LONGEST_WRITE_SECONDS)
-
 
 def address_of(key: str) -> str:
     """Return where a simulated machine is reached."""
--- a/src/finchshed/proof/consensus/observer.py
+++ b/src/finchshed/proof/consensus/observer.py
@@ -5,18 +5,37 @@
 """
 
 from collections import Counter
-from typing import TYPE_CHECKING
+from collections.abc import Sequence
+from typing import Protocol
 
 import xxhash
 
 from finchshed.consensus.log import RaftLog
+from finchshed.consensus.node import RaftNode
+from finchshed.proof.consensus.scheduler import Scheduler
 from finchshed.storage.records import Entry
 
-if TYPE_CHECKING:
-    from finchshed.proof.consensus.node import SimulatedNode
-    from finchshed.proof.consensus.scheduler import Scheduler
-
 _MOST_VIOLATIONS = 5
+"""Violations kept of one run; chosen, not measured."""
+
+
+class ObservedNode(Protocol):
+    """What is looked at of a node."""
+
+    @property
+    def key(self) -> str:
+        """Name of the machine."""
+        ...
+
+    @property
+    def raft(self) -> RaftNode:
+        """The production node."""
+        ...
+
+    @property
+    def is_running(self) -> bool:
+        """Whether the process runs, frozen or not."""
+        ...
 
 
 class Observer:
@@ -32,7 +51,7 @@
         How often something worth knowing happened.
     """
 
-    def __init__(self, scheduler: "Scheduler") -> None:
+    def __init__(self, scheduler: Scheduler) -> None:
         self.violations: list[str] = []
         self.committed: dict[int, Entry] = {}
         self.counts: Counter[str] = Counter()
@@ -59,17 +78,17 @@
         if len(self.violations) < _MOST_VIOLATIONS:
             self.violations.append(f"{self._scheduler.now:.3f} s: {text}")
 
-    def started(self, node: "SimulatedNode") -> None:
+    def started(self, node: ObservedNode) -> None:
         """Take note of a start: what was committed in an earlier life is learnt anew."""
         self.note(f"start {node.raft.identity}")
         self._seen_commit[node.key] = 0
 
-    def applying(self, node: "SimulatedNode", index: int, applied_index: int) -> None:
+    def applying(self, node: ObservedNode, index: int, applied_index: int) -> None:
         """Check that a node applies entries in their order."""
         if index <= applied_index:
             self.violated(f"{node.key} applies entry {index} after {applied_index}")
 
-    def elected(self, node: "SimulatedNode", term: int) -> None:
+    def elected(self, node: ObservedNode, term: int) -> None:
         """Check election safety and leader completeness."""
         self.count("election")
         identity = str(node.raft.identity)
@@ -83,7 +102,7 @@
                 self.violated(f"{identity} leads term {term} without committed entry {index}")
                 return
 
-    def stepped(self, node: "SimulatedNode") -> None:
+    def stepped(self, node: ObservedNode) -> None:
         """Check state machine safety: at each index all nodes commit the same entry."""
         log = node.raft.log
         commit = node.raft.commit_index
@@ -97,7 +116,7 @@
                 self.violated(f"{node.key} commits another entry {index} than others")
         self._seen_commit[node.key] = max(seen, commit)
 
-    def check_log_matching(self, nodes: list["SimulatedNode"]) -> None:
+    def check_log_matching(self, nodes: Sequence[ObservedNode]) -> None:
         """Check that logs which agree on the term of an entry agree on all up to it."""
         running = [node for node in nodes if node.is_running]
         for position, node in enumerate(running):
--- a/tests/consensus/broken_variants.py
+++ b/tests/consensus/broken_variants.py
@@ -24,12 +24,13 @@
 from finchshed.consensus.messages import Vote, VoteReply
 from finchshed.consensus.roles import advance_commit, become_follower
 from finchshed.consensus.state import LeaderState, NodeState, PendingRead
-from finchshed.proof.consensus.campaign import Summary, run_here
+from finchshed.proof.consensus.campaign import Summary
 from finchshed.storage import framing, log_store
 from finchshed.storage.framing import Tail
 from finchshed.storage.journal import Journal, encode_records
 from finchshed.storage.records import Vote as StoredVote
 from finchshed.storage.simulated import SimulatedDisk
+from tests.consensus.campaign_here import run_here
 
 
 @dataclass(frozen=True)
--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -7,10 +7,10 @@
 import pytest
 
 from finchshed.cli.exit_codes import ExitCode
-from finchshed.proof.consensus.campaign import run_here
 from finchshed.proof.consensus.command import prove_consensus
 from finchshed.proof.consensus.run import simulate
 from finchshed.proof.consensus.scenarios import SCENARIOS
+from tests.consensus.campaign_here import run_here
 
 SEEDS = range(1000, 1004)
 MORE_SEEDS = {"formation": range(60)}
