--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -5,6 +5,7 @@
 
 import random
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Final
 
 import msgspec
@@ -13,46 +14,39 @@
 from finchshed.admission.gate import Gate
 from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import PathThresholds
-from finchshed.common.context import HEADER_DOWNSTREAM, CallContext
+from finchshed.common.context import HEADER_DOWNSTREAM
 from finchshed.common.outcomes import (
     Answered,
-    Failed,
-    FailureReason,
     Outcome,
     RefusalReason,
     Refused,
 )
 from finchshed.common.results import SERVER_ERROR, CallResult, result_of
+from finchshed.daemon.serving.accounts import ServedRequest
 from finchshed.emulator.backend import HEADER_DRAINING, BackEnd
 from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
+from finchshed.emulator.daemons.guarded import LEDGER_TIMEOUT_SECONDS, GuardedStart
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 from finchshed.emulator.daemons.outgoing import SHED_REASONS
 from finchshed.emulator.daemons.process import Process
+from finchshed.emulator.daemons.serving_sessions import ServingSessions
 from finchshed.emulator.daemons.work import Work, WorkState
 from finchshed.emulator.request import Request
-from finchshed.ledger.results import Completed, Granted, LedgerResult, OutcomeUnknown
 from finchshed.link.digests import digest_of
-from finchshed.link.messages import (
-    Reply,
-)
+from finchshed.link.messages import Reply
 from finchshed.proof.history import Admission
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.policy import retry_after
-from finchshed.session.table import NotOpened, SessionTable
 
 TICK_SECONDS: Final = 0.02
+"""Time between ticks of a gate with work, as in production."""
+
 IDLE_TICK_SECONDS: Final = 0.25
 """Time between ticks of a gate without work, where production ticks as often as ever."""
 
 LOCAL_DELAY_SECONDS: Final = 0.0002
 """Time to the back end or back over the loopback."""
 
-SESSION_IDLE_SECONDS: Final = 60.0
-"""A session unused for this long has ended; the default of a declared service."""
-
-LEDGER_TIMEOUT_SECONDS: Final = 1.0
-GRANT_LEASE_SECONDS: Final = 2.0
-
 
 class Callee:
     """Serves calls with the local back end."""
@@ -79,10 +73,15 @@
         self._gate = Gate(back_end.slots, rng, process.now)
         self._works: dict[int, Work] = {}
         self._by_call: dict[tuple[str, int], Work] = {}
-        self._deadlines: dict[str, float] = {}
-        self._ranked_by: dict[str, CallContext] = {}
-        self._failed_downstream: set[str] = set()
-        self._sessions = SessionTable()
+        self._served: dict[str, ServedRequest] = {}
+        self._sessions = ServingSessions(process, back_end)
+        self._guarded = GuardedStart(
+            process,
+            ledger,
+            send=self._send_to_back_end,
+            finish=self._finish,
+            retry_after=self._retry_after,
+        )
         self._next_token = 1
         self.draining = False
         self.may_serve = False
@@ -105,25 +104,16 @@
 
     def end_sessions(self) -> None:
         """Send the sessions away: their requests are refused as draining from now on."""
-        self._sessions = SessionTable()
-
-    def deadline_of(self, account: str) -> float | None:
-        """Return the deadline of a request being served, by its account."""
-        return self._deadlines.get(account)
+        self._sessions.end_all()
 
-    def ranked_by(self, account: str) -> CallContext | None:
-        """Return the context that a request being served is ranked by."""
-        return self._ranked_by.get(account)
+    def served(self, account: str) -> ServedRequest | None:
+        """Return a request being served, by its account."""
+        return self._served.get(account)
 
     def call_on_began(self, account: str, request: Request) -> None:
         """Take note of a call that the back end makes for a request it serves."""
         self._paths.on_call(account, request.hop.service, request.kind)
 
-    def call_on_failed(self, account: str) -> None:
-        """Take note that a call which the back end made for this request was not answered."""
-        if account in self._deadlines:
-            self._failed_downstream.add(account)
-
     def take(self, link: AcceptedLink, message: CallMessage) -> None:
         """Take a call."""
         now = self._process.now
@@ -143,24 +133,9 @@
         """Return why a call is refused before the gate; open its session if it isn't."""
         if not self.may_serve:
             return RefusalReason.NO_CONFIGURATION
-        session = work.session
-        if self.draining and not (session and self._sessions.get(session)):
+        if self.draining and not self._sessions.is_running(work):
             return RefusalReason.DRAINING
-        if not session:
-            return None
-        opened = self._sessions.open(
-            session,
-            self._back_end.service,
-            self._back_end.endpoint,
-            max_sessions=self._back_end.max_sessions,
-            idle_seconds=SESSION_IDLE_SECONDS,
-            now=self._process.now,
-        )
-        if isinstance(opened, NotOpened):
-            return opened.reason
-        work.opens_session = opened.is_new
-        self._sessions.on_request(session, self._process.now)
-        return None
+        return self._sessions.open_for(work)
 
     def give_up(self, link: AcceptedLink, call: int) -> None:
         """Drop a call whose caller has given up or is gone."""
@@ -197,13 +172,11 @@
             if admitted or effect.reason in SHED_REASONS:  # type: ignore[union-attr]
                 self._note_admission(work, admitted)
             if isinstance(effect, Start):
-                if work.session:
-                    self._sessions.admit(work.session)
+                self._sessions.admitted(work)
                 self._start(work)
             else:
                 self._forget(work)
-                if work.opens_session:
-                    self._sessions.refuse(work.session)
+                self._sessions.refused(work)
                 refused = Refused(effect.reason, effect.retry_after)
                 self._reply(work.link, work.message, refused, work.message.context.spare_attempts)
 
@@ -225,65 +198,17 @@
         if work.repeatable:
             self._send_to_back_end(work)
             return
-        work.state = WorkState.ASKING_LEDGER
-        work.asked_at = self._process.now
-        work.ledger_attempt = f"{self._process.name}.{self._process.life}.{work.token}"
-        timeout = min(LEDGER_TIMEOUT_SECONDS, max(0.0, work.deadline - work.asked_at))
-        self._ledger.begin(
-            work.message.context.key,
-            work.ledger_attempt,
-            timeout,
-            lambda result: self._ledger_answered(work, result),
-        )
-
-    def _ledger_answered(self, work: Work, result: LedgerResult | None) -> None:
-        if isinstance(result, Granted):
-            reason = self._reason_not_to_send(work)
-            if reason is None:
-                self._send_to_back_end(work)
-                return
-            self._ledger.cancel(work.message.context.key, work.ledger_attempt)
-            self._finish(work, self._refused(reason))
-        elif isinstance(result, Completed):
-            self._finish(work, result.answer)
-        elif isinstance(result, OutcomeUnknown):
-            self._finish(work, Failed(FailureReason.OUTCOME_UNKNOWN, self._retry_after()))
-        else:
-            self._ledger.cancel(work.message.context.key, work.ledger_attempt)
-            self._finish(work, self._refused(RefusalReason.LEDGER_UNAVAILABLE))
-
-    def _reason_not_to_send(self, work: Work) -> RefusalReason | None:
-        now = self._process.now
-        if work.abandoned:
-            return RefusalReason.CANCELLED
-        if now >= work.deadline:
-            return RefusalReason.DEADLINE
-        if now - work.asked_at > GRANT_LEASE_SECONDS:
-            return RefusalReason.LEDGER_UNAVAILABLE
-        return None
+        self._guarded.ask(work)
 
     def _send_to_back_end(self, work: Work) -> None:
         work.state = WorkState.AT_BACKEND
         context = work.message.context
         work.account = f"{self._process.name}.{self._process.life}.{work.token}"
         self._accounts.open(work.account, context.spare_attempts)
-        self._deadlines[work.account] = work.deadline
-        self._ranked_by[work.account] = work.rank_context()
+        self._served[work.account] = ServedRequest(work.account, work.rank_context(), work.deadline)
         self._paths.on_start(work.account, work.message.request.kind)
         request = work.message.request
-        served = Request(
-            call=request.call,
-            root=request.root,
-            hop=request.hop,
-            kind=request.kind,
-            importance=request.importance,
-            deadline=work.deadline,
-            caller=request.caller,
-            key=request.key,
-            session=request.session,
-            account=work.account,
-            repeatable=request.repeatable,
-        )
+        served = replace(request, deadline=work.deadline, parent="", account=work.account)
         life = self._process.life
 
         def returned(outcome: Outcome) -> None:
@@ -322,7 +247,7 @@
         """Mark a server error that is due to a call the back end made."""
         if not isinstance(outcome, Answered) or outcome.status < SERVER_ERROR:
             return outcome
-        if work.account not in self._failed_downstream:
+        if not self._accounts.has_failed_call(work.account):
             return outcome
         headers = (*outcome.headers, (HEADER_DOWNSTREAM, "1"))
         return Answered(outcome.status, headers, outcome.body)
@@ -337,10 +262,8 @@
         spare = work.message.context.spare_attempts
         if work.account:
             spare = self._accounts.close(work.account)
-            self._deadlines.pop(work.account, None)
-            self._ranked_by.pop(work.account, None)
+            self._served.pop(work.account, None)
             self._paths.on_end(work.account, answered=result is CallResult.OK)
-            self._failed_downstream.discard(work.account)
         self._forget(work)
         self._apply(self._gate.finish(work.token, result, self._process.now))
         return spare
@@ -349,8 +272,7 @@
         work.state = WorkState.DONE
         self._works.pop(work.token, None)
         self._by_call.pop((work.message.epoch, work.message.call), None)
-        if work.session:
-            self._sessions.on_answer(work.session, self._process.now)
+        self._sessions.answered(work)
 
     def _reply(
         self, link: AcceptedLink, message: CallMessage, outcome: Outcome, spare: int
--- a/src/finchshed/emulator/daemons/incoming.py
+++ b/src/finchshed/emulator/daemons/incoming.py
@@ -14,8 +14,9 @@
 from finchshed.configuration.resources import Policy
 from finchshed.daemon.calling.pins import SessionPins
 from finchshed.daemon.request import Request as DaemonRequest
-from finchshed.emulator.daemons.callee import SESSION_IDLE_SECONDS, Callee
+from finchshed.emulator.daemons.callee import Callee
 from finchshed.emulator.daemons.outgoing import CallingProcess, OnFinish, OutgoingCall
+from finchshed.emulator.daemons.serving_sessions import SESSION_IDLE_SECONDS
 from finchshed.emulator.request import Cancel, Done, Request
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
@@ -114,9 +115,8 @@
             joined.outgoing.cancel()
 
     def _call_on(self, request: Request, answer: Done) -> Cancel:
-        deadline = None if self._callee is None else self._callee.deadline_of(request.account)
-        served = None if self._callee is None else self._callee.ranked_by(request.account)
-        if self._callee is None or deadline is None or served is None:
+        served = None if self._callee is None else self._callee.served(request.account)
+        if self._callee is None or served is None:
             answer(Refused(RefusalReason.CANCELLED, retry_after(0.0, self._process.random)))
             return nothing
         self._callee.call_on_began(request.account, request)
@@ -124,20 +124,20 @@
         context = CallContext(
             request.root,
             request.importance,
-            deadline - self._process.now,
+            served.deadline - self._process.now,
             lent,
             1,
             request.caller,
-            served.session,
+            served.context.session,
             request.key,
-            served.position,
+            served.context.position,
         )
 
         def finished(outcome: Outcome, spare: int) -> None:
             self.in_progress -= 1
             self._accounts.give_back(request.account, lent, spare)
-            if result_of(outcome) is not CallResult.OK and self._callee is not None:
-                self._callee.call_on_failed(request.account)
+            if result_of(outcome) is not CallResult.OK:
+                self._accounts.on_call_failed(request.account, request.call)
             answer(outcome)
 
         outgoing = self._outgoing(request, context, "", finished)
