--- a/src/finchshed/fleet/fault_run.py
+++ b/src/finchshed/fleet/fault_run.py
@@ -30,7 +30,8 @@
 from finchshed.fleet.watch import FleetWatch
 from finchshed.proof.checks import CHECKS, violations_of
 from finchshed.proof.checks.index import Index
-from finchshed.proof.history import Event, History, NodeStarted
+from finchshed.proof.history import Event, NodeStarted
+from finchshed.proof.history_file import History
 from finchshed.standins.arrivals import Arrival
 from finchshed.standins.records import CallerOutcome
 
--- a/src/finchshed/fleet/replay.py
+++ b/src/finchshed/fleet/replay.py
@@ -22,7 +22,7 @@
 from finchshed.fleet.interruption import run_interruptible
 from finchshed.fleet.scenario import Scenario
 from finchshed.ledger.keys import TIMESTAMP_SHIFT, issued_at
-from finchshed.proof.history import History
+from finchshed.proof.history_file import History
 from finchshed.replay.emulated import arrivals_of
 from finchshed.replay.trace import Trace
 from finchshed.standins.arrivals import Arrival
