--- a/src/finchshed/emulator/daemons/guarded.py
+++ b/src/finchshed/emulator/daemons/guarded.py
@@ -9,7 +9,7 @@
 from finchshed.common.outcomes import Failed, FailureReason, Outcome, RefusalReason, Refused
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.daemons.work import Work, WorkState
+from finchshed.emulator.daemons.work import SimulatedWork, SimulatedWorkState
 from finchshed.ledger.results import Completed, Granted, LedgerResult, OutcomeUnknown
 
 LEDGER_TIMEOUT_SECONDS: Final = 1.0
@@ -27,8 +27,8 @@
         process: Process,
         ledger: LedgerClient,
         *,
-        send: Callable[[Work], None],
-        finish: Callable[[Work, Outcome], None],
+        send: Callable[[SimulatedWork], None],
+        finish: Callable[[SimulatedWork, Outcome], None],
         retry_after: Callable[[], float],
     ) -> None:
         self._process = process
@@ -37,9 +37,9 @@
         self._finish = finish
         self._retry_after = retry_after
 
-    def ask(self, work: Work) -> None:
+    def ask(self, work: SimulatedWork) -> None:
         """Ask the ledger for leave to run ``work``."""
-        work.state = WorkState.ASKING_LEDGER
+        work.state = SimulatedWorkState.ASKING_LEDGER
         work.asked_at = self._process.now
         work.ledger_attempt = f"{self._process.name}.{self._process.life}.{work.token}"
         timeout = min(LEDGER_TIMEOUT_SECONDS, max(0.0, work.deadline - work.asked_at))
@@ -50,7 +50,7 @@
             lambda result: self._answered(work, result),
         )
 
-    def _answered(self, work: Work, result: LedgerResult | None) -> None:
+    def _answered(self, work: SimulatedWork, result: LedgerResult | None) -> None:
         if isinstance(result, Granted):
             reason = self._reason_not_to_send(work)
             if reason is None:
@@ -66,7 +66,7 @@
             self._ledger.cancel(work.message.context.key, work.ledger_attempt)
             self._finish(work, Refused(RefusalReason.LEDGER_UNAVAILABLE, self._retry_after()))
 
-    def _reason_not_to_send(self, work: Work) -> RefusalReason | None:
+    def _reason_not_to_send(self, work: SimulatedWork) -> RefusalReason | None:
         now = self._process.now
         if work.abandoned:
             return RefusalReason.CANCELLED
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from finchshed.common.context import CallContext
-from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
+from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.request import Cancel
 
 
-class WorkState(enum.Enum):
+class SimulatedWorkState(enum.Enum):
     """How far a call has come; the product's own stands beside code that needs an event loop."""
 
     QUEUED = "queued"
@@ -21,14 +21,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class SimulatedWork:
     """One call being served."""
 
     token: int
-    link: AcceptedLink
+    link: SimulatedAcceptedLink
     message: CallMessage
     deadline: float
-    state: WorkState = WorkState.QUEUED
+    state: SimulatedWorkState = SimulatedWorkState.QUEUED
     abandoned: bool = False
     account: str = ""
     opens_session: bool = False
