--- a/src/finchshed/proof/campaign.py
+++ b/src/finchshed/campaign/runner.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
+from finchshed.campaign.scenarios import Plan, plan_of
 from finchshed.emulator import world
 from finchshed.emulator.collector import tune_collector
 from finchshed.proof.checks import violations_of
 from finchshed.proof.checks.index import Violation
 from finchshed.proof.coverage import coverage_of
-from finchshed.proof.history import History
-from finchshed.proof.scenarios import Plan, plan_of
+from finchshed.proof.history_file import History
 
 VIOLATIONS_KEPT = 20
 
@@ -119,7 +119,7 @@
     return command
 
 
-class Summary(msgspec.Struct):
+class ScenarioSummary(msgspec.Struct):
     """A campaign over one scenario."""
 
     scenario: str
@@ -143,7 +143,7 @@
             )
 
 
-def summary_lines(summaries: Iterable[Summary]) -> list[str]:
+def summary_lines(summaries: Iterable[ScenarioSummary]) -> list[str]:
     """Return a table of campaigns."""
     lines = [f"{'scenario':<18}{'seeds':>7}{'failed':>8}{'requests':>10}{'cpu s':>9}  broken"]
     for summary in summaries:
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -18,9 +18,9 @@
     Refused,
 )
 from finchshed.emulator.clock import Timer
-from finchshed.emulator.daemons.link import Attempt, DaemonLink
+from finchshed.emulator.daemons.link import DaemonLink, SimulatedAttempt
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.request import Request
+from finchshed.emulator.request import SimulatedRequest
 from finchshed.link.digests import digest_of
 from finchshed.link.messages import (
     Reply,
@@ -28,13 +28,7 @@
 from finchshed.proof.history import Admission, AttemptSent
 from finchshed.retry.policy import retry_after
 from finchshed.routing.caller import CallerLogic
-from finchshed.routing.caller_effects import (
-    CallerEffect,
-    Finish,
-    SendAttempt,
-    SetTimer,
-    Withdraw,
-)
+from finchshed.routing.caller_effects import CallerEffect, Finish, SendAttempt, SetTimer, Withdraw
 
 SHED_REASONS: Final = frozenset(
     {RefusalReason.OVERLOAD, RefusalReason.QUEUE_FULL, RefusalReason.DEADLINE}
@@ -54,7 +48,7 @@
         raise NotImplementedError
 
 
-class OutgoingCall:
+class SimulatedOutgoingCall:
     """Carries out the effects of one call's state machine.
 
     Attributes
@@ -67,7 +61,7 @@
         self,
         daemon: CallingProcess,
         logic: CallerLogic,
-        request: Request,
+        request: SimulatedRequest,
         context: CallContext,
         on_finish: OnFinish,
     ) -> None:
@@ -78,7 +72,7 @@
         self._deadline = daemon.now + context.remaining_seconds
         self._on_finish = on_finish
         self._timer: Timer | None = None
-        self._attempts: dict[int, tuple[Attempt, DaemonLink]] = {}
+        self._attempts: dict[int, tuple[SimulatedAttempt, DaemonLink]] = {}
         self._was_sent = False
         self.endpoint = ""
         self._recorder = daemon.simulation.recorder
@@ -108,7 +102,7 @@
         self.endpoint = effect.endpoint.name
         remaining = self._deadline - self._process.now
         context = self._context.for_attempt(remaining, effect.lent_attempts)
-        attempt = Attempt(
+        attempt = SimulatedAttempt(
             self._request,
             context,
             self._deadline,
@@ -144,14 +138,14 @@
                 outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after())
         self._apply(self._logic.on_outcome(number, outcome, spare, load, self._process.now))
 
-    def _unsent(self, number: int, lent: int, reason: RefusalReason) -> None:
+    def _unsent(self, number: int, share: int, reason: RefusalReason) -> None:
         self._attempts.pop(number, None)
         refused = Refused(reason, self._retry_after())
         # The effects that made this attempt may still be being carried out.
         self._process.call_later(
             0.0,
             lambda: self._apply(
-                self._logic.on_outcome(number, refused, lent, None, self._process.now)
+                self._logic.on_outcome(number, refused, share, None, self._process.now)
             ),
         )
 
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -1,24 +1,34 @@
 """One call being served by an emulated daemon."""
 
+import enum
 from dataclasses import dataclass
 
 import msgspec
 
 from finchshed.common.context import CallContext
-from finchshed.daemon.serving.work_state import WorkState
-from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
+from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.request import Cancel
 
 
+class SimulatedWorkState(enum.Enum):
+    """How far a call has come; the product's own stands beside code that needs an event loop."""
+
+    QUEUED = "queued"
+    ASKING_LEDGER = "asking_ledger"
+    AT_BACKEND = "at_backend"
+    RECORDING = "recording"
+    DONE = "done"
+
+
 @dataclass(slots=True, eq=False)
-class Work:
+class SimulatedWork:
     """One call being served."""
 
     token: int
-    link: AcceptedLink
+    link: SimulatedAcceptedLink
     message: CallMessage
     deadline: float
-    state: WorkState = WorkState.QUEUED
+    state: SimulatedWorkState = SimulatedWorkState.QUEUED
     abandoned: bool = False
     account: str = ""
     opens_session: bool = False
--- a/src/finchshed/emulator/run.py
+++ b/src/finchshed/emulator/run.py
@@ -5,7 +5,7 @@
 from finchshed.emulator.acts import Act
 from finchshed.emulator.callers import Arrival, ClientPolicy, Surge
 from finchshed.emulator.deployment import Deployment
-from finchshed.proof.history import History
+from finchshed.proof.history_file import History
 
 CONTROLS = ("finchshed", "none", "fixed-retries", "static-limit")
 """Control schemes: finchshed's own modules, and the baselines."""
@@ -43,7 +43,7 @@
     retry_budget: int = 3
 
 
-class RunResult(msgspec.Struct):
+class FinishedRun(msgspec.Struct):
     """A finished run.
 
     ``busy_seconds`` are the slot seconds that back ends spent on own work, and
