--- a/src/finchshed/fleet/editions.py
+++ b/src/finchshed/fleet/editions.py
@@ -14,7 +14,7 @@
 """Statuses that tell a caller, who asked for a range, of another edition."""
 
 
-def met_a_new_one(record: CallerRecord) -> bool:
+def saw_new_edition(record: CallerRecord) -> bool:
     """Return whether a download's edition was replaced while it ran."""
     return _is_download(record) and any(
         attempt.status in NEW_EDITION for attempt in record.attempts
@@ -32,7 +32,7 @@
     """
     downloads = [record for record in records if _is_download(record)]
     lines = [line for record in downloads for line in _mixed(record)]
-    if published and not any(met_a_new_one(record) for record in downloads):
+    if published and not any(saw_new_edition(record) for record in downloads):
         lines.append("editions were published, but no download met a new one")
     return lines
 
--- a/src/finchshed/fleet/fault_run.py
+++ b/src/finchshed/fleet/fault_run.py
@@ -84,13 +84,13 @@
         async with self._fleet:
             await links.open()
             try:
-                await self._run_with(links)
+                await self._run_started(links)
             finally:
                 await self._fleet.stop_all()
                 await links.close()
         return self._judge()
 
-    async def _run_with(self, links: FleetLinks) -> None:
+    async def _run_started(self, links: FleetLinks) -> None:
         fleet = self._fleet
         _say(f"{self._deployment.name}, {self._scenario.name}: {len(fleet.processes)} processes")
         operator = await bring_up(fleet)
--- a/src/finchshed/fleet/faults.py
+++ b/src/finchshed/fleet/faults.py
@@ -106,9 +106,9 @@
         """Do each act at its time, side by side; return when all are over."""
         async with asyncio.TaskGroup() as group:
             for act in script:
-                group.create_task(self._at(act))
+                group.create_task(self._perform_at(act))
 
-    async def _at(self, act: acts.FaultAct) -> None:
+    async def _perform_at(self, act: acts.FaultAct) -> None:
         await asyncio.sleep(act.at)
         try:
             await self._perform[type(act)](act)
@@ -211,7 +211,7 @@
         if act.sign is acts.Sign.ANSWER:
             await self._fleet.command_backend(act.target, "drain")
         elif act.sign is acts.Sign.OPERATOR:
-            await self._operator.must("drain", act.target)
+            await self._operator.run_checked("drain", act.target)
         elif act.sign is acts.Sign.PLATFORM:
             await self._fleet.mark_draining(act.target)
         else:
--- a/src/finchshed/fleet/final_configuration.py
+++ b/src/finchshed/fleet/final_configuration.py
@@ -1,4 +1,4 @@
-"""Compares the configuration a run ends with to what its operators were told was accepted.
+"""Compares the configuration a run ends with to the changes its operators got accepted.
 
 Relies on the operators' records and on control nodes that still run.
 """
--- a/src/finchshed/fleet/histories.py
+++ b/src/finchshed/fleet/histories.py
@@ -1,6 +1,6 @@
 """Puts the records of a run together to one history, which checkers of any run can judge.
 
-Sources: what callers and back ends wrote, what operators were told, and the fault layer's journal.
+Sources: what callers and back ends wrote, what operators were answered, the fault layer's journal.
 All times come from the monotonic clock of the one machine and are made relative to the start.
 """
 
@@ -133,7 +133,7 @@
 
 
 def operator_events(records: Iterable[OperatorRecord], began: float) -> Iterator[Event]:
-    """Yield what operators submitted and were told."""
+    """Yield what operators submitted and the answers they got."""
     for record in records:
         time = record.at - began
         if record.outcome is StandinChangeOutcome.SUBMITTED:
--- a/src/finchshed/fleet/judgement.py
+++ b/src/finchshed/fleet/judgement.py
@@ -33,7 +33,7 @@
     first_revision
         Revision of the declarations, in force before the operators began.
     final
-        The configuration at the end; None if no control node told it.
+        The configuration at the end; None if no control node answered.
     behind
         A line for each daemon that didn't act on it in time.
     ended_unasked
@@ -103,7 +103,7 @@
     published = any(isinstance(act, Edition) for act in scenario.act)
     return Check(
         editions.NAME,
-        sum(editions.met_a_new_one(record) for record in records.callers),
+        sum(editions.saw_new_edition(record) for record in records.callers),
         editions.problems_of(records.callers, published=published),
     )
 
--- a/src/finchshed/fleet/link_faults.py
+++ b/src/finchshed/fleet/link_faults.py
@@ -36,21 +36,21 @@
         ways = [(act.source, act.target)]
         if not act.one_way:
             ways.append((act.target, act.source))
-        await self._suffer("cut", ways, Condition(cut=True), act.duration_seconds)
+        await self._impose("cut", ways, Condition(cut=True), act.duration_seconds)
 
     async def delay(self, act: acts.Delay) -> None:
         """Let bytes arrive later for a while."""
         ways = [(act.source, act.target), (act.target, act.source)]
         condition = Condition(delay_seconds=act.delay_seconds)
-        await self._suffer("delay", ways, condition, act.duration_seconds)
+        await self._impose("delay", ways, condition, act.duration_seconds)
 
     async def throttle(self, act: acts.Throttle) -> None:
         """Make links narrow for a while."""
         ways = [(act.source, act.target), (act.target, act.source)]
         condition = Condition(bytes_per_second=act.bytes_per_second)
-        await self._suffer("throttle", ways, condition, act.duration_seconds)
+        await self._impose("throttle", ways, condition, act.duration_seconds)
 
-    async def _suffer(
+    async def _impose(
         self,
         fault: str,
         ways: list[tuple[str, str]],
--- a/src/finchshed/fleet/operator.py
+++ b/src/finchshed/fleet/operator.py
@@ -62,7 +62,7 @@
             raise
         return CommandResult(process.returncode or 0, output.decode(), errors.decode())
 
-    async def must(self, *arguments: str) -> str:
+    async def run_checked(self, *arguments: str) -> str:
         """Run a command and return its output.
 
         Raises
@@ -81,4 +81,4 @@
     async def apply_declarations(self) -> str:
         """Apply the deployment's declarations as one change."""
         timeout = f"--timeout={APPLY_TIMEOUT_SECONDS}"
-        return (await self.must("apply", str(self._plan.declarations), timeout)).strip()
+        return (await self.run_checked("apply", str(self._plan.declarations), timeout)).strip()
--- a/src/finchshed/fleet/relay.py
+++ b/src/finchshed/fleet/relay.py
@@ -1,7 +1,7 @@
 """A TCP relay in front of a program's listener, so that links can be made to fail.
 
 It copies bytes and knows no protocol. A program listens on a private address, the relay on the
-public one that others are told. Who connects is found by the process that holds the other end of
+public one that others connect to. Who connects is found by the process that holds the other end of
 the connection, so no program has to name itself.
 
 What is done to a direction of a connection:
--- a/src/finchshed/standins/caller.py
+++ b/src/finchshed/standins/caller.py
@@ -53,8 +53,8 @@
         self._session = session
         self._records = RecordWriter(settings.record_path)
         self._entropy = random.Random(settings.seed)
-        self._places: dict[tuple[str, str], str] = {}
-        """Endpoint of each session as last told, by service and session."""
+        self._session_endpoints: dict[tuple[str, str], str] = {}
+        """Endpoint of each session as last received, by service and session."""
 
     async def run(self, stopped: asyncio.Event, begin_at: float) -> None:
         """Send all arrivals, the first phase from ``begin_at`` on, then wait for the last."""
@@ -139,10 +139,10 @@
             call = f"{outgoing.request}/{number}"
             edge = self._edge(load, home, number)
             begun = monotonic()
-            headers = outgoing.headers(self._places.get(session, ""))
+            headers = outgoing.headers(self._session_endpoints.get(session, ""))
             reply = await self._send(load, edge, {**headers, HEADER_CALL: call}, body)
             if outgoing.session and HEADER_SESSION_AT in reply.headers:
-                self._places[session] = reply.headers[HEADER_SESSION_AT]
+                self._session_endpoints[session] = reply.headers[HEADER_SESSION_AT]
             problem = problem_of(outgoing, reply, body)
             record = attempt_record(call, edge, begun, reply, problem)
             if outgoing.wanted is not None:
--- a/src/finchshed/standins/operator.py
+++ b/src/finchshed/standins/operator.py
@@ -1,4 +1,4 @@
-"""Stand-in operator: makes changes one after another and records what it was told.
+"""Stand-in operator: makes changes one after another and records the answers.
 
 Each change sets the policy's key window to a value of its own, so that the configuration in
 force tells which accepted change it came from. A change whose answer is lost is sent again under
@@ -32,7 +32,7 @@
 
 
 class StandinChangeOutcome(enum.StrEnum):
-    """What a stand-in operator was told of a change."""
+    """What a stand-in operator knows of a change that it submitted."""
 
     SUBMITTED = "submitted"
     ACCEPTED = "accepted"
--- a/src/finchshed/standins/outgoing.py
+++ b/src/finchshed/standins/outgoing.py
@@ -60,8 +60,11 @@
         """
         return self.key or self.request
 
-    def headers(self, place: str = "") -> dict[str, str]:
-        """Return an attempt's headers; ``place`` is where its session runs, if that was told."""
+    def headers(self, session_endpoint: str = "") -> dict[str, str]:
+        """Return an attempt's headers.
+
+        ``session_endpoint`` is where its session runs, if an earlier answer said so.
+        """
         headers = {
             HEADER_SERVICE: self.load.service,
             HEADER_CALLER: self.caller,
@@ -73,8 +76,8 @@
             headers[HEADER_IDEMPOTENCY_KEY] = self.key
         if self.session:
             headers[HEADER_SESSION] = self.session
-        if self.session and place:
-            headers[HEADER_SESSION_AT] = place
+        if self.session and session_endpoint:
+            headers[HEADER_SESSION_AT] = session_endpoint
         if self.wanted is not None:
             headers["Range"] = f"bytes={self.wanted.first}-{self.wanted.last}"
         if self.validator and self.load.conditional:
--- a/tests/fleet/test_editions.py
+++ b/tests/fleet/test_editions.py
@@ -56,7 +56,7 @@
 def test_editions_that_no_download_met_prove_nothing() -> None:
     calm = download(attempt(206, OLD), attempt(206, OLD))
     renewed = download(attempt(206, OLD), attempt(412, NEW), attempt(206, NEW))
-    assert not editions.met_a_new_one(calm)
-    assert editions.met_a_new_one(renewed)
+    assert not editions.saw_new_edition(calm)
+    assert editions.saw_new_edition(renewed)
     assert editions.problems_of([calm], published=True)
     assert not editions.problems_of([calm, renewed], published=True)
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -108,7 +108,7 @@
     record = await downloaded(tmp_path, publisher, conditional=conditional)
     assert [attempt.status for attempt in record.attempts] == statuses
     assert (record.outcome, record.problem) == (CallerOutcome.ANSWERED, "")
-    assert editions.met_a_new_one(record)
+    assert editions.saw_new_edition(record)
     assert editions.problems_of([record], published=True) == []
 
 
