--- a/src/finchshed/fleet/deployment.py
+++ b/src/finchshed/fleet/deployment.py
@@ -69,6 +69,8 @@
 
     Attributes
     ----------
+    operator
+        Name of the operator that the declarations hold; for people, nothing reads it.
     client_delay_seconds, zone_delay_seconds
         One-way delays between clients and the edge, and between zones.
     phases
--- a/src/finchshed/fleet/plan.py
+++ b/src/finchshed/fleet/plan.py
@@ -23,7 +23,6 @@
     specs: list[ProcessSpec]
     endpoints: tuple[Endpoint, ...]
     rpc_addresses: tuple[str, ...]
-    edge_addresses: dict[str, str]
     admin_addresses: dict[str, str]
     backend_addresses: dict[str, str]
     platform_address: str
--- a/src/finchshed/fleet/planner.py
+++ b/src/finchshed/fleet/planner.py
@@ -85,7 +85,6 @@
             specs=self._specs,
             endpoints=endpoints,
             rpc_addresses=tuple(self._at(m.host, Port.RPC) for m in self._deployment.control),
-            edge_addresses={m.name: self._at(m.host, Port.HTTP) for m in self._deployment.edge},
             admin_addresses=self._admin_addresses(endpoints),
             backend_addresses={e.name: self._at(host_of(e), Port.BACKEND) for e in endpoints},
             platform_address=self._at(self._deployment.platform.host, Port.PLATFORM),
@@ -232,7 +231,6 @@
             arguments=self._program("daemon", name, settings),
             listens=(settings.link_address, settings.http_address),
             endpoint=settings.endpoint,
-            service=settings.service,
             data_folder=settings.data_folder,
         )
         self._specs.append(spec)
@@ -254,7 +252,6 @@
                 arguments=("-m", "finchshed", "standin", role.value, str(path)),
                 listens=(address,) if address else (),
                 endpoint="" if endpoint is None else endpoint.name,
-                service="" if endpoint is None else endpoint.service,
             )
         )
 
--- a/src/finchshed/fleet/processes.py
+++ b/src/finchshed/fleet/processes.py
@@ -61,7 +61,6 @@
     arguments: tuple[str, ...]
     listens: tuple[str, ...] = ()
     endpoint: str = ""
-    service: str = ""
     data_folder: str = ""
 
 
--- a/src/finchshed/standins/records.py
+++ b/src/finchshed/standins/records.py
@@ -138,10 +138,6 @@
         """Append ``record`` as one line."""
         os.write(self._descriptor, _encoder.encode(record) + b"\n")
 
-    def close(self) -> None:
-        """Close the file."""
-        os.close(self._descriptor)
-
 
 def read_records(path: pathlib.Path, record_type: type[RecordT]) -> Iterator[RecordT]:
     """Yield the records of a file; a last line cut short by a kill is left out."""
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -1,6 +1,5 @@
 import asyncio
 import pathlib
-import socket
 
 import aiohttp
 
@@ -11,12 +10,7 @@
 from finchshed.standins.records import BackendEvent, BackendRecord, read_records
 from finchshed.standins.serving import start_site
 from finchshed.standins.settings import BackendSettings, Distribution, LoadReporting
-
-
-def free_address() -> str:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{probe.getsockname()[1]}"
+from tests.standins.test_caller import free_address
 
 
 def settings_in(folder: pathlib.Path, **changes: object) -> BackendSettings:
