--- a/src/finchshed/observability/process_checks.py
+++ b/src/finchshed/observability/process_checks.py
@@ -42,7 +42,7 @@
 
 
 def thread_count(process: int | str = "self") -> int:
-    """Return the number of a process's threads."""
+    """Return the number of a process's threads; for tests, which bound it for each program."""
     return len(list((_PROC / str(process) / "task").iterdir()))
 
 
