--- a/src/finchshed/daemon/backend/request.py
+++ b/src/finchshed/daemon/backend/request.py
@@ -1,4 +1,8 @@
-"""What the daemon tells the back end with a call, and what the back end's result means."""
+"""What the daemon sends the back end with a call, and what the back end's result means. Pure.
+
+Here a result becomes an outcome: refused where it is known not to have run, failed where it may
+have.
+"""
 
 import msgspec
 
--- a/src/finchshed/daemon/calling/attempt.py
+++ b/src/finchshed/daemon/calling/attempt.py
@@ -1,4 +1,7 @@
-"""One attempt of a call, as it is handed to the links."""
+"""One attempt of a call, as it is handed to the links.
+
+Owned by the call; the links fill in the last fields when they send it.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -26,10 +26,11 @@
 from finchshed.runtime import clock
 
 BACKOFF_FIRST_SECONDS = 0.05
-"""Mean wait, seconds, before a link that failed once is opened again; chosen, not measured."""
+"""Longest wait, seconds, before a link that failed once is opened again, at least half of it;
+chosen, not measured."""
 
 BACKOFF_MAX_SECONDS = 2.0
-"""Longest mean wait, seconds: so late at most an endpoint that is back is found; chosen, not
+"""The same after many failures: so late at most an endpoint that is back is found. Chosen, not
 measured."""
 
 DIAL_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
--- a/src/finchshed/daemon/calling/pins.py
+++ b/src/finchshed/daemon/calling/pins.py
@@ -1,11 +1,11 @@
 """Sessions at the caller's side: which endpoint serves each, and which edition it was given.
 
-A session's requests go to the endpoint that admitted it, also while that is leaving; it moves only
+A session's requests go to the endpoint that admitted it, also while that drains; it moves only
 when the endpoint is lost or sends it away. A download that goes on elsewhere must not mix editions:
 a range is asked for under the validator of the last part (RFC 9110, 13.1.5), and a part that
 carries another validator than asked for is not handed on (RFC 9110, 15.3.7.3).
 
-A client may come in at another edge, which has no pin. So answers tell where the session runs and
+A client may come in at another edge, which has no pin. So answers say where the session runs and
 clients send it back. That claim proves nothing: it chooses the endpoint alone, and the daemon there
 judges the request by the sessions it has admitted itself.
 """
@@ -23,7 +23,7 @@
 from finchshed.session.table import MoveReason, Opened, SessionTable
 
 MAX_SESSIONS = 100_000
-"""Sessions remembered; further ones run without being pinned."""
+"""Sessions remembered; further ones run without being pinned. Chosen, not measured."""
 
 WEAK_PREFIX = "W/"
 
@@ -64,7 +64,7 @@
         return "" if held is None else held.endpoint
 
     def begin(self, request: Request, endpoint: str, idle_seconds: float, now: float) -> None:
-        """Take a request of a session that was sent to ``endpoint``; the first one pins it."""
+        """Note a request of a session that was sent to ``endpoint``; the first one pins it."""
         session = session_of(request)
         if not session or not endpoint:
             return
@@ -82,7 +82,7 @@
             self._sessions.on_request(session, now)
 
     def end(self, request: Request, endpoint: str, outcome: Outcome, now: float) -> None:
-        """Take the end of a request that ``endpoint`` saw last."""
+        """Note the end of a request that ``endpoint`` saw last."""
         session = session_of(request)
         held = self._sessions.get(session)
         if held is None:
@@ -152,5 +152,5 @@
 
 
 def is_strong(validator: str) -> bool:
-    """Return whether a validator is an entity tag that tells bytes apart (RFC 9110, 8.8.1)."""
+    """Return whether a validator is a strong entity tag (RFC 9110, 8.8.1)."""
     return validator.startswith('"') and not validator.startswith(WEAK_PREFIX)
--- a/src/finchshed/daemon/catalogue.py
+++ b/src/finchshed/daemon/catalogue.py
@@ -1,4 +1,8 @@
-"""Services and routes of the configuration in force, arranged for look-up by each call."""
+"""Services and routes of the configuration in force, arranged for look-up by each call.
+
+Owns nothing that changes: each configuration in force gives a new one. Relies on the declarations
+having been validated.
+"""
 
 import itertools
 from collections.abc import Iterable, Iterator
--- a/src/finchshed/daemon/ingress/lease_renewal.py
+++ b/src/finchshed/daemon/ingress/lease_renewal.py
@@ -1,4 +1,8 @@
-"""Keeps the daemon's lease of the API keys: questions to control, and what it answers."""
+"""Keeps the daemon's lease of the API keys: questions to control, and what it answers.
+
+Owns the lease and the timer of its renewal; relies on the connection to control. Whoever judges a
+key asks the lease itself, as the timer may be late.
+"""
 
 import asyncio
 
@@ -46,16 +50,16 @@
     def _ask(self) -> None:
         # Not the loop's time, which stands still while a turn of the loop lasts.
         now = clock.now()
-        self._tell_of_change(now)
+        self._log_change(now)
         self._client.renew_lease(self.lease.next_question(now))
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(RENEW_SECONDS, self._ask)
 
     def _on_answer(self, answer: LeaseRenewed) -> None:
         if self.lease.on_answer(answer.question, answer.revision):
-            self._tell_of_change(clock.now())
+            self._log_change(clock.now())
 
-    def _tell_of_change(self, now: float) -> None:
+    def _log_change(self, now: float) -> None:
         age = self.lease.age(now)
         metrics.KEY_LEASE_AGE.set(age)
         is_valid = self.lease.is_valid(now)
--- a/src/finchshed/daemon/ingress/quota_gate.py
+++ b/src/finchshed/daemon/ingress/quota_gate.py
@@ -1,4 +1,8 @@
-"""Gets each request of a limited tenant its token, or refuses it: shell of a daemon's share."""
+"""Gets each request of a limited tenant its token, or refuses it.
+
+Owns the questions to the leader and the requests that wait for an answer. The decisions are those
+of the daemon's share (:mod:`finchshed.quota.daemon_share`); relies on the connection to control.
+"""
 
 import asyncio
 import random
@@ -16,10 +20,11 @@
 from finchshed.runtime import clock
 
 ANSWER_SECONDS = 0.15
-"""Longest wait for tokens of the reserve; an answer takes some milliseconds in a sound network."""
+"""Longest wait, seconds, for tokens of the reserve; an answer takes some milliseconds in a sound
+network. Chosen, not measured."""
 
 MAX_ASKED = 100
-"""Most tokens asked for at once."""
+"""Most tokens asked for at once; chosen, not measured."""
 
 OnDecided = Callable[[Refused | None], None]
 
@@ -99,11 +104,11 @@
         if asking.ask is None:
             self._ask(tenant, asking)
 
-        def leave() -> None:
+        def stop_waiting() -> None:
             if on_decided in asking.waiting:
                 asking.waiting.remove(on_decided)
 
-        return leave
+        return stop_waiting
 
     def _ask(self, tenant: str, asking: _Asking) -> None:
         ask = self._share.next_ask(tenant, min(MAX_ASKED, len(asking.waiting)))
@@ -125,7 +130,7 @@
             self._on_tokens(tenant, self._asking[tenant], answer, now)
 
     def _on_tokens(self, tenant: str, asking: _Asking, answer: QuotaTokens, now: float) -> None:
-        asked = self._end(asking)
+        asked = self._end_question(asking)
         if asked is None:
             return
         self._share.on_tokens(asked, answer, self._rng.random(), now)
@@ -143,14 +148,14 @@
             decided(None if has_own else self._above_limit(tenant))
 
     def _on_unanswered(self, tenant: str, asking: _Asking) -> None:
-        self._end(asking)
+        self._end_question(asking)
         now = clock.now()
         self._share.on_unanswered(now)
         while asking.waiting:
             decided = asking.waiting.popleft()
             decided(None if self._share.take_own(tenant, now) else self._unconfirmed())
 
-    def _end(self, asking: _Asking) -> QuotaAsk | None:
+    def _end_question(self, asking: _Asking) -> QuotaAsk | None:
         """End the ask under way, and return it."""
         ask, asking.ask = asking.ask, None
         if asking.timer is not None:
--- a/src/finchshed/daemon/listeners.py
+++ b/src/finchshed/daemon/listeners.py
@@ -1,4 +1,7 @@
-"""The listeners of a daemon: opened when it may serve, handed to a successor at a planned stop."""
+"""The listeners of a daemon: opened when it may serve, handed to a successor at a planned stop.
+
+Owns the listening sockets; relies on :mod:`sockets` for sharing an address with a successor.
+"""
 
 import asyncio
 import socket
--- a/src/finchshed/daemon/metrics.py
+++ b/src/finchshed/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the data path."""
+"""Metrics of the data path: names and labels are what monitoring reads (docs/OPERATIONS.md)."""
 
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered, Outcome, Refused
--- a/src/finchshed/daemon/serving/control_ledger.py
+++ b/src/finchshed/daemon/serving/control_ledger.py
@@ -1,4 +1,7 @@
-"""The ledger as reached over the daemon's connection to control."""
+"""The ledger as reached over the daemon's connection to control.
+
+Owns the questions under way; relies on the control client to try again and to give up in time.
+"""
 
 import asyncio
 from collections.abc import Coroutine
--- a/src/finchshed/daemon/serving/gate_runner.py
+++ b/src/finchshed/daemon/serving/gate_runner.py
@@ -23,7 +23,8 @@
 chosen, not measured."""
 
 UNDECLARED_SLOTS = 1
-"""Slots until the endpoint's declaration or the back end's registration names them."""
+"""Slots until the endpoint's declaration or the back end's registration names them; chosen, not
+measured."""
 
 
 def admits_by_demand(settings: DaemonSettings) -> bool:
--- a/src/finchshed/daemon/serving/ledger_port.py
+++ b/src/finchshed/daemon/serving/ledger_port.py
@@ -1,4 +1,7 @@
-"""What the daemon asks of the at-most-once ledger."""
+"""What the daemon asks of the at-most-once ledger, and the keys and records it gives it.
+
+Pure but for the protocol; :mod:`control_ledger` carries it out over the connection to control.
+"""
 
 import uuid
 from collections.abc import Callable
@@ -28,6 +31,7 @@
 """Bits of a UUID of version 7 below its time (RFC 9562, 5.7)."""
 
 _RANDOM_MASK = (0xFFF << 64) | ((1 << 62) - 1)
+"""Its random bits, those of version and variant left out (the same)."""
 
 
 class LedgerPort(Protocol):
--- a/src/finchshed/daemon/signatures.py
+++ b/src/finchshed/daemon/signatures.py
@@ -1,4 +1,8 @@
-"""Reads from a request what its signature is made of."""
+"""Reads from a request what its signature is made of.
+
+Owns the names of the headers that count; relies on :mod:`finchshed.quarantine` for the digest
+itself.
+"""
 
 from collections.abc import Callable
 from functools import cache
--- a/src/finchshed/daemon/sockets.py
+++ b/src/finchshed/daemon/sockets.py
@@ -24,7 +24,8 @@
 """``BPF_RET | BPF_K`` of linux/filter.h: the program returns its constant."""
 
 _SUCCESSOR_INDEX = 1
-"""Sockets of a group are numbered in the order of their listen calls; the leaving one is 0."""
+"""Sockets of a group are numbered in the order of their listen calls; that of the process that
+stops is 0."""
 
 
 def listening_socket(address: str) -> socket.socket:
--- a/src/finchshed/http/limits.py
+++ b/src/finchshed/http/limits.py
@@ -1,4 +1,4 @@
-"""What a connection may bring and how long it may take."""
+"""What a connection may bring and how long it may take; the configuration may change it."""
 
 from dataclasses import dataclass
 
--- a/src/finchshed/http/simple.py
+++ b/src/finchshed/http/simple.py
@@ -1,4 +1,8 @@
-"""A handler for the small interfaces of a process: one function answers each whole request."""
+"""A handler for the small interfaces of a process: one function answers each whole request.
+
+For metrics, readiness, heartbeats, the operator's calls. Relies on the same connections as the call
+path, so sizes and times are bounded alike.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
--- a/src/finchshed/http/spool.py
+++ b/src/finchshed/http/spool.py
@@ -1,4 +1,4 @@
-"""The bytes of bodies that a daemon holds at a time."""
+"""The bytes of bodies that a daemon holds at a time: past them requests are refused, not read."""
 
 from dataclasses import dataclass
 
--- a/src/finchshed/link/compression.py
+++ b/src/finchshed/link/compression.py
@@ -22,7 +22,8 @@
 hundred of them; with 64 KiB each it took 13 MB more than without compression."""
 
 PIECE_BYTES = 1 << 20
-"""What is received is expanded in pieces of at most this, so that sizes are checked on the way."""
+"""What is received is expanded in pieces of at most so many bytes, so that sizes are checked on the
+way; chosen, not measured."""
 
 
 class LineCompressor:
--- a/src/finchshed/link/lines.py
+++ b/src/finchshed/link/lines.py
@@ -19,13 +19,14 @@
 ReceivedT = TypeVar("ReceivedT")
 
 DEFAULT_MAX_LINE_BYTES = 96 << 20
-"""Longest line taken: a body of 64 MiB in base64, and its headers."""
+"""Longest line, bytes: a body of 64 MiB in base64 and its
+headers."""
 
 FIRST_LINE_BYTES = 16 << 10
-"""Longest line taken of a peer that hasn't said who it is."""
+"""Longest line, bytes, of a peer that hasn't said who it is; chosen, not measured."""
 
 GREETING_SECONDS = 5.0
-"""A peer that hasn't said who it is for this long is closed."""
+"""Seconds after which a peer that hasn't said who it is is closed; chosen, not measured."""
 
 
 @cache
--- a/src/finchshed/link/networks.py
+++ b/src/finchshed/link/networks.py
@@ -1,4 +1,4 @@
-"""The networks that peers may connect from."""
+"""The networks that peers may connect from; what comes from elsewhere is closed unread."""
 
 import ipaddress
 from collections.abc import Sequence
--- a/src/finchshed/link/states.py
+++ b/src/finchshed/link/states.py
@@ -1,4 +1,4 @@
-"""States of the calling end of a link, and what those who use it give and get."""
+"""States of the calling end of a link, and what those who use it give and get. Types alone."""
 
 import asyncio
 import enum
--- a/src/finchshed/logs/reading.py
+++ b/src/finchshed/logs/reading.py
@@ -1,4 +1,8 @@
-"""Lines of the log stream, read from files of several processes."""
+"""Lines of the log stream, read from files of several processes.
+
+Knows the events by name alone, so that logs of other versions are read too. Relies on nothing of
+the running system.
+"""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -11,7 +15,8 @@
 EVENTS = frozenset({"request_ended", "call_ended", "state", "lines_left_out"})
 
 MAX_PREFIX_CHARACTERS = 200
-"""Text before a line's JSON that is passed over, as collectors of logs put there."""
+"""Characters before a line's JSON that are passed over, as collectors of logs put there; chosen,
+not measured."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/finchshed/logs/request_trace.py
+++ b/src/finchshed/logs/request_trace.py
@@ -17,7 +17,7 @@
     "queue_full": "refused: the queue beside the back end was full of what matters as much or more",
     "deadline": "no time left: it waited or would have waited past its deadline or its route's "
     "time-out; compare queued_ms and ran_ms of its call_ended lines",
-    "draining": "the back end or its daemon was leaving, and no other took it",
+    "draining": "the back end or its daemon was draining, and no other took it",
     "no_backend": "no back end of the service was known and open at this daemon",
     "no_configuration": "the daemon had no configuration confirmed by a quorum yet",
     "unknown_route": "no route stands for this host and path in the revision named",
--- a/src/finchshed/observability/log_stream.py
+++ b/src/finchshed/observability/log_stream.py
@@ -2,7 +2,8 @@
 
 Lines gather in memory and are written without blocking, so a reader that stops reading holds
 nothing up: what doesn't fit is left out, and a later line says how many were. Lines about failures
-may use the whole budget; others leave a part of it to them.
+may use the whole budget; others leave a part of it to them. Owns the budget and the lines that
+wait; relies on the event loop to write them.
 """
 
 import asyncio
@@ -16,22 +17,27 @@
 import xxhash
 
 FLUSH_SECONDS = 0.1
-"""Time between writes; a line is at most this late."""
+"""Seconds between writes; a line is at most this late. Chosen, not measured."""
 
 BUFFER_BYTES = 256 << 10
-"""Lines kept while standard output takes none."""
+"""Bytes of lines kept while standard output takes none; chosen, not measured."""
 
 BYTES_PER_SECOND = 48 << 10
+"""Bytes of lines written a second, over a longer time; chosen, not measured."""
+
 BURST_BYTES = 192 << 10
-FAILURE_SHARE = 0.5
-"""Part of the burst that only lines about failures may use."""
+"""Bytes of lines that may be written at once after a quiet time; chosen, not measured."""
+
+FAILURE_FRACTION = 0.5
+"""Fraction of the burst that only lines about failures may use; chosen, not measured."""
 
 SAMPLED_OF = 32
-"""Of the requests that end well, one in so many is logged, the same on every hop."""
+"""Of the requests that end well, one in so many is logged, the same on every hop; chosen,
+not measured."""
 
 
 class LinesLeftOut(msgspec.Struct, frozen=True, tag="lines_left_out", tag_field="event"):
-    """Tells of lines that the budget or the reader left no room for."""
+    """Says how many lines there were that the budget or the reader left no room for."""
 
     time: float
     lines: int
@@ -89,7 +95,7 @@
         line = self._encoder.encode(record)
         size = len(line) + 1
         self._fill()
-        kept_back = 0.0 if is_failure else FAILURE_SHARE * self._burst
+        kept_back = 0.0 if is_failure else FAILURE_FRACTION * self._burst
         if self._tokens - size < kept_back or len(self._buffer) + size > self._buffer_limit:
             self._left_out += 1
             return False
--- a/src/finchshed/observability/process_metrics.py
+++ b/src/finchshed/observability/process_metrics.py
@@ -20,6 +20,7 @@
 RING_RECORDS = Gauge("finchshed_log_ring_records", "Log records in the ring")
 
 LAG_INTERVAL_SECONDS = 1.0
+"""Seconds between measurements; chosen, not measured."""
 
 
 def identify(program: str, node: str, zone: str, version: str) -> None:
--- a/src/finchshed/observability/ring.py
+++ b/src/finchshed/observability/ring.py
@@ -22,13 +22,14 @@
     from loguru import Message
 
 DEFAULT_CAPACITY = 4_096
-"""Records kept."""
+"""Records kept (docs/design/observability.md); chosen, not measured."""
 
 MAX_TEXT_CHARACTERS = 2_000
-"""Longer messages are cut, so that the ring is bounded in bytes too."""
+"""Longer messages are cut, so that the ring is bounded in bytes too. Characters; chosen, not
+measured."""
 
 MAX_DUMP_FILES = 8
-"""Dump files kept in a data folder; the oldest go first."""
+"""Dump files kept in a data folder, the oldest go first; chosen, not measured."""
 
 STREAM_LEVEL = 20
 """Records from this level on (loguru's INFO) go to the log stream too, if there is one."""
@@ -167,14 +168,16 @@
     return redact_field(name, value)
 
 
-def _tell(at: float, level: str, module: str | None, text: str) -> None:
+def _emit_state(at: float, level: str, module: str | None, text: str) -> None:
     log_stream.emit(Believed(at, level.lower(), module or "", _cut(text)), is_failure=True)
 
 
 def _sink(message: "Message") -> None:
     record = message.record
     if record["level"].no >= STREAM_LEVEL:
-        _tell(record["time"].timestamp(), record["level"].name, record["name"], record["message"])
+        _emit_state(
+            record["time"].timestamp(), record["level"].name, record["name"], record["message"]
+        )
     exception = record["exception"]
     fields = {str(key): _field(str(key), value) for key, value in record["extra"].items()}
     _ring.add(
