--- a/tests/observability/test_metrics_page.py
+++ b/tests/observability/test_metrics_page.py
@@ -19,7 +19,7 @@
 import importlib, pkgutil, sys
 from finchshed.observability import metrics_page
 package = importlib.import_module(f"finchshed.{sys.argv[1]}")
-for module in pkgutil.iter_modules(package.__path__, f"{package.__name__}."):
+for module in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
     importlib.import_module(module.name)
 for line in metrics_page.render().decode().splitlines():
     if line.startswith("# TYPE ") and "_created " not in line:
