--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -191,12 +191,12 @@
         max_unsent_bytes=settings.max_unsent_bytes,
     )
 
-    def tell_callers(news: CrashNews) -> None:
+    def send_to_callers(news: CrashNews) -> None:
         for link in listener.links():
-            link.tell_crash_news(news)
+            link.send_crash_news(news)
 
-    state.crash_news_links.add(links.tell_crash_news)
-    state.crash_news_links.add(tell_callers)
+    state.crash_news_links.add(links.send_crash_news)
+    state.crash_news_links.add(send_to_callers)
     return LinkParts(links, listener, platform, KnownEndpoints(state.table, links))
 
 
--- a/src/finchshed/daemon/backend/connection.py
+++ b/src/finchshed/daemon/backend/connection.py
@@ -129,7 +129,7 @@
             self._fail("head too large")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell what the end of the connection means (asyncio callback)."""
+        """Judge what the end of the connection means (asyncio callback)."""
         is_whole = exc is None and self._is_past_head and self._ends_with_connection
         if self.state is ConnectionState.AWAITING_ANSWER and is_whole:
             self._finish(self._answer())
@@ -154,7 +154,7 @@
             self._has_length = True
 
     def on_headers_complete(self) -> None:
-        """Take the status; an interim answer (1xx) is skipped."""
+        """Read the status; an interim answer (1xx) is skipped."""
         if self._is_complete:
             return
         self._status = self._parser.get_status_code()
@@ -225,7 +225,7 @@
         return answer
 
     def _note_keep_alive(self) -> None:
-        """Take the time the back end says it keeps an idle connection for."""
+        """Note the time the back end says it keeps an idle connection for."""
         for name, value in self._raw_headers:
             if name == KEEP_ALIVE and (found := TIMEOUT_PARAMETER.search(value)):
                 self.kept_seconds = float(found.group(1))
--- a/src/finchshed/daemon/backend/registration.py
+++ b/src/finchshed/daemon/backend/registration.py
@@ -141,4 +141,4 @@
     def _tell_new_instance(self) -> None:
         self._identity.renew_incarnation()
         for link in self._listener.links():
-            link.tell_hello()
+            link.send_hello()
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -217,10 +217,10 @@
         """Return news for a peer (link owner's part)."""
         return self._owner.crash_news()
 
-    def tell_crash_news(self, news: CrashNews) -> None:
-        """Tell every peer whose link is open."""
+    def send_crash_news(self, news: CrashNews) -> None:
+        """Send news to every peer whose link is open."""
         for link in list(self._by_link):
-            link.tell_crash_news(news)
+            link.send_crash_news(news)
 
     def _peer(self, endpoint: Endpoint) -> _Peer:
         peer = self._peers.get(endpoint.name)
--- a/src/finchshed/daemon/calling/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing.py
@@ -160,10 +160,12 @@
             outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after(), detail)
         self._report(number, outcome, reply.spare_attempts, reply)
 
-    def _on_unsent(self, number: int, share: int, reason: RefusalReason, detail: str) -> None:
+    def _on_unsent(
+        self, number: int, lent_attempts: int, reason: RefusalReason, detail: str
+    ) -> None:
         refused = Refused(reason, self._retry_after(), detail)
         # The state machine may still be performing the effects of the send.
-        self._loop.call_soon(self._report, number, refused, share, None)
+        self._loop.call_soon(self._report, number, refused, lent_attempts, None)
 
     def _report(self, number: int, outcome: Outcome, spare: int, reply: Reply | None) -> None:
         load = None if reply is None else reply.load
--- a/src/finchshed/daemon/calling/platform_hints.py
+++ b/src/finchshed/daemon/calling/platform_hints.py
@@ -1,7 +1,8 @@
 """The platform's list of leaving machines, as it reaches the routing table.
 
 The list lags, so a hint may mean an earlier machine at the same address: it counts for an
-incarnation that was linked before the machine can have been listed, and for no later one.
+incarnation that was linked before the machine can have been listed, and for no later one. Owns the
+marks it made; relies on the links to say when each incarnation was linked.
 """
 
 from finchshed.distribution.messages import Hints
@@ -29,7 +30,7 @@
         self._apply(now)
 
     def on_hints(self, hints: Hints, now: float) -> None:
-        """Take the list in place of the one held."""
+        """Follow the list in place of the one held."""
         self._hints = hints
         self._received_at = now
         self._apply(now)
--- a/src/finchshed/daemon/draining.py
+++ b/src/finchshed/daemon/draining.py
@@ -89,7 +89,7 @@
         """Take no new calls from now on, and tell callers."""
         self._state.is_announced = True
         for link in self._listener.links():
-            link.tell_draining()
+            link.send_draining()
 
     def resume(self) -> None:
         """Take calls again, if no sign is left, and tell callers."""
@@ -97,7 +97,7 @@
             return
         self._state.is_announced = False
         for link in self._listener.links():
-            link.tell_load()
+            link.send_load()
 
     def on_hints(self, hints: Hints) -> None:
         """Follow the platform's list."""
@@ -126,4 +126,4 @@
         self._state.is_announced = False
         self._identity.renew_incarnation()
         for link in self._listener.links():
-            link.tell_hello()
+            link.send_hello()
--- a/src/finchshed/daemon/ingress/quota_gate.py
+++ b/src/finchshed/daemon/ingress/quota_gate.py
@@ -70,7 +70,7 @@
             self.close()
 
     def close(self) -> None:
-        """Tell the leader nothing more."""
+        """Report nothing more to the leader."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/finchshed/daemon/quarantine.py
+++ b/src/finchshed/daemon/quarantine.py
@@ -33,17 +33,17 @@
 
     Parameters
     ----------
-    tell_links
+    send_on_links
         Sends news on all links of this daemon.
     """
 
     def __init__(
         self,
         client: ControlClient,
-        tell_links: Callable[[CrashNews], None],
+        send_on_links: Callable[[CrashNews], None],
     ) -> None:
         self._client = client
-        self._tell_links = tell_links
+        self._tell_links = send_on_links
         self._register = QuarantineRegister()
         self._reported_to_control = QuarantineRegister()
         self._had_control = False
--- a/src/finchshed/daemon/serving/call_admission.py
+++ b/src/finchshed/daemon/serving/call_admission.py
@@ -115,7 +115,7 @@
         return opened.is_new
 
     def _admit_by_host(self, link: AcceptedLink, call: Call, now: float) -> Work | Refused:
-        """Take a call that the calling daemon found the route of."""
+        """Judge a call that the calling daemon found the route of."""
         if self._drain.is_announced or not self.instance or call.service != self.service:
             # What was called here has gone: whatever is here now was not meant.
             return self.refused(RefusalReason.DRAINING)
--- a/src/finchshed/daemon/serving/crash_detection.py
+++ b/src/finchshed/daemon/serving/crash_detection.py
@@ -41,7 +41,7 @@
         self._looks: set[asyncio.Task[None]] = set()
 
     def on_broken(self, instance: str, run: BrokenRun) -> None:
-        """Take a run whose connection broke; its ``then`` is called once, soon."""
+        """Note a run whose connection broke; its ``then`` is called once, soon."""
         collected = self._broken.get(instance)
         if collected is not None:
             collected.append(run)
--- a/src/finchshed/link/lines.py
+++ b/src/finchshed/link/lines.py
@@ -123,11 +123,11 @@
         self._compressor = LineCompressor()
 
     def expect_compressed(self) -> None:
-        """Take what comes behind the line handed on just now as compressed: the peer said so."""
+        """Read what comes behind the line handed on just now as compressed: the peer said so."""
         self._decompressor = LineDecompressor()
 
     def greeted(self) -> None:
-        """Take the peer for known: it said who it is."""
+        """Let longer lines in: the peer said who it is."""
         self._awaits_greeting = False
 
     def send(self, message: msgspec.Struct) -> int:
--- a/src/finchshed/link/listener.py
+++ b/src/finchshed/link/listener.py
@@ -75,26 +75,26 @@
         """Epoch the peer chose, empty before its Hello."""
         return "" if self.peer is None else self.peer.epoch
 
-    def tell_hello(self) -> None:
-        """Tell the peer anew who this is: the back end was restarted."""
+    def send_hello(self) -> None:
+        """Say anew who this is: the back end was restarted."""
         if self.peer is not None:
             self.lines.send(self._owner.hello(self.peer.epoch))
 
-    def tell_load(self) -> None:
-        """Tell the peer the load, asked for or not: a report without draining takes that back."""
+    def send_load(self) -> None:
+        """Report the load, asked for or not: a report without draining takes that back."""
         if self.peer is None:
             return
         self.lines.send(
             Pong(epoch=self.epoch, load=self._owner.load_report(), revision=self._owner.revision())
         )
 
-    def tell_draining(self) -> None:
-        """Tell the peer that no new calls are taken."""
+    def send_draining(self) -> None:
+        """Announce that no new calls are taken."""
         if self.peer is not None:
             self.lines.send(Draining(epoch=self.peer.epoch))
 
-    def tell_crash_news(self, news: CrashNews) -> None:
-        """Tell the peer of requests that crash back ends."""
+    def send_crash_news(self, news: CrashNews) -> None:
+        """Send news of requests that crash back ends."""
         if self.peer is not None:
             self.lines.send(news)
 
@@ -143,7 +143,7 @@
             self.lines.expect_compressed()
         news = self._owner.crash_news()
         if news is not None:
-            self.tell_crash_news(news)
+            self.send_crash_news(news)
         self._note_revision(message.revision)
 
     def _on_call(self, call: Call) -> None:
@@ -165,7 +165,7 @@
 
     def _on_ping(self, ping: Ping) -> None:
         self._note_revision(ping.revision)
-        self.tell_load()
+        self.send_load()
 
     def _on_fetch(self, fetch: Fetch) -> None:
         delta = self._owner.delta_for(fetch.revision)
--- a/src/finchshed/link/messages.py
+++ b/src/finchshed/link/messages.py
@@ -60,8 +60,8 @@
 class Reply(msgspec.Struct, frozen=True, omit_defaults=True, tag="reply"):
     """The outcome of a call.
 
-    ``spare_attempts`` is what the callee's side did not spend of the call's share of the retry
-    budget. ``digest`` is xxh3-64 of an answer's body, hexadecimal; empty for other outcomes.
+    ``spare_attempts`` is what the callee's side did not spend of the attempts lent to the
+    call. ``digest`` is xxh3-64 of an answer's body, hexadecimal; empty for other outcomes.
     ``crash_record`` is there where back ends ended under the request.
     """
 
--- a/src/finchshed/link/peer.py
+++ b/src/finchshed/link/peer.py
@@ -164,8 +164,8 @@
         """Ask the peer for the configuration past ``revision``."""
         self._send(Fetch(revision=revision))
 
-    def tell_crash_news(self, news: CrashNews) -> None:
-        """Tell the peer of requests that crash back ends."""
+    def send_crash_news(self, news: CrashNews) -> None:
+        """Send news of requests that crash back ends, if the link is open."""
         if self.state is LinkState.OPEN:
             self._send(news)
 
--- a/src/finchshed/observability/log_stream.py
+++ b/src/finchshed/observability/log_stream.py
@@ -1,6 +1,6 @@
 """Structured log lines on standard output: bounded in volume, and never waited for.
 
-Lines gather in memory and are written without blocking, so a reader that stops reading holds
+Lines are collected in memory and are written without blocking, so a reader that stops reading holds
 nothing up: what doesn't fit is left out, and a later line says how many were. Lines about failures
 may use the whole budget; others leave a part of it to them. Owns the budget and the lines that
 wait; relies on the event loop to write them.
