--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -93,6 +93,7 @@
         try:
             return max(0.0, float(value) / MILLISECONDS)
         except ValueError:
+            # No number: the caller named no deadline that counts.
             return route.timeout_seconds
 
     def _headers(self, request: InboundRequest, admitted: HostAdmitted) -> Headers:
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -210,4 +210,5 @@
     try:
         return int(value) / MILLISECONDS
     except ValueError:
+        # No number: the caller named no deadline that counts.
         return default_seconds
--- a/src/finchshed/observability/log_stream.py
+++ b/src/finchshed/observability/log_stream.py
@@ -87,7 +87,7 @@
 
     @property
     def left_out(self) -> int:
-        """Lines left out and not yet told of."""
+        """Lines left out of which no line says so yet."""
         return self._left_out
 
     def offer(self, record: msgspec.Struct, *, is_failure: bool = False) -> bool:
@@ -110,8 +110,8 @@
     def flush(self) -> None:
         """Write what standard output takes now."""
         if self._left_out and len(self._buffer) < self._buffer_limit // 2:
-            told = self._encoder.encode(LinesLeftOut(time.time(), self._left_out))
-            self._buffer += told + b"\n"
+            line = self._encoder.encode(LinesLeftOut(time.time(), self._left_out))
+            self._buffer += line + b"\n"
             self._left_out = 0
         if not self._buffer:
             return
@@ -120,6 +120,8 @@
         except BlockingIOError:
             return
         except OSError:
+            # Nobody reads any more. A log line on it would be written here as well, so lines are
+            # dropped; the ring keeps its records.
             written = len(self._buffer)
         del self._buffer[:written]
 
