--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -26,10 +26,11 @@
 from finchshed.runtime import clock
 
 BACKOFF_FIRST_SECONDS = 0.05
-"""Mean wait, seconds, before a link that failed once is opened again; chosen, not measured."""
+"""Longest wait, seconds, before a link that failed once is opened again, at least half of it;
+chosen, not measured."""
 
 BACKOFF_MAX_SECONDS = 2.0
-"""Longest mean wait, seconds: so late at most an endpoint that is back is found; chosen, not
+"""The same after many failures: so late at most an endpoint that is back is found. Chosen, not
 measured."""
 
 DIAL_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
@@ -216,10 +217,10 @@
         """Return news for a peer (link owner's part)."""
         return self._owner.crash_news()
 
-    def tell_crash_news(self, news: CrashNews) -> None:
-        """Tell every peer whose link is open."""
+    def send_crash_news(self, news: CrashNews) -> None:
+        """Send news to every peer whose link is open."""
         for link in list(self._by_link):
-            link.tell_crash_news(news)
+            link.send_crash_news(news)
 
     def _peer(self, endpoint: Endpoint) -> _Peer:
         peer = self._peers.get(endpoint.name)
--- a/src/finchshed/daemon/serving/gate_runner.py
+++ b/src/finchshed/daemon/serving/gate_runner.py
@@ -24,7 +24,8 @@
 chosen, not measured."""
 
 UNDECLARED_SLOTS = 1
-"""Slots until the endpoint's declaration or the back end's registration names them."""
+"""Slots until the endpoint's declaration or the back end's registration names them; chosen, not
+measured."""
 
 
 def threshold_rule_of(settings: DaemonSettings) -> ThresholdRule:
--- a/src/finchshed/link/lines.py
+++ b/src/finchshed/link/lines.py
@@ -19,13 +19,14 @@
 ReceivedT = TypeVar("ReceivedT")
 
 DEFAULT_MAX_LINE_BYTES = 96 << 20
-"""Longest line taken: a body of 64 MiB in base64, and its headers."""
+"""Longest line, bytes: a body of 64 MiB in base64 and its
+headers."""
 
 FIRST_LINE_BYTES = 16 << 10
-"""Longest line taken of a peer that hasn't said who it is."""
+"""Longest line, bytes, of a peer that hasn't said who it is; chosen, not measured."""
 
 GREETING_SECONDS = 5.0
-"""A peer that hasn't said who it is for this long is closed."""
+"""Seconds after which a peer that hasn't said who it is is closed; chosen, not measured."""
 
 
 @cache
@@ -122,11 +123,11 @@
         self._compressor = LineCompressor()
 
     def expect_compressed(self) -> None:
-        """Take what comes behind the line handed on just now as compressed: the peer said so."""
+        """Read what comes behind the line handed on just now as compressed: the peer said so."""
         self._decompressor = LineDecompressor()
 
     def greeted(self) -> None:
-        """Take the peer for known: it said who it is."""
+        """Let longer lines in: the peer said who it is."""
         self._awaits_greeting = False
 
     def send(self, message: msgspec.Struct) -> int:
