--- a/src/finchshed/bench/control_group.py
+++ b/src/finchshed/bench/control_group.py
@@ -131,7 +131,7 @@
         try:
             for _ in range(100):
                 answers = await asyncio.to_thread(client.call_each, "Members", pb.MembersRequest())
-                for _, answer, _ in answers:
+                for _, answer in answers.answers:
                     if isinstance(answer, pb.MembersResponse) and answer.node == answer.leader:
                         return next(node for node in self.nodes if node.name == answer.leader)
                 await asyncio.sleep(0.1)
--- a/src/finchshed/ctl/changes.py
+++ b/src/finchshed/ctl/changes.py
@@ -29,7 +29,7 @@
 """Times a drain is made again after another change was accepted first."""
 
 
-class InForce(msgspec.Struct, frozen=True):
+class DeclaredConfiguration(msgspec.Struct, frozen=True):
     """The configuration as read from a quorum."""
 
     revision: int
@@ -117,14 +117,21 @@
         return ExitCode.OK
     expected = current.revision if expected_revision < 0 else expected_revision
     identity = change_id or str(uuid.uuid4())
+    result = _submit_or_explain(client, folder, identity, expected, changed)
+    return report(identity, result, as_json=json)
+
+
+def _submit_or_explain(
+    client: OperatorClient, folder: str, change_id: str, expected: int, changed: Difference
+) -> ChangeResult:
+    """Send a change; where no answer comes, say how its outcome is learnt."""
     try:
-        result = submit(client, identity, expected, changed)
+        return submit(client, change_id, expected, changed)
     except ControlUnavailableError as error:
         raise ControlUnavailableError(
             f"{error}\nthe change may have been accepted; to learn its outcome: "
-            f"finchshed ctl apply {folder} --change_id={identity} --expected_revision={expected}"
+            f"finchshed ctl apply {folder} --change_id={change_id} --expected_revision={expected}"
         ) from error
-    return report(identity, result, as_json=json)
 
 
 def drain(
@@ -204,10 +211,10 @@
     return report(identity, result, as_json=as_json)
 
 
-def read_in_force(client: OperatorClient) -> InForce:
+def read_in_force(client: OperatorClient) -> DeclaredConfiguration:
     """Return the configuration in force."""
     answer = cast(pb.GetResponse, client.call("Get", pb.GetRequest()))
-    return InForce(answer.revision, resources_by_key(answer.resources))
+    return DeclaredConfiguration(answer.revision, resources_by_key(answer.resources))
 
 
 def first_result_of(client: OperatorClient, change_id: str) -> ChangeResult | None:
--- a/src/finchshed/ctl/client.py
+++ b/src/finchshed/ctl/client.py
@@ -1,11 +1,13 @@
 """Client of the operators' service that goes from control node to control node.
 
-A call that found no quorum, or whose answer was lost, is sent again to the next node. That is
-safe: reads change nothing, and a change keeps its change identity, so it is applied once.
+Owns the connections, and which node is asked first. A call that found no quorum, or whose answer
+was lost, is sent again to the next node. That is safe: reads change nothing, and a change keeps its
+change identity, so it is applied once.
 """
 
 import time
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from typing import TypeVar
 
 import grpc
@@ -18,8 +20,13 @@
 ResponseT = TypeVar("ResponseT")
 
 CALL_TIMEOUT_SECONDS = 6.0
+"""Longest wait for one node: above the 4 s that a node itself waits for a quorum by default."""
+
 RETRY_PAUSE_SECONDS = 0.2
+"""Pause after all nodes were asked in vain. Chosen, not measured."""
+
 MAX_MESSAGE_BYTES = 64 << 20
+"""Longest answer that is read, a whole configuration. Chosen, not measured."""
 
 CONNECT_FAILED = "failed to connect to all addresses"
 """How the library's text of a connection that can't be made begins; only its end says why."""
@@ -43,6 +50,22 @@
     """No control node knows what was asked for."""
 
 
+@dataclass(frozen=True, slots=True)
+class EachAnswer:
+    """What all control nodes said to one request.
+
+    Attributes
+    ----------
+    answers
+        Address and answer of each node that answered, in the order of the addresses.
+    errors
+        One line for each node that didn't: its address, and why.
+    """
+
+    answers: tuple[tuple[str, object], ...]
+    errors: tuple[str, ...]
+
+
 class OperatorClient:
     """Calls the operators' service on one of several control nodes.
 
@@ -110,9 +133,16 @@
                 raise ControlUnavailableError(last)
             time.sleep(RETRY_PAUSE_SECONDS)
 
-    def call_each(self, method: str, request: object) -> list[tuple[str, object | None, str]]:
-        """Call ``method`` once on every node; return address, answer or None, and the error."""
-        answers: list[tuple[str, object | None, str]] = []
+    def call_each(self, method: str, request: object) -> EachAnswer:
+        """Call ``method`` once on every node.
+
+        Raises
+        ------
+        AccessDeniedError
+            The token was refused.
+        """
+        answers: list[tuple[str, object]] = []
+        errors: list[str] = []
         for position, address in enumerate(self.addresses):
             deadline = time.monotonic() + CALL_TIMEOUT_SECONDS
             try:
@@ -120,10 +150,10 @@
             except grpc.RpcError as error:
                 if error.code() in _DENIED:
                     raise _translated(error) from error
-                answers.append((address, None, _describe(error)))
+                errors.append(f"{address}: {_describe(error)}")
             else:
-                answers.append((address, answer, ""))
-        return answers
+                answers.append((address, answer))
+        return EachAnswer(tuple(answers), tuple(errors))
 
     def stream(self, method: str, request: object) -> Iterator[object]:
         """Yield the answers of a streaming ``method`` of the first node that can answer.
--- a/src/finchshed/ctl/command.py
+++ b/src/finchshed/ctl/command.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Mapping
 from functools import wraps
 
-from finchshed.ctl import changes, maintenance, quarantine, reading, restore, standing
+from finchshed.ctl import changes, maintenance, quarantine, reading, restore, status
 from finchshed.ctl.client import AccessDeniedError
 from finchshed.ctl.exit_codes import CtlExitCode
 from finchshed.ctl.output import complain
@@ -30,8 +30,8 @@
     "undrain": _denial_as_exit_code(changes.undrain),
     "get": _denial_as_exit_code(reading.get),
     "watch": _denial_as_exit_code(reading.watch),
-    "status": _denial_as_exit_code(standing.status),
-    "members": _denial_as_exit_code(standing.members),
+    "status": _denial_as_exit_code(status.status),
+    "members": _denial_as_exit_code(status.members),
     "explain": _denial_as_exit_code(reading.explain),
     "quarantine": _denial_as_exit_code(quarantine.quarantine),
     "history": _denial_as_exit_code(reading.history),
--- a/src/finchshed/ctl/maintenance.py
+++ b/src/finchshed/ctl/maintenance.py
@@ -11,11 +11,13 @@
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.errors import ControlUnavailableError, SettingsError
 from finchshed.control.state.machine import StateSnapshot
+from finchshed.ctl.client import OperatorClient
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
 from finchshed.ctl.output import complain, show
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 STEP_PAUSE_SECONDS = 0.5
+"""Pause between looks at a replacement that goes on. Chosen, not measured."""
 
 
 class BackupView(msgspec.Struct, frozen=True):
@@ -78,19 +80,9 @@
         raise SettingsError(["flag --add, --remove: missing, one of them is needed"])
     client = connect(control, token_file, min(timeout, DEFAULT_TIMEOUT_SECONDS))
     request = pb.ReplaceMemberRequest(remove=remove, add=add, standby=standby)
-    deadline = time.monotonic() + timeout
-    step = ""
-    while True:
-        answer = cast(pb.ReplaceMemberResponse, client.call("ReplaceMember", request))
-        if answer.step != step and not answer.done and not json:
-            complain(answer.step)
-        step = answer.step
-        if answer.done:
-            show(StepView(done=True, step=step), ["done"], as_json=json)
-            return ExitCode.OK
-        if time.monotonic() >= deadline:
-            raise ControlUnavailableError(f"not finished yet: {step}; run the command again")
-        time.sleep(STEP_PAUSE_SECONDS)
+    step = _wait_until_replaced(client, request, timeout, says_steps=not json)
+    show(StepView(done=True, step=step), ["done"], as_json=json)
+    return ExitCode.OK
 
 
 def backup(
@@ -152,16 +144,41 @@
         Print one JSON line.
     """
     client = connect(control, token_file, timeout)
-    destinations = []
-    for address, answer, error in client.call_each("Dump", pb.DumpRequest()):
-        if answer is None:
-            complain(f"{address}: {error}")
-        else:
-            destinations.append(f"{address}: {cast(pb.DumpResponse, answer).destination}")
+    said = client.call_each("Dump", pb.DumpRequest())
+    for error in said.errors:
+        complain(error)
+    destinations = [
+        f"{address}: {cast(pb.DumpResponse, answer).destination}"
+        for address, answer in said.answers
+    ]
     show(DumpView(tuple(destinations)), destinations, as_json=json)
     return ExitCode.OK if destinations else ExitCode.UNAVAILABLE
 
 
+def _wait_until_replaced(
+    client: OperatorClient, request: pb.ReplaceMemberRequest, timeout: float, *, says_steps: bool
+) -> str:
+    """Ask for each next step until none is left; return the text of the last one.
+
+    Raises
+    ------
+    ControlUnavailableError
+        It isn't finished after ``timeout`` seconds.
+    """
+    deadline = time.monotonic() + timeout
+    step = ""
+    while True:
+        answer = cast(pb.ReplaceMemberResponse, client.call("ReplaceMember", request))
+        if answer.step != step and not answer.done and says_steps:
+            complain(answer.step)
+        step = str(answer.step)
+        if answer.done:
+            return step
+        if time.monotonic() >= deadline:
+            raise ControlUnavailableError(f"not finished yet: {step}; run the command again")
+        time.sleep(STEP_PAUSE_SECONDS)
+
+
 def _write_synced(path: Path, data: bytes) -> None:
     with path.open("xb") as stream:
         stream.write(data)
--- a/src/finchshed/ctl/quarantine.py
+++ b/src/finchshed/ctl/quarantine.py
@@ -36,6 +36,11 @@
     if lift:
         client.call("LiftQuarantine", pb.LiftQuarantineRequest(signature=lift))
     answer = cast(pb.QuarantineResponse, client.call("Quarantine", pb.QuarantineRequest()))
+    _show(answer, as_json=json)
+    return ExitCode.OK
+
+
+def _show(answer: pb.QuarantineResponse, *, as_json: bool) -> None:
     views = tuple(
         QuarantinedView(
             item.signature,
@@ -57,5 +62,4 @@
         for view in views
     ]
     header = ("request", "standing", "crashes", "seconds ago", "refused for seconds")
-    show(QuarantineView(views), table(header, rows), as_json=json)
-    return ExitCode.OK
+    show(QuarantineView(views), table(header, rows), as_json=as_json)
--- a/src/finchshed/ctl/reading.py
+++ b/src/finchshed/ctl/reading.py
@@ -133,24 +133,13 @@
     """
     client = connect(control, token_file, timeout)
     request = pb.ExplainRequest(node=node, root=root, limit=limit)
-    answers = client.call_each("Explain", request)
-    found = [cast(pb.ExplainResponse, answer) for _, answer, _ in answers if answer is not None]
-    if not found:
-        for address, _, error in answers:
-            complain(f"{address}: {error}")
+    said = client.call_each("Explain", request)
+    if not said.answers:
+        for error in said.errors:
+            complain(error)
         return ExitCode.UNAVAILABLE
-    decisions = tuple(
-        DecisionView(
-            item.age_seconds, item.root, item.action, item.reason, item.endpoint, item.detail
-        )
-        for item in found[0].decisions
-    )
-    rows = [
-        (f"{d.age_seconds:.3f}", d.action, d.reason, d.endpoint, d.root, d.detail)
-        for d in decisions
-    ]
-    header = ("seconds ago", "action", "reason", "endpoint", "root request", "detail")
-    show(ExplainView(node, decisions), table(header, rows), as_json=json)
+    _, first = said.answers[0]
+    _show_decisions(node, cast(pb.ExplainResponse, first), as_json=json)
     return ExitCode.OK
 
 
@@ -191,6 +180,21 @@
     return ExitCode.OK
 
 
+def _show_decisions(node: str, answer: pb.ExplainResponse, *, as_json: bool) -> None:
+    decisions = tuple(
+        DecisionView(
+            item.age_seconds, item.root, item.action, item.reason, item.endpoint, item.detail
+        )
+        for item in answer.decisions
+    )
+    rows = [
+        (f"{d.age_seconds:.3f}", d.action, d.reason, d.endpoint, d.root, d.detail)
+        for d in decisions
+    ]
+    header = ("seconds ago", "action", "reason", "endpoint", "root request", "detail")
+    show(ExplainView(node, decisions), table(header, rows), as_json=as_json)
+
+
 def _utc_text(unix_seconds: float) -> str:
     moment = datetime.datetime.fromtimestamp(unix_seconds, datetime.UTC)
     return moment.isoformat(timespec="seconds")
--- a/src/finchshed/ctl/standing.py
+++ b/src/finchshed/ctl/status.py
@@ -1,4 +1,4 @@
-"""Sub-commands that read how the system stands: status, members."""
+"""Sub-commands that show the daemons and the members of the control group: status, members."""
 
 from typing import cast
 
@@ -51,15 +51,10 @@
 
 def read_status(client: OperatorClient) -> StatusView:
     """Return the state of all daemons, from the best informed control node that answers."""
-    answers: list[pb.StatusResponse] = []
-    unreachable = []
-    for address, answer, error in client.call_each("Status", pb.StatusRequest()):
-        if answer is None:
-            unreachable.append(f"{address}: {error}")
-        else:
-            answers.append(cast(pb.StatusResponse, answer))
-    if not answers:
-        raise ControlUnavailableError("; ".join(unreachable))
+    said = client.call_each("Status", pb.StatusRequest())
+    if not said.answers:
+        raise ControlUnavailableError("; ".join(said.errors))
+    answers = [cast(pb.StatusResponse, answer) for _, answer in said.answers]
     best = max(answers, key=lambda answer: (answer.confirmed, answer.revision, answer.in_force))
     daemons = [_daemon_view(daemon, BEHIND) for daemon in best.behind]
     daemons += [_daemon_view(daemon, SILENT) for daemon in best.silent]
@@ -76,7 +71,7 @@
             best.ledger.answer_bytes,
         ),
         daemons=tuple(daemons),
-        unreachable=tuple(unreachable),
+        unreachable=said.errors,
     )
 
 
@@ -101,13 +96,10 @@
         Print one JSON line.
     """
     client = connect(control, token_file, timeout)
-    answers = [
-        cast(pb.MembersResponse, answer)
-        for _, answer, _ in client.call_each("Members", pb.MembersRequest())
-        if answer is not None
-    ]
-    if not answers:
+    said = client.call_each("Members", pb.MembersRequest())
+    if not said.answers:
         raise ControlUnavailableError("no control node answered")
+    answers = [cast(pb.MembersResponse, answer) for _, answer in said.answers]
     best = max(answers, key=lambda answer: (answer.node == answer.leader, answer.term))
     view = MembersView(
         leader=best.leader,
--- a/tests/control/group.py
+++ b/tests/control/group.py
@@ -17,7 +17,7 @@
 from finchshed.configuration.changes import Accepted, ChangeResult
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Operator, Resource
-from finchshed.ctl.changes import InForce, read_in_force, submit
+from finchshed.ctl.changes import DeclaredConfiguration, read_in_force, submit
 from finchshed.ctl.client import OperatorClient
 from finchshed.runtime import clock
 
@@ -156,8 +156,8 @@
         client = self.client(running)
         try:
             while clock.now() < deadline:
-                for _, answer, _ in client.call_each("Members", pb.MembersRequest()):
-                    if answer is not None and answer.leader == answer.node:
+                for _, answer in client.call_each("Members", pb.MembersRequest()).answers:
+                    if answer.leader == answer.node:
                         return next(node for node in self.nodes if node.name == answer.leader)
                 time.sleep(0.1)
         finally:
@@ -167,5 +167,5 @@
 
 def apply_one(client: OperatorClient, change_id: str, resource: Resource) -> ChangeResult:
     """Apply ``resource`` against the revision in force."""
-    current: InForce = read_in_force(client)
+    current: DeclaredConfiguration = read_in_force(client)
     return submit(client, change_id, current.revision, Difference((resource,), ()))
--- a/tests/control/test_damaged_disk.py
+++ b/tests/control/test_damaged_disk.py
@@ -51,8 +51,8 @@
     client = group.client()
     try:
         while clock.now() < deadline:
-            for _, answer, _ in client.call_each("Members", pb.MembersRequest()):
-                if answer is None or answer.leader != answer.node:
+            for _, answer in client.call_each("Members", pb.MembersRequest()).answers:
+                if answer.leader != answer.node:
                     continue
                 roles = [member.role for member in answer.members]
                 gone = incarnation_gone not in [m.incarnation for m in answer.members]
--- a/tests/control/test_real_group.py
+++ b/tests/control/test_real_group.py
@@ -149,9 +149,9 @@
 
 def members_of(group: Group) -> list[pb.Member]:
     client = group.client([node for node in group.nodes if node.process is not None])
-    answers = [answer for _, answer, _ in client.call_each("Members", pb.MembersRequest())]
+    said = client.call_each("Members", pb.MembersRequest())
     client.close()
-    leading = [answer for answer in answers if answer is not None and answer.node == answer.leader]
+    leading = [answer for _, answer in said.answers if answer.node == answer.leader]
     return list(leading[0].members) if leading else []
 
 
--- a/tests/control/test_standby.py
+++ b/tests/control/test_standby.py
@@ -46,9 +46,9 @@
     client = group.client([node for node in group.nodes if node.process is not None])
     answers = client.call_each("Members", pb.MembersRequest())
     client.close()
-    for _, answer, _ in answers:
+    for _, answer in answers.answers:
         response = cast(pb.MembersResponse, answer)
-        if response is not None and response.leader == response.node:
+        if response.leader == response.node:
             return {member.name: member.role for member in response.members}
     return {}
 
--- a/tests/standins/test_operator.py
+++ b/tests/standins/test_operator.py
@@ -7,7 +7,7 @@
 
 from finchshed.configuration.changes import Accepted, ChangeResult, Conflict
 from finchshed.configuration.resources import Policy
-from finchshed.ctl.changes import InForce
+from finchshed.ctl.changes import DeclaredConfiguration
 from finchshed.standins import operator
 from finchshed.standins.operator import POLICY, ChangeOutcome, OperatorRecord, run_operator
 from finchshed.standins.records import monotonic, read_records
@@ -24,8 +24,8 @@
         self.patience = 0.05
         self._read = threading.Event()
 
-    def read(self, _: object) -> InForce:
-        held = InForce(self.revision, {POLICY: Policy()})
+    def read(self, _: object) -> DeclaredConfiguration:
+        held = DeclaredConfiguration(self.revision, {POLICY: Policy()})
         self._read.set()
         return held
 
