--- a/src/finchshed/bench/consensus_group.py
+++ b/src/finchshed/bench/consensus_group.py
@@ -9,7 +9,7 @@
 from finchshed.configuration.changes import Change
 from finchshed.configuration.resources import Endpoint, Operator, Service
 from finchshed.consensus.driver import Driver
-from finchshed.consensus.effects import Effect, Role
+from finchshed.consensus.effects import Effect, RaftRole
 from finchshed.consensus.events import Event, Propose, Received, Tick
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import (
@@ -150,7 +150,7 @@
                 node.handle([Tick()], self._now)
             self._exchange()
             for node in self._nodes.values():
-                if node.driver.node.role is Role.LEADER:
+                if node.driver.node.role is RaftRole.LEADER:
                     return node
         raise RuntimeError("no leader in time")
 
--- a/src/finchshed/bench/keys.py
+++ b/src/finchshed/bench/keys.py
@@ -12,7 +12,7 @@
     make_authority,
     write_synced,
 )
-from finchshed.tls.names import Role, name_of
+from finchshed.tls.names import CertificateRole, name_of
 
 VALID = datetime.timedelta(days=1)
 AUTHORITY_FILE = "authority.pem"
@@ -29,13 +29,13 @@
 
     def control(self) -> Credentials:
         """Return the credentials of the control node."""
-        return Credentials(self._issue("control", [name_of(Role.CONTROL, "control")]))
+        return Credentials(self._issue("control", [name_of(CertificateRole.CONTROL, "control")]))
 
     def flags_of(self, node: str, zone: str, endpoint: str) -> dict[str, str]:
         """Return a daemon's flags; its files are issued."""
-        names = [name_of(Role.DAEMON, node), name_of(Role.ZONE, zone)]
+        names = [name_of(CertificateRole.DAEMON, node), name_of(CertificateRole.ZONE, zone)]
         if endpoint:
-            names.append(name_of(Role.ENDPOINT, endpoint))
+            names.append(name_of(CertificateRole.ENDPOINT, endpoint))
         paths = self._issue(node, names).by_setting()
         return {setting.replace("_", "-"): path for setting, path in paths.items()}
 
--- a/src/finchshed/consensus/driver.py
+++ b/src/finchshed/consensus/driver.py
@@ -12,9 +12,9 @@
 from finchshed.consensus.effects import (
     Apply,
     Effect,
-    Persist,
+    PersistWrite,
     RestoreSnapshot,
-    Send,
+    SendEnvelope,
     SnapshotWanted,
 )
 from finchshed.consensus.events import DiskFull, DiskHasRoom, Event, Persisted, SnapshotTaken
@@ -54,8 +54,8 @@
     def __init__(self, node: RaftNode, host: Host) -> None:
         self._node = node
         self._host = host
-        self._queued: list[Persist] = []
-        self._writing: list[Persist] = []
+        self._queued: list[PersistWrite] = []
+        self._writing: list[PersistWrite] = []
         self._disk_full = False
 
     @property
@@ -105,9 +105,9 @@
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Send():
+                case SendEnvelope():
                     self._host.send(effect.address, effect.envelope)
-                case Persist():
+                case PersistWrite():
                     self._queued.append(effect)
                 case Apply():
                     self._host.apply(effect.index, effect.data)
--- a/src/finchshed/consensus/effects.py
+++ b/src/finchshed/consensus/effects.py
@@ -11,7 +11,7 @@
 from finchshed.storage.records import Write
 
 
-class Role(enum.StrEnum):
+class RaftRole(enum.StrEnum):
     """What a node is at present."""
 
     FOLLOWER = "follower"
@@ -33,14 +33,14 @@
     WOULD_LOSE_QUORUM = "would_lose_quorum"
 
 
-class Send(msgspec.Struct, frozen=True):
+class SendEnvelope(msgspec.Struct, frozen=True):
     """Send a line to an address. It may be lost, repeated or reordered."""
 
     address: str
     envelope: Envelope
 
 
-class Persist(msgspec.Struct, frozen=True):
+class PersistWrite(msgspec.Struct, frozen=True):
     """Make ``write`` durable, after all earlier ones, then tell ``Persisted(ticket)``."""
 
     ticket: int
@@ -81,7 +81,7 @@
     token: int
 
 
-class Refused(msgspec.Struct, frozen=True):
+class RequestRefused(msgspec.Struct, frozen=True):
     """The proposal, read or change had no effect. ``leader`` may be another node to ask."""
 
     token: int
@@ -106,7 +106,7 @@
 class RoleChanged(msgspec.Struct, frozen=True):
     """The role, term or known leader changed."""
 
-    role: Role
+    role: RaftRole
     term: int
     leader: NodeIdentity | None
 
@@ -119,14 +119,14 @@
 
 
 Effect: TypeAlias = (
-    Send
-    | Persist
+    SendEnvelope
+    | PersistWrite
     | Apply
     | RestoreSnapshot
     | SnapshotWanted
     | Committed
     | Lost
-    | Refused
+    | RequestRefused
     | ReadReady
     | ReadFailed
     | RoleChanged
--- a/src/finchshed/consensus/election.py
+++ b/src/finchshed/consensus/election.py
@@ -1,13 +1,18 @@
 """Elections, with pre-vote and with respect for a leader that is there."""
 
-from finchshed.consensus.effects import Role
+from finchshed.consensus.effects import RaftRole
 from finchshed.consensus.identity import NodeIdentity
-from finchshed.consensus.messages import PreVote, PreVoteReply, TimeoutNow, Vote, VoteReply
+from finchshed.consensus.messages import (
+    PreVoteReply,
+    PreVoteRequest,
+    TimeoutNow,
+    VoteReply,
+    VoteRequest,
+)
 from finchshed.consensus.replication import send_heartbeats, track_members
 from finchshed.consensus.roles import become_follower, reset_election_timer
 from finchshed.consensus.state import LeaderState, NodeState
-from finchshed.storage.records import Entry, EntryKind
-from finchshed.storage.records import Vote as StoredVote
+from finchshed.storage.records import Entry, EntryKind, Vote
 
 
 def may_campaign(state: NodeState) -> bool:
@@ -26,31 +31,31 @@
 def start_pre_vote(state: NodeState) -> None:
     """Ask whether an election could be won, before disturbing anybody with a new term."""
     state.ballots = {state.identity}
-    state.change_role(Role.PRE_CANDIDATE, None)
+    state.change_role(RaftRole.PRE_CANDIDATE, None)
     reset_election_timer(state)
     if _has_majority(state):
         start_election(state)
         return
-    request = PreVote(state.term + 1, state.log.last_index, state.log.last_term)
+    request = PreVoteRequest(state.term + 1, state.log.last_index, state.log.last_term)
     for voter in _other_voters(state):
         state.send(voter, request)
 
 
 def start_election(state: NodeState, transfer: bool = False) -> None:
     """Stand for leader in a new term."""
-    state.set_vote(StoredVote(state.term + 1, str(state.identity)))
+    state.set_vote(Vote(state.term + 1, str(state.identity)))
     state.ballots = {state.identity}
-    state.change_role(Role.CANDIDATE, None)
+    state.change_role(RaftRole.CANDIDATE, None)
     reset_election_timer(state)
     if _has_majority(state):
         _become_leader(state)
         return
-    request = Vote(state.term, state.log.last_index, state.log.last_term, transfer)
+    request = VoteRequest(state.term, state.log.last_index, state.log.last_term, transfer)
     for voter in _other_voters(state):
         state.send_when_durable(voter, request)
 
 
-def on_pre_vote(state: NodeState, sender: NodeIdentity, message: PreVote) -> None:
+def on_pre_vote(state: NodeState, sender: NodeIdentity, message: PreVoteRequest) -> None:
     """Say whether a vote would be given."""
     granted = (
         message.term > state.term
@@ -67,14 +72,14 @@
         if message.term > state.term:
             become_follower(state, message.term, None)
         return
-    if state.role is not Role.PRE_CANDIDATE or message.term != state.term + 1:
+    if state.role is not RaftRole.PRE_CANDIDATE or message.term != state.term + 1:
         return
     state.ballots.add(sender)
     if _has_majority(state) and may_campaign(state):
         start_election(state)
 
 
-def on_vote(state: NodeState, sender: NodeIdentity, message: Vote) -> None:
+def on_vote(state: NodeState, sender: NodeIdentity, message: VoteRequest) -> None:
     """Vote, at most once in a term, for a candidate whose log is as complete as this one."""
     if message.term > state.term:
         if _hears_a_leader(state) and not message.transfer:
@@ -86,7 +91,7 @@
         and _is_up_to_date(state, message.last_index, message.last_term)
     )
     if granted:
-        state.set_vote(StoredVote(state.term, str(sender)))
+        state.set_vote(Vote(state.term, str(sender)))
         reset_election_timer(state)
     state.send_when_durable(sender, VoteReply(state.term, granted))
 
@@ -96,7 +101,7 @@
     if message.term > state.term:
         become_follower(state, message.term, None)
         return
-    if state.role is not Role.CANDIDATE or message.term < state.term or not message.granted:
+    if state.role is not RaftRole.CANDIDATE or message.term < state.term or not message.granted:
         return
     state.ballots.add(sender)
     if _has_majority(state) and may_campaign(state):
@@ -105,12 +110,12 @@
 
 def on_timeout_now(state: NodeState, message: TimeoutNow) -> None:
     """Stand for leader at once: the leader hands over to this node."""
-    if message.term == state.term and may_campaign(state) and state.role is Role.FOLLOWER:
+    if message.term == state.term and may_campaign(state) and state.role is RaftRole.FOLLOWER:
         start_election(state, transfer=True)
 
 
 def _become_leader(state: NodeState) -> None:
-    state.change_role(Role.LEADER, state.identity)
+    state.change_role(RaftRole.LEADER, state.identity)
     state.ballots.clear()
     leading = LeaderState(term_start_index=state.log.last_index + 1)
     leading.quorum_check_due = state.now + state.options.election_timeout_min_seconds
@@ -131,7 +136,7 @@
 
 
 def _hears_a_leader(state: NodeState) -> bool:
-    if state.role is Role.LEADER:
+    if state.role is RaftRole.LEADER:
         return True
     since = state.now - state.options.election_timeout_min_seconds
     return state.leader is not None and state.leader_heard > since
--- a/src/finchshed/consensus/following.py
+++ b/src/finchshed/consensus/following.py
@@ -1,14 +1,14 @@
 """The follower's side of replication: entries, heartbeats, snapshots in pieces."""
 
 from finchshed.common.errors import InvariantError
-from finchshed.consensus.effects import MembershipChanged, RestoreSnapshot, Role
+from finchshed.consensus.effects import MembershipChanged, RaftRole, RestoreSnapshot
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import (
     Append,
     AppendAccepted,
     AppendRejected,
-    Heartbeat,
-    HeartbeatReply,
+    LeaderHeartbeat,
+    LeaderHeartbeatReply,
     SnapshotPiece,
     SnapshotPieceReply,
 )
@@ -21,7 +21,7 @@
     """Take ``sender`` for the leader of ``term``; False if it is not any more."""
     if term < state.term:
         return False
-    if term > state.term or state.role is not Role.FOLLOWER or state.leader != sender:
+    if term > state.term or state.role is not RaftRole.FOLLOWER or state.leader != sender:
         become_follower(state, term, sender)
     state.leader_heard = state.now
     reset_election_timer(state)
@@ -50,16 +50,16 @@
     advance_commit(state, max(state.commit_index, min(message.commit, match_index)))
 
 
-def on_heartbeat(state: NodeState, sender: NodeIdentity, message: Heartbeat) -> None:
+def on_heartbeat(state: NodeState, sender: NodeIdentity, message: LeaderHeartbeat) -> None:
     """Answer the leader, and learn how far the log is committed."""
     if not hear_leader(state, sender, message.term):
-        state.send_when_term_durable(sender, HeartbeatReply(state.term, message.round))
+        state.send_when_term_durable(sender, LeaderHeartbeatReply(state.term, message.round))
         return
     if message.commit > state.log.last_index:
         raise InvariantError(
             f"the leader counts on entry {message.commit}, this disk ends at {state.log.last_index}"
         )
-    state.send_when_term_durable(sender, HeartbeatReply(state.term, message.round))
+    state.send_when_term_durable(sender, LeaderHeartbeatReply(state.term, message.round))
     advance_commit(state, max(state.commit_index, message.commit))
 
 
--- a/src/finchshed/consensus/formation.py
+++ b/src/finchshed/consensus/formation.py
@@ -21,7 +21,7 @@
     Membership,
     encode_membership,
 )
-from finchshed.consensus.messages import Hello
+from finchshed.consensus.messages import MemberGreeting
 from finchshed.consensus.state import Greeting, NodeState
 from finchshed.storage.records import Entry, EntryKind, Vote
 
@@ -46,11 +46,11 @@
     names |= {member.identity.name for member in state.membership.members}
     for name in sorted(names - {state.identity.name}):
         answers = _latest_incarnation(state, name)
-        hello = Hello(state.identity, state.address, state.is_formed, answers, state.zone)
+        hello = MemberGreeting(state.identity, state.address, state.is_formed, answers, state.zone)
         state.send(NodeIdentity(name, ""), hello)
 
 
-def on_hello(state: NodeState, sender: NodeIdentity, message: Hello) -> None:
+def on_hello(state: NodeState, sender: NodeIdentity, message: MemberGreeting) -> None:
     """Note a greeting, and pass it on to the leader."""
     if state.membership.find(message.identity) is not None:
         return
--- a/src/finchshed/consensus/membership_changes.py
+++ b/src/finchshed/consensus/membership_changes.py
@@ -11,7 +11,7 @@
 waits for a round of heartbeats sent after it was asked for.
 """
 
-from finchshed.consensus.effects import Committed, RefusalCause, Refused
+from finchshed.consensus.effects import Committed, RefusalCause, RequestRefused
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import (
     AddMember,
@@ -135,7 +135,7 @@
 def refuse(state: NodeState, token: int, cause: RefusalCause) -> None:
     """Answer that nothing was done, and who may be asked instead."""
     address = state.address_of(state.leader) if state.leader is not None else ""
-    state.effects.append(Refused(token, cause, state.leader, address))
+    state.effects.append(RequestRefused(token, cause, state.leader, address))
 
 
 def _append_change(state: NodeState, leading: LeaderState, token: int, wanted: Membership) -> None:
--- a/src/finchshed/consensus/messages.py
+++ b/src/finchshed/consensus/messages.py
@@ -12,7 +12,7 @@
 from finchshed.storage.records import Entry
 
 
-class PreVote(msgspec.Struct, frozen=True, tag="pre_vote"):
+class PreVoteRequest(msgspec.Struct, frozen=True, tag="pre_vote"):
     """Would you vote for me in ``term``? Nobody's term changes by asking."""
 
     term: int
@@ -27,7 +27,7 @@
     granted: bool
 
 
-class Vote(msgspec.Struct, frozen=True, omit_defaults=True, tag="vote"):
+class VoteRequest(msgspec.Struct, frozen=True, omit_defaults=True, tag="vote"):
     """Vote for me in ``term``. ``transfer``: the leader itself asked for the election."""
 
     term: int
@@ -68,7 +68,7 @@
     next_index: int
 
 
-class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
+class LeaderHeartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
     """The leader is there. ``commit`` is within what the receiver is known to hold.
 
     ``round`` grows with each confirmation of leadership that reads wait for.
@@ -79,7 +79,7 @@
     round: int
 
 
-class HeartbeatReply(msgspec.Struct, frozen=True, tag="heartbeat_reply"):
+class LeaderHeartbeatReply(msgspec.Struct, frozen=True, tag="heartbeat_reply"):
     """At the time of ``round`` the sender knew no later term."""
 
     term: int
@@ -127,7 +127,7 @@
     term: int
 
 
-class Hello(msgspec.Struct, frozen=True, tag="hello"):
+class MemberGreeting(msgspec.Struct, frozen=True, tag="hello"):
     """A node that is no member greets the group, naming where it can be reached.
 
     ``identity`` is repeated because a follower passes the greeting on to its leader. ``answers``
@@ -143,21 +143,21 @@
 
 
 Message: TypeAlias = (
-    PreVote
+    PreVoteRequest
     | PreVoteReply
-    | Vote
+    | VoteRequest
     | VoteReply
     | Append
     | AppendAccepted
     | AppendRejected
-    | Heartbeat
-    | HeartbeatReply
+    | LeaderHeartbeat
+    | LeaderHeartbeatReply
     | SnapshotPiece
     | SnapshotPieceReply
     | ReadIndex
     | ReadIndexReply
     | TimeoutNow
-    | Hello
+    | MemberGreeting
 )
 
 
--- a/src/finchshed/consensus/node.py
+++ b/src/finchshed/consensus/node.py
@@ -20,8 +20,8 @@
 from finchshed.consensus.effects import (
     Effect,
     MembershipChanged,
+    RaftRole,
     RestoreSnapshot,
-    Role,
 )
 from finchshed.consensus.events import (
     ChangeMembership,
@@ -48,7 +48,7 @@
 _MIN_DELAY_SECONDS = 0.001
 
 
-class MemberStatus(msgspec.Struct, frozen=True):
+class MemberProgress(msgspec.Struct, frozen=True):
     """What a leader knows of a member. ``silent_seconds`` is the time since its last answer."""
 
     member: Member
@@ -119,7 +119,7 @@
         return self._state.identity
 
     @property
-    def role(self) -> Role:
+    def role(self) -> RaftRole:
         """What this node is at present."""
         return self._state.role
 
@@ -169,7 +169,7 @@
         """The host's time at the last event, in seconds."""
         return self._state.clock.host_now
 
-    def member_statuses(self) -> list[MemberStatus]:
+    def member_statuses(self) -> list[MemberProgress]:
         """Return what is known of each member; empty unless this node leads."""
         leading = self._state.leading
         if leading is None:
@@ -278,9 +278,9 @@
             replication.send_heartbeats(state, leading)
         repair.repair(state, leading)
 
-    def _status_of(self, leading: LeaderState, member: Member) -> MemberStatus:
+    def _status_of(self, leading: LeaderState, member: Member) -> MemberProgress:
         progress = leading.progress.get(member.identity)
         if progress is None:
-            return MemberStatus(member, self._state.persisted_index, 0.0)
+            return MemberProgress(member, self._state.persisted_index, 0.0)
         silent = self._state.now - progress.last_heard
-        return MemberStatus(member, progress.match_index, silent)
+        return MemberProgress(member, progress.match_index, silent)
--- a/src/finchshed/consensus/read_index.py
+++ b/src/finchshed/consensus/read_index.py
@@ -5,7 +5,13 @@
 and answers once it has applied that much.
 """
 
-from finchshed.consensus.effects import ReadFailed, ReadReady, RefusalCause, Refused, Role
+from finchshed.consensus.effects import (
+    RaftRole,
+    ReadFailed,
+    ReadReady,
+    RefusalCause,
+    RequestRefused,
+)
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership_changes import round_answered_by
 from finchshed.consensus.messages import ReadIndex, ReadIndexReply
@@ -18,12 +24,12 @@
     deadline = state.now + state.options.read_timeout_seconds
     if state.leading is not None:
         _add(state, state.leading, token, None, deadline)
-    elif state.role is Role.FOLLOWER and state.leader is not None:
+    elif state.role is RaftRole.FOLLOWER and state.leader is not None:
         state.next_request += 1
         state.forwarded_reads[state.next_request] = ForwardedRead(token, deadline)
         state.send(state.leader, ReadIndex(state.term, state.next_request))
     else:
-        state.effects.append(Refused(token, RefusalCause.NOT_LEADER))
+        state.effects.append(RequestRefused(token, RefusalCause.NOT_LEADER))
 
 
 def on_read_index(state: NodeState, sender: NodeIdentity, message: ReadIndex) -> None:
--- a/src/finchshed/consensus/receiving.py
+++ b/src/finchshed/consensus/receiving.py
@@ -9,24 +9,24 @@
     AppendAccepted,
     AppendRejected,
     Envelope,
-    Heartbeat,
-    HeartbeatReply,
-    Hello,
-    PreVote,
+    LeaderHeartbeat,
+    LeaderHeartbeatReply,
+    MemberGreeting,
     PreVoteReply,
+    PreVoteRequest,
     ReadIndex,
     ReadIndexReply,
     SnapshotPiece,
     SnapshotPieceReply,
     TimeoutNow,
-    Vote,
     VoteReply,
+    VoteRequest,
 )
 from finchshed.consensus.state import NodeState
 
-FromLeader: TypeAlias = Append | Heartbeat | SnapshotPiece | TimeoutNow
-ToLeader: TypeAlias = AppendAccepted | AppendRejected | HeartbeatReply | SnapshotPieceReply
-OfElection: TypeAlias = PreVote | PreVoteReply | Vote | VoteReply
+FromLeader: TypeAlias = Append | LeaderHeartbeat | SnapshotPiece | TimeoutNow
+ToLeader: TypeAlias = AppendAccepted | AppendRejected | LeaderHeartbeatReply | SnapshotPieceReply
+OfElection: TypeAlias = PreVoteRequest | PreVoteReply | VoteRequest | VoteReply
 
 
 def receive(state: NodeState, envelope: Envelope) -> None:
@@ -39,17 +39,22 @@
     sender = envelope.sender
     state.hear_address(sender, envelope.address)
     match envelope.message:
-        case Append() | Heartbeat() | SnapshotPiece() | TimeoutNow() as message:
+        case Append() | LeaderHeartbeat() | SnapshotPiece() | TimeoutNow() as message:
             _receive_from_leader(state, sender, message)
-        case AppendAccepted() | AppendRejected() | HeartbeatReply() | SnapshotPieceReply() as reply:
+        case (
+            AppendAccepted()
+            | AppendRejected()
+            | LeaderHeartbeatReply()
+            | SnapshotPieceReply() as reply
+        ):
             _receive_answer(state, sender, reply)
-        case PreVote() | PreVoteReply() | Vote() | VoteReply() as message:
+        case PreVoteRequest() | PreVoteReply() | VoteRequest() | VoteReply() as message:
             _receive_of_election(state, sender, message)
         case ReadIndex() as message:
             read_index.on_read_index(state, sender, message)
         case ReadIndexReply() as message:
             read_index.on_read_index_reply(state, message)
-        case Hello() as message:
+        case MemberGreeting() as message:
             formation.on_hello(state, sender, message)
 
 
@@ -57,7 +62,7 @@
     match message:
         case Append():
             following.on_append(state, sender, message)
-        case Heartbeat():
+        case LeaderHeartbeat():
             following.on_heartbeat(state, sender, message)
         case SnapshotPiece():
             following.on_snapshot_piece(state, sender, message)
@@ -67,11 +72,11 @@
 
 def _receive_of_election(state: NodeState, sender: NodeIdentity, message: OfElection) -> None:
     match message:
-        case PreVote():
+        case PreVoteRequest():
             election.on_pre_vote(state, sender, message)
         case PreVoteReply():
             election.on_pre_vote_reply(state, sender, message)
-        case Vote():
+        case VoteRequest():
             election.on_vote(state, sender, message)
         case VoteReply():
             election.on_vote_reply(state, sender, message)
@@ -90,7 +95,7 @@
             replication.on_accepted(state, leading, sender, message)
         case AppendRejected():
             replication.on_rejected(state, leading, sender, message)
-        case HeartbeatReply():
+        case LeaderHeartbeatReply():
             replication.on_heartbeat_reply(state, leading, sender, message)
         case SnapshotPieceReply():
             replication.on_snapshot_reply(state, leading, sender, message)
--- a/src/finchshed/consensus/replication.py
+++ b/src/finchshed/consensus/replication.py
@@ -5,8 +5,8 @@
     Append,
     AppendAccepted,
     AppendRejected,
-    Heartbeat,
-    HeartbeatReply,
+    LeaderHeartbeat,
+    LeaderHeartbeatReply,
     SnapshotPiece,
     SnapshotPieceReply,
     TimeoutNow,
@@ -74,7 +74,7 @@
 
 
 def on_heartbeat_reply(
-    state: NodeState, leading: LeaderState, sender: NodeIdentity, message: HeartbeatReply
+    state: NodeState, leading: LeaderState, sender: NodeIdentity, message: LeaderHeartbeatReply
 ) -> None:
     """Note that a follower still takes this node for the leader."""
     progress = leading.progress.get(sender)
@@ -149,7 +149,7 @@
     state: NodeState, leading: LeaderState, identity: NodeIdentity, progress: Progress
 ) -> None:
     progress.announced_commit = min(progress.match_index, state.commit_index)
-    state.send(identity, Heartbeat(state.term, progress.announced_commit, leading.round))
+    state.send(identity, LeaderHeartbeat(state.term, progress.announced_commit, leading.round))
 
 
 def _announce_commit(
--- a/src/finchshed/consensus/roles.py
+++ b/src/finchshed/consensus/roles.py
@@ -5,11 +5,11 @@
     Committed,
     Lost,
     MembershipChanged,
+    RaftRole,
     ReadFailed,
     ReadReady,
     RefusalCause,
-    Refused,
-    Role,
+    RequestRefused,
     SnapshotWanted,
 )
 from finchshed.consensus.identity import NodeIdentity
@@ -46,7 +46,7 @@
         state.set_vote(Vote(term))
     _end_leadership(state)
     state.ballots.clear()
-    state.change_role(Role.FOLLOWER, leader)
+    state.change_role(RaftRole.FOLLOWER, leader)
     reset_election_timer(state)
 
 
@@ -111,4 +111,4 @@
             state.effects.append(ReadFailed(read.token))
     if leading.pending_change is not None:
         cause = RefusalCause.NOT_LEADER
-        state.effects.append(Refused(leading.pending_change.token, cause))
+        state.effects.append(RequestRefused(leading.pending_change.token, cause))
--- a/src/finchshed/consensus/state.py
+++ b/src/finchshed/consensus/state.py
@@ -5,7 +5,7 @@
 
 from finchshed.common.errors import InvariantError
 from finchshed.consensus.clock import SteadyClock
-from finchshed.consensus.effects import Effect, Role, RoleChanged, Send
+from finchshed.consensus.effects import Effect, RaftRole, RoleChanged, SendEnvelope
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.log import RaftLog
 from finchshed.consensus.membership import InitialMember, Membership
@@ -110,7 +110,7 @@
     writes: WriteBuffer
     may_form: bool = True
     zone: str = ""
-    role: Role = Role.FOLLOWER
+    role: RaftRole = RaftRole.FOLLOWER
     leader: NodeIdentity | None = None
     leading: LeaderState | None = None
     election_due: float = 0.0
@@ -200,13 +200,13 @@
         """Send a message that promises nothing."""
         address = self.address_of(receiver)
         if address:
-            self.effects.append(Send(address, self._envelope(receiver, message)))
+            self.effects.append(SendEnvelope(address, self._envelope(receiver, message)))
 
     def send_when_durable(self, receiver: NodeIdentity, message: Message) -> None:
         """Send a message once every write asked for so far is durable."""
         address = self.address_of(receiver)
         if address:
-            self.writes.hold(Send(address, self._envelope(receiver, message)))
+            self.writes.hold(SendEnvelope(address, self._envelope(receiver, message)))
 
     def send_when_term_durable(self, receiver: NodeIdentity, message: Message) -> None:
         """Send a message that promises no more than the present term.
@@ -252,7 +252,7 @@
         self.effects.extend(self.writes.finish(ticket))
         return self.persisted_index > before
 
-    def change_role(self, role: Role, leader: NodeIdentity | None) -> None:
+    def change_role(self, role: RaftRole, leader: NodeIdentity | None) -> None:
         """Set the role and known leader, and report the change."""
         if (role, leader) == (self.role, self.leader):
             return
--- a/src/finchshed/consensus/write_buffer.py
+++ b/src/finchshed/consensus/write_buffer.py
@@ -1,13 +1,13 @@
 """Writes of a node: gathered during a step, then outstanding until they are durable.
 
-Writes wanted during one step become one :class:`~finchshed.consensus.effects.Persist`. Messages
-that promise something are held back until the writes before them are durable.
+Writes wanted during one step become one :class:`~finchshed.consensus.effects.PersistWrite`.
+Messages that promise something are held back until the writes before them are durable.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-from finchshed.consensus.effects import Effect, Persist, Send
+from finchshed.consensus.effects import Effect, PersistWrite, SendEnvelope
 from finchshed.storage.records import Entry, Vote, Write
 
 
@@ -18,7 +18,7 @@
     ticket: int
     last_index: int
     holds_vote: bool
-    sends: list[Send] = field(default_factory=list)
+    sends: list[SendEnvelope] = field(default_factory=list)
 
 
 class WriteBuffer:
@@ -37,7 +37,7 @@
         self._vote_changed = False
         self._truncate_from: int | None = None
         self._entries: list[Entry] = []
-        self._held: list[Send] = []
+        self._held: list[SendEnvelope] = []
 
     @property
     def holds_vote(self) -> bool:
@@ -70,18 +70,18 @@
         for write in self._outstanding:
             write.last_index = min(write.last_index, index)
 
-    def hold(self, send: Send) -> None:
+    def hold(self, send: SendEnvelope) -> None:
         """Keep a message back until every write asked for so far is durable."""
         self._held.append(send)
 
-    def replace_stored(self, write: Write, last_index: int) -> Persist:
+    def replace_stored(self, write: Write, last_index: int) -> PersistWrite:
         """Return a write that replaces all that is stored; it holds what was gathered too."""
         self._clear()
         return self._persist(write, last_index)
 
-    def finish(self, ticket: int) -> list[Send]:
+    def finish(self, ticket: int) -> list[SendEnvelope]:
         """Take note that writes up to ``ticket`` are durable; return what waited for them."""
-        sends: list[Send] = []
+        sends: list[SendEnvelope] = []
         while self._outstanding and self._outstanding[0].ticket <= ticket:
             write = self._outstanding.popleft()
             self.persisted_index = max(self.persisted_index, write.last_index)
@@ -111,14 +111,14 @@
         self._truncate_from = None
         self._entries = []
 
-    def _persist(self, write: Write, last_index: int) -> Persist:
+    def _persist(self, write: Write, last_index: int) -> PersistWrite:
         self._last_ticket += 1
         holds_vote = write.vote is not None
         self._outstanding.append(_OutstandingWrite(self._last_ticket, last_index, holds_vote))
-        return Persist(self._last_ticket, write)
+        return PersistWrite(self._last_ticket, write)
 
 
-def _hold(sends: list[Send], send: Send) -> None:
+def _hold(sends: list[SendEnvelope], send: SendEnvelope) -> None:
     """Add a message to those that wait for a write; it stands for earlier ones of its kind.
 
     Only the last acknowledgement or vote to a node matters, so what waits stays small however
--- a/src/finchshed/control/daemons/distribution_service.py
+++ b/src/finchshed/control/daemons/distribution_service.py
@@ -15,13 +15,13 @@
 from finchshed.control.daemons.directory_service import DirectoryService
 from finchshed.control.daemons.explanations import Explanations
 from finchshed.control.daemons.ledger_router import LedgerRouter, ShardClient
-from finchshed.control.daemons.ledger_service import LedgerRequest, LedgerService
+from finchshed.control.daemons.ledger_service import LedgerService
 from finchshed.control.daemons.quarantine_service import QuarantineService
 from finchshed.control.daemons.quota_service import QuotaService
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.hub import Hub
-from finchshed.distribution.messages import ControlToDaemon, Decision, Hints
+from finchshed.distribution.messages import ControlToDaemon, Decision, Hints, LedgerRequest
 from finchshed.distribution.server import Answer, HubServer
 from finchshed.distribution.snapshot import Configuration
 from finchshed.distribution.status import DistributionStatus, InForceReport, StatusTable
@@ -29,7 +29,7 @@
 from finchshed.runtime import clock
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.handshakes import Connector
-from finchshed.tls.names import Role
+from finchshed.tls.names import CertificateRole
 
 CONTACT_SECONDS = 0.4
 """Time between looks at whether this node is in contact with a quorum; the hub asks for one each
@@ -138,7 +138,7 @@
         return await self._explanations.ask(self._server, node, root, limit)
 
     def _make_ledger(self, node: str, credentials: Credentials | None) -> LedgerRouter:
-        connect = Connector(credentials, Role.CONTROL)
+        connect = Connector(credentials, CertificateRole.CONTROL)
         return LedgerRouter(
             self._machine,
             self._log,
--- a/src/finchshed/control/daemons/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -8,8 +8,6 @@
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.control.daemons.ledger_service import (
     NO_QUORUM,
-    LedgerReply,
-    LedgerRequest,
     LedgerService,
 )
 from finchshed.control.raft.replicated_log import ReplicatedLog
@@ -19,12 +17,13 @@
 from finchshed.distribution.client_handlers import ClientHandlers
 from finchshed.distribution.control_dialer import Connect
 from finchshed.distribution.identity import ClientIdentity
-from finchshed.distribution.ledger_requests import LedgerAnswer
 from finchshed.distribution.messages import (
+    LedgerAnswer,
     LedgerBegin,
     LedgerCancel,
     LedgerNoted,
     LedgerRefused,
+    LedgerRequest,
     LedgerUnknown,
 )
 from finchshed.ledger.epochs import CONFIRMED_SECONDS, OWN, ShardAddresses
@@ -33,9 +32,10 @@
 from finchshed.ledger.results import LedgerRefusalReason
 
 SHARD_SECONDS = 4.0
-"""Longest wait for a shard's answer."""
+"""Longest wait for a shard's answer: as long as a node waits for its own quorum by default."""
 
 MOVED_TRIES = 3
+"""Looks for the log that a key belongs to, while epochs change. Chosen, not measured."""
 
 
 class ShardPort(Protocol):
@@ -144,7 +144,7 @@
         self._confirmed_at = float("-inf")
         self._confirming: asyncio.Task[None] | None = None
 
-    async def answer(self, request: LedgerRequest) -> LedgerReply:
+    async def answer(self, request: LedgerRequest) -> LedgerAnswer:
         """Return the answer to ``request``; never raises for a missing quorum."""
         try:
             return await self._answer(request)
@@ -157,8 +157,8 @@
             shard.close()
         self._shards.clear()
 
-    async def _answer(self, request: LedgerRequest) -> LedgerReply:
-        reply: LedgerReply = LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
+    async def _answer(self, request: LedgerRequest) -> LedgerAnswer:
+        reply: LedgerAnswer = LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
         for _ in range(MOVED_TRIES):
             if self._machine.epochs.group_of(request.key) == OWN:
                 reply = await self._own.answer(request)
@@ -174,7 +174,7 @@
                 return refusal or await self._ask(self._shard(group), request)
         return reply
 
-    def _refusal(self, request: LedgerRequest) -> LedgerReply | None:
+    def _refusal(self, request: LedgerRequest) -> LedgerAnswer | None:
         """Return why a key isn't taken to its shard, if so; see :mod:`finchshed.ledger.epochs`."""
         issued = issued_at(request.key)
         ledger = self._machine.ledger
@@ -232,7 +232,7 @@
             self._shards.pop(group).close()
 
     @staticmethod
-    async def _ask(shard: ShardPort, request: LedgerRequest) -> LedgerReply:
+    async def _ask(shard: ShardPort, request: LedgerRequest) -> LedgerAnswer:
         if isinstance(request, LedgerBegin):
             answer = await shard.begin(request.key, request.attempt, SHARD_SECONDS)
             return _renumbered(answer, request.request)
@@ -245,11 +245,11 @@
         return LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
 
 
-def _renumbered(answer: LedgerAnswer, request: int) -> LedgerReply:
+def _renumbered(answer: LedgerAnswer, request: int) -> LedgerAnswer:
     answer_type = type(answer)
     fields = {name: getattr(answer, name) for name in answer.__struct_fields__}
     return answer_type(**{**fields, "request": request})
 
 
-def _is_moved(reply: LedgerReply) -> bool:
+def _is_moved(reply: LedgerAnswer) -> bool:
     return isinstance(reply, LedgerRefused) and reply.detail == LedgerRefusalReason.MOVED
--- a/src/finchshed/control/daemons/ledger_service.py
+++ b/src/finchshed/control/daemons/ledger_service.py
@@ -1,7 +1,7 @@
 """Carries a daemon's ledger requests to the replicated log and the results back."""
 
 import asyncio
-from typing import TypeAlias
+from collections.abc import Mapping
 
 from loguru import logger
 
@@ -15,6 +15,7 @@
     CompleteRequest,
 )
 from finchshed.distribution.messages import (
+    LedgerAnswer,
     LedgerBegin,
     LedgerCancel,
     LedgerComplete,
@@ -22,6 +23,7 @@
     LedgerGranted,
     LedgerNoted,
     LedgerRefused,
+    LedgerRequest,
     LedgerUnknown,
 )
 from finchshed.ledger.ledger import DEFAULT_MAX_ANSWER_BYTES, answer_bytes
@@ -35,14 +37,15 @@
 )
 from finchshed.observability.instruments import Counter
 
-LedgerRequest: TypeAlias = LedgerBegin | LedgerCancel | LedgerComplete
-LedgerReply: TypeAlias = (
-    LedgerGranted | LedgerCompleted | LedgerUnknown | LedgerRefused | LedgerNoted
-)
-
 CANCEL_TRIES = 60
+"""Tries to free a key whose begin is undecided, each of them bounded by the log's own time. Chosen,
+not measured."""
+
 CANCEL_PAUSE_SECONDS = 1.0
+"""Pause between those tries. Chosen, not measured."""
+
 MAX_CANCELS = 10_000
+"""Keys that are being freed at a time: bounds the memory. Chosen, not measured."""
 
 NO_QUORUM = "no quorum answered in time"
 NOT_HOLDER = "the attempt doesn't hold the key"
@@ -52,6 +55,21 @@
 )
 
 
+REQUEST_LABELS: Mapping[type[LedgerRequest], str] = {
+    LedgerBegin: "begin",
+    LedgerCancel: "cancel",
+    LedgerComplete: "complete",
+}
+ANSWER_LABELS: Mapping[type[LedgerAnswer], str] = {
+    LedgerGranted: "granted",
+    LedgerCompleted: "completed",
+    LedgerUnknown: "unknown",
+    LedgerRefused: "refused",
+    LedgerNoted: "noted",
+}
+"""Labels of :data:`REQUESTS`: requests and answers."""
+
+
 class LedgerService:
     """Answers ledger requests of daemons.
 
@@ -66,22 +84,20 @@
         self._background = background
         self._cancels = 0
 
-    async def answer(self, request: LedgerRequest) -> LedgerReply:
+    async def answer(self, request: LedgerRequest) -> LedgerAnswer:
         """Return the answer to ``request``; never raises for a missing quorum."""
-        reply = await self._answer(request)
-        kind = type(request).__name__.removeprefix("Ledger").lower()
-        result = type(reply).__name__.removeprefix("Ledger").lower()
-        REQUESTS.labels(kind, result).inc()
-        return reply
+        answer = await self._answer(request)
+        REQUESTS.labels(REQUEST_LABELS[type(request)], ANSWER_LABELS[type(answer)]).inc()
+        return answer
 
-    async def _answer(self, request: LedgerRequest) -> LedgerReply:
+    async def _answer(self, request: LedgerRequest) -> LedgerAnswer:
         try:
             result = await self._log.propose(_command_of(request))
         except ControlUnavailableError:
             if isinstance(request, LedgerBegin):
                 self._background.spawn(self._cancel(request))
             return LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
-        return _reply_of(request.request, result)
+        return _answer_of(request.request, result)
 
     async def _cancel(self, request: LedgerBegin) -> None:
         """Free the key of a begin that may yet be committed though its daemon was refused.
@@ -119,7 +135,7 @@
     return CompleteRequest(request.key, request.attempt, request.answer if fits else None)
 
 
-def _reply_of(request: int, result: CommandResult) -> LedgerReply:
+def _answer_of(request: int, result: CommandResult) -> LedgerAnswer:
     if isinstance(result, Granted):
         return LedgerGranted(request)
     if isinstance(result, Completed):
--- a/src/finchshed/control/daemons/platform_list.py
+++ b/src/finchshed/control/daemons/platform_list.py
@@ -14,26 +14,26 @@
 from finchshed.distribution.messages import Hints, LeavingHint
 
 
-class InstanceState(enum.StrEnum):
+class ListedState(enum.StrEnum):
     """What the platform says of a machine."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
-class Instance(msgspec.Struct, frozen=True):
+class ListedInstance(msgspec.Struct, frozen=True):
     """One machine of the list. Another machine at the same address has another incarnation."""
 
     name: str
     address: str
     incarnation: str
-    state: InstanceState
+    state: ListedState
 
 
-_decoder = msgspec.json.Decoder(tuple[Instance, ...])
+_decoder = msgspec.json.Decoder(tuple[ListedInstance, ...])
 
 
-def decode_instances(data: bytes) -> tuple[Instance, ...]:
+def decode_instances(data: bytes) -> tuple[ListedInstance, ...]:
     """Return the list in ``data``; raises msgspec.DecodeError when it holds none."""
     return _decoder.decode(data)
 
@@ -51,12 +51,12 @@
         self._lag = lag_seconds
         self._leaving_since: dict[tuple[str, str], float] = {}
 
-    def update(self, instances: Iterable[Instance], now: float) -> bool:
+    def update(self, instances: Iterable[ListedInstance], now: float) -> bool:
         """Take a new list; return whether the machines listed as leaving changed."""
         leaving = {
             (instance.address, instance.incarnation)
             for instance in instances
-            if instance.state is InstanceState.LEAVING
+            if instance.state is ListedState.LEAVING
         }
         changed = leaving != self._leaving_since.keys()
         self._leaving_since = {key: self._leaving_since.get(key, now) for key in leaving}
--- a/src/finchshed/control/operators/access.py
+++ b/src/finchshed/control/operators/access.py
@@ -10,7 +10,7 @@
 from finchshed.configuration.store import BOOTSTRAP_OPERATOR
 from finchshed.control.raft.replicated_log import ReplicatedLog
 from finchshed.control.state.machine import ControlStateMachine
-from finchshed.tls.names import Role, has_role, name_of, shown
+from finchshed.tls.names import CertificateRole, has_role, name_of, shown
 from finchshed.tls.rpc import caller_names
 
 AUTHORIZATION = "authorization"
@@ -73,9 +73,9 @@
 def _unproven_operator(context: grpc.aio.ServicerContext, name: str) -> str:
     """Return why the caller's certificate isn't that of operator ``name``; empty if it is."""
     names = caller_names(context.auth_context())
-    if names is None or name_of(Role.OPERATOR, name) in names:
+    if names is None or name_of(CertificateRole.OPERATOR, name) in names:
         return ""
-    if name == BOOTSTRAP_OPERATOR and has_role(names, Role.OPERATOR):
+    if name == BOOTSTRAP_OPERATOR and has_role(names, CertificateRole.OPERATOR):
         return ""
     return f"the certificate of {shown(names)} isn't that of operator {name}"
 
--- a/src/finchshed/control/raft/forwarding.py
+++ b/src/finchshed/control/raft/forwarding.py
@@ -31,7 +31,7 @@
 ForwardedRequest: TypeAlias = ForwardedCommand | ForwardedChange
 
 
-class Forwarding:
+class LeaderForwarding:
     """Requests of one control node to the leader, and of others to this one.
 
     Parameters
--- a/src/finchshed/control/raft/group_log.py
+++ b/src/finchshed/control/raft/group_log.py
@@ -15,7 +15,7 @@
 from finchshed.consensus.membership import Member, MemberRole, MembershipChange
 from finchshed.control.background import Background
 from finchshed.control.operators.replacement import Replacement, explain_refusal, next_step
-from finchshed.control.raft.forwarding import Forwarding
+from finchshed.control.raft.forwarding import LeaderForwarding
 from finchshed.control.raft.host import RaftHost
 from finchshed.control.raft.leader_retries import LeaderRetries
 from finchshed.control.raft.node_links import ControlNodeLinks, PeerLink
@@ -62,7 +62,7 @@
         self._timeout = timeout_seconds
         self._links: ControlNodeLinks | None = None
         self._rng = random.Random()
-        self._forwarding = Forwarding(host, timeout_seconds)
+        self._forwarding = LeaderForwarding(host, timeout_seconds)
         self.on_report: Callable[[InForceReport], None] = _ignore
         self.on_directory: Callable[[DirectoryReport], None] = _ignore
         self.on_crash_news: Callable[[CrashNews], None] = _ignore
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -23,11 +23,11 @@
     Effect,
     Lost,
     MembershipChanged,
+    RaftRole,
     ReadFailed,
     ReadReady,
     RefusalCause,
-    Refused,
-    Role,
+    RequestRefused,
     RoleChanged,
 )
 from finchshed.consensus.events import (
@@ -145,7 +145,7 @@
     @property
     def is_leader(self) -> bool:
         """Whether this node leads."""
-        return self.node.role is Role.LEADER
+        return self.node.role is RaftRole.LEADER
 
     @property
     def can_write(self) -> bool:
@@ -235,7 +235,7 @@
                 self._pending.resolve(effect.token, None)
             case Lost():
                 self._pending.fail(effect.token, UndecidedError("leadership ended"))
-            case Refused():
+            case RequestRefused():
                 self._pending.fail(effect.token, NotTakenError(effect.cause))
             case ReadFailed():
                 self._pending.fail(effect.token, NotTakenError(RefusalCause.NOT_READY))
--- a/src/finchshed/control/raft/metrics.py
+++ b/src/finchshed/control/raft/metrics.py
@@ -1,6 +1,6 @@
 """Metrics of the replicated log."""
 
-from finchshed.consensus.effects import Role
+from finchshed.consensus.effects import RaftRole
 from finchshed.consensus.node import RaftNode
 from finchshed.observability.instruments import Counter, Gauge, Histogram
 
@@ -29,7 +29,7 @@
 def observe(node: RaftNode, journal_bytes: int) -> None:
     """Set the gauges from the node's state."""
     TERM.set(node.term)
-    IS_LEADER.set(node.role is Role.LEADER)
+    IS_LEADER.set(node.role is RaftRole.LEADER)
     HAS_LEADER.set(node.leader is not None)
     COMMIT_INDEX.set(node.commit_index)
     DISK_FULL.set(node.disk_full)
--- a/src/finchshed/control/raft/node_links.py
+++ b/src/finchshed/control/raft/node_links.py
@@ -23,7 +23,7 @@
 from finchshed.observability.instruments import Counter
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.handshakes import Connector, Server, listening, serve
-from finchshed.tls.names import Role, name_of, unproven
+from finchshed.tls.names import CertificateRole, name_of, unproven
 
 PeerLink: TypeAlias = LineProtocol[PeerMessage]
 OnMessage: TypeAlias = Callable[[PeerLink, PeerMessage], None]
@@ -99,7 +99,7 @@
         credentials: Credentials | None = None,
     ) -> None:
         self._credentials = credentials
-        self._open_connection = Connector(credentials, Role.CONTROL)
+        self._open_connection = Connector(credentials, CertificateRole.CONTROL)
         self._hello = hello
         self._on_message = on_message
         self._background = background
@@ -280,7 +280,7 @@
         sender = message.control_node
     else:
         return ""
-    return unproven(link.transport, [name_of(Role.CONTROL, sender)])
+    return unproven(link.transport, [name_of(CertificateRole.CONTROL, sender)])
 
 
 def _set_user_timeout(link: PeerLink) -> None:
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -53,7 +53,7 @@
 from finchshed.runtime.waiting import wait_while
 from finchshed.tls.credentials import credentials_of
 from finchshed.tls.handshakes import Connector
-from finchshed.tls.names import Role
+from finchshed.tls.names import CertificateRole
 
 SLOW_TICK_SECONDS = 0.5
 
@@ -278,7 +278,7 @@
         )
         addresses = [parse_control_address(text) for text in settings.control_addresses]
         folder = Path(settings.data_folder) if settings.data_folder else None
-        connect = Connector(self._credentials, Role.CONTROL)
+        connect = Connector(self._credentials, CertificateRole.CONTROL)
         return FollowerDriver(identity, addresses, self, self._rng, folder, connect=connect)
 
     def _make_callee(self) -> Callee | None:
--- a/src/finchshed/distribution/addresses.py
+++ b/src/finchshed/distribution/addresses.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class ConnectAttempt:
     """Try ``address`` after ``wait_seconds``, for ``connect_seconds`` at most."""
 
     address: ControlAddress
@@ -86,15 +86,15 @@
             if text not in known:
                 self._add(ControlAddress(text))
 
-    def next_attempt(self, now: float) -> Attempt:
+    def next_attempt(self, now: float) -> ConnectAttempt:
         """Return the most preferred node that is ready, or else the first to be ready."""
         ready = [entry for entry, record in self._records.items() if record.ready_at <= now]
         if ready:
             chosen = min(ready, key=self._preference)
-            return Attempt(chosen, 0.0, self._connect_seconds(chosen))
+            return ConnectAttempt(chosen, 0.0, self._connect_seconds(chosen))
         first = min(self._records, key=lambda entry: self._records[entry].ready_at)
         wait = self._records[first].ready_at - now
-        return Attempt(first, wait, self._connect_seconds(first))
+        return ConnectAttempt(first, wait, self._connect_seconds(first))
 
     def nearer(self, address: ControlAddress) -> ControlAddress | None:
         """Return a node of the own zone, if ``address`` is of another."""
--- a/src/finchshed/distribution/client.py
+++ b/src/finchshed/distribution/client.py
@@ -19,7 +19,7 @@
 from finchshed.distribution.client_handlers import ClientHandlers
 from finchshed.distribution.control_dialer import Connect, Connection, ControlDialer
 from finchshed.distribution.identity import ClientIdentity
-from finchshed.distribution.ledger_requests import LedgerRequest, LedgerRequests
+from finchshed.distribution.ledger_requests import LedgerRequests
 from finchshed.distribution.messages import (
     Announce,
     ControlNodes,
@@ -33,6 +33,7 @@
     Hints,
     InForce,
     LeaseRenewed,
+    LedgerRequest,
     Redirect,
     RenewLease,
     Subscribe,
--- a/src/finchshed/distribution/ledger_requests.py
+++ b/src/finchshed/distribution/ledger_requests.py
@@ -7,27 +7,25 @@
 
 from finchshed.common.outcomes import Answered
 from finchshed.distribution.messages import (
+    LedgerAnswer,
     LedgerBegin,
     LedgerCancel,
     LedgerComplete,
-    LedgerCompleted,
-    LedgerGranted,
     LedgerNoted,
     LedgerRefused,
-    LedgerUnknown,
+    LedgerRequest,
 )
 
-LedgerAnswer: TypeAlias = (
-    LedgerGranted | LedgerCompleted | LedgerUnknown | LedgerRefused | LedgerNoted
-)
-LedgerRequest: TypeAlias = LedgerBegin | LedgerCancel | LedgerComplete
 SendRequest: TypeAlias = Callable[[LedgerRequest], bool]
 """Sends a request on the connection in use; False if there is none."""
 
 ABANDON_SECONDS = 30.0
-"""How long the cancel of an attempt whose grant did not come in time is tried."""
+"""How long the cancel of an attempt whose grant did not come in time is tried. Chosen, not
+measured."""
 
 MAX_PENDING_REQUESTS = 8192
+"""Requests in progress at a time, beyond which one is refused at once: bounds the memory. Chosen,
+not measured."""
 
 
 @dataclass(slots=True)
--- a/src/finchshed/distribution/messages.py
+++ b/src/finchshed/distribution/messages.py
@@ -150,6 +150,12 @@
     request: int
 
 
+LedgerRequest: TypeAlias = LedgerBegin | LedgerCancel | LedgerComplete
+LedgerAnswer: TypeAlias = (
+    LedgerGranted | LedgerCompleted | LedgerUnknown | LedgerRefused | LedgerNoted
+)
+
+
 class LeavingHint(msgspec.Struct, frozen=True):
     """The platform lists the machine of an endpoint as leaving.
 
--- a/src/finchshed/distribution/server.py
+++ b/src/finchshed/distribution/server.py
@@ -21,9 +21,7 @@
     ExplainReply,
     Fetch,
     InForce,
-    LedgerBegin,
-    LedgerCancel,
-    LedgerComplete,
+    LedgerRequest,
     RenewLease,
     Subscribe,
 )
@@ -36,9 +34,8 @@
 from finchshed.quota.messages import QuotaAsk, QuotaReport, QuotaRequest
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.handshakes import Server, listening, serve
-from finchshed.tls.names import Role, has_role, name_of, proven_names, unproven
+from finchshed.tls.names import CertificateRole, has_role, name_of, proven_names, unproven
 
-LedgerRequest: TypeAlias = LedgerBegin | LedgerCancel | LedgerComplete
 Answer: TypeAlias = Callable[[ControlToDaemon], None]
 Connection: TypeAlias = LineProtocol[DaemonToControl]
 
@@ -278,8 +275,16 @@
     Control nodes subscribe too: they ask for the ledger of another group.
     """
     names = proven_names(connection.transport) or frozenset()
-    role = Role.CONTROL if has_role(names, Role.CONTROL) else Role.DAEMON
-    claimed = {role: message.node, Role.ZONE: message.zone, Role.ENDPOINT: message.endpoint}
+    role = (
+        CertificateRole.CONTROL
+        if has_role(names, CertificateRole.CONTROL)
+        else CertificateRole.DAEMON
+    )
+    claimed = {
+        role: message.node,
+        CertificateRole.ZONE: message.zone,
+        CertificateRole.ENDPOINT: message.endpoint,
+    }
     claims = [name_of(kind, name) for kind, name in claimed.items() if name or kind is role]
     return unproven(connection.transport, claims)
 
--- a/src/finchshed/emulator/control/log_host.py
+++ b/src/finchshed/emulator/control/log_host.py
@@ -15,10 +15,10 @@
     Committed,
     Effect,
     Lost,
+    RaftRole,
     ReadFailed,
     ReadReady,
-    Refused,
-    Role,
+    RequestRefused,
 )
 from finchshed.consensus.events import Event, Propose, Read, Received, Tick, TransferLeadership
 from finchshed.consensus.membership import InitialMember
@@ -103,7 +103,7 @@
     @property
     def is_leader(self) -> bool:
         """Whether this node leads."""
-        return self.node.role is Role.LEADER
+        return self.node.role is RaftRole.LEADER
 
     def start(self) -> None:
         """Bring the state machine to what the disk holds, and take part in the group."""
@@ -160,7 +160,7 @@
             case Committed():
                 index, result = self._last_applied
                 self._resolve(effect.token, result if index == effect.index else None)
-            case Lost() | Refused():
+            case Lost() | RequestRefused():
                 self._resolve(effect.token, None)
                 self._resolve_read(effect.token, False)
             case ReadReady():
--- a/src/finchshed/proof/consensus/node.py
+++ b/src/finchshed/proof/consensus/node.py
@@ -10,7 +10,7 @@
 from finchshed.consensus.driver import Driver
 from finchshed.consensus.effects import (
     Effect,
-    Role,
+    RaftRole,
     RoleChanged,
 )
 from finchshed.consensus.events import (
@@ -121,7 +121,7 @@
     @property
     def is_leader(self) -> bool:
         """Whether the node runs and takes itself for the leader."""
-        return self.is_running and self.raft.role is Role.LEADER
+        return self.is_running and self.raft.role is RaftRole.LEADER
 
     def start(self) -> None:
         """Start the process from what the disk holds."""
@@ -233,7 +233,7 @@
     def report(self, effect: Effect) -> None:
         """Answer whoever waits, and tell the observer of changes of role."""
         if isinstance(effect, RoleChanged):
-            if effect.role is Role.LEADER:
+            if effect.role is RaftRole.LEADER:
                 self._observer.elected(self, effect.term)
         else:
             self._requests.report(effect, self.register, self._last_result)
--- a/src/finchshed/proof/consensus/requests.py
+++ b/src/finchshed/proof/consensus/requests.py
@@ -12,7 +12,7 @@
     ReadFailed,
     ReadReady,
     RefusalCause,
-    Refused,
+    RequestRefused,
 )
 from finchshed.proof.consensus.register import ChangeResult, Reading, Register
 from finchshed.proof.consensus.scheduler import Scheduler
@@ -69,7 +69,7 @@
                 self._answer(effect.token, register.read())
             case Lost():
                 self._answer(effect.token, Undecided())
-            case Refused():
+            case RequestRefused():
                 leader = effect.leader.name if effect.leader else ""
                 self._answer(effect.token, NotTaken(effect.cause, leader))
             case ReadFailed():
--- a/src/finchshed/tls/command.py
+++ b/src/finchshed/tls/command.py
@@ -20,14 +20,14 @@
     write_synced,
 )
 from finchshed.tls.issuing import issue as issue_certificate
-from finchshed.tls.names import CONTROL_HOST, Role, name_of
+from finchshed.tls.names import CONTROL_HOST, CertificateRole, name_of
 
 AUTHORITY = "authority"
 AUTHORITY_DAYS = 3650.0
 CERTIFICATE_DAYS = 90.0
 MAX_DAYS = 36_500.0
 NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
-ISSUED_ROLES = (Role.CONTROL, Role.DAEMON, Role.OPERATOR)
+ISSUED_ROLES = (CertificateRole.CONTROL, CertificateRole.DAEMON, CertificateRole.OPERATOR)
 
 
 def authority(folder: str, days: float = AUTHORITY_DAYS) -> int:
@@ -67,12 +67,14 @@
             problems.append(
                 f"flag --{flag} = {value}: allowed is 1 to 63 of a-z, 0-9, '.', '_', '-'"
             )
-    if endpoint and role != Role.DAEMON:
+    if endpoint and role != CertificateRole.DAEMON:
         problems.append("flag --endpoint: only a daemon has one")
     valid = _valid(days, problems)
-    names = [name_of(Role(role), named["name"])]
-    names += [name_of(Role(flag), named[flag]) for flag in ("zone", "endpoint") if named[flag]]
-    hosts = [CONTROL_HOST] if role == Role.CONTROL else []
+    names = [name_of(CertificateRole(role), named["name"])]
+    names += [
+        name_of(CertificateRole(flag), named[flag]) for flag in ("zone", "endpoint") if named[flag]
+    ]
+    hosts = [CONTROL_HOST] if role == CertificateRole.CONTROL else []
     signer = _read_authority(Path(authority))
     _write(
         Path(folder), named["name"], issue_certificate(signer, named["name"], names, hosts, valid)
--- a/src/finchshed/tls/credentials.py
+++ b/src/finchshed/tls/credentials.py
@@ -73,7 +73,7 @@
         logger.info("took new key and certificate, {}", _validity(self.files))
 
 
-class ChangeWatch:
+class FileChangeDetector:
     """Tells whether usable files have changed since the last look. Used by gRPC's own threads."""
 
     def __init__(self, files: TlsFiles) -> None:
--- a/src/finchshed/tls/handshakes.py
+++ b/src/finchshed/tls/handshakes.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.names import REFUSED, Role, has_role, proven_names, shown
+from finchshed.tls.names import REFUSED, CertificateRole, has_role, proven_names, shown
 
 DEFAULT_BACKLOG = 100
 ACCEPT_PAUSE_SECONDS = 0.1
@@ -64,7 +64,9 @@
         Role the peer's certificate must hold; None where its greeting is compared later.
     """
 
-    def __init__(self, credentials: Credentials | None, role: Role | None = None) -> None:
+    def __init__(
+        self, credentials: Credentials | None, role: CertificateRole | None = None
+    ) -> None:
         self._credentials = credentials
         self._role = role
 
--- a/src/finchshed/tls/names.py
+++ b/src/finchshed/tls/names.py
@@ -25,7 +25,7 @@
 )
 
 
-class Role(enum.StrEnum):
+class CertificateRole(enum.StrEnum):
     """What the holder of a certificate is."""
 
     CONTROL = "control"
@@ -37,16 +37,16 @@
     ZONE = "zone"
 
 
-def name_of(role: Role, name: str) -> str:
+def name_of(role: CertificateRole, name: str) -> str:
     """Return the URI of ``name`` in ``role``."""
     return f"{SCHEME}{role}/{name}"
 
 
 def claims_of_link(node: str, service: str, zone: str) -> list[str]:
     """Return what a link's Hello claims: a daemon beside a back end goes by its endpoint."""
-    role = Role.ENDPOINT if service else Role.DAEMON
+    role = CertificateRole.ENDPOINT if service else CertificateRole.DAEMON
     claims = [name_of(role, node)]
-    return [*claims, name_of(Role.ZONE, zone)] if zone else claims
+    return [*claims, name_of(CertificateRole.ZONE, zone)] if zone else claims
 
 
 def proven_names(transport: asyncio.BaseTransport | None) -> frozenset[str] | None:
@@ -73,7 +73,7 @@
     return f"the certificate of {shown(names)} isn't that of {shown(missing)}"
 
 
-def has_role(names: Iterable[str], role: Role) -> bool:
+def has_role(names: Iterable[str], role: CertificateRole) -> bool:
     """Whether any of ``names`` is of ``role``."""
     return any(name.startswith(name_of(role, "")) for name in names)
 
--- a/src/finchshed/tls/rpc.py
+++ b/src/finchshed/tls/rpc.py
@@ -7,7 +7,7 @@
 
 import grpc
 
-from finchshed.tls.credentials import ChangeWatch, Credentials, read_files
+from finchshed.tls.credentials import Credentials, FileChangeDetector, read_files
 from finchshed.tls.files import TlsFiles
 from finchshed.tls.names import CONTROL_HOST, SCHEME
 
@@ -19,10 +19,10 @@
 
 def server_credentials(credentials: Credentials) -> grpc.ServerCredentials:
     """Return credentials that require a client's certificate and follow changes of the files."""
-    watch = ChangeWatch(credentials.files)
+    changes = FileChangeDetector(credentials.files)
 
     def changed() -> grpc.ServerCertificateConfiguration | None:
-        contents = watch.read_if_changed()
+        contents = changes.read_if_changed()
         return None if contents is None else _configuration(*contents)
 
     return grpc.dynamic_ssl_server_credentials(
--- a/tests/consensus/broken_variants.py
+++ b/tests/consensus/broken_variants.py
@@ -21,7 +21,7 @@
 )
 from finchshed.consensus.election import _is_up_to_date
 from finchshed.consensus.membership import MemberRole, Membership
-from finchshed.consensus.messages import Vote, VoteReply
+from finchshed.consensus.messages import VoteReply, VoteRequest
 from finchshed.consensus.roles import advance_commit, become_follower
 from finchshed.consensus.state import LeaderState, NodeState, PendingRead
 from finchshed.proof.consensus.campaign import Summary, run_here
@@ -51,7 +51,7 @@
             yield
 
 
-def on_vote_twice(state: NodeState, sender: Any, message: Vote) -> None:
+def on_vote_twice(state: NodeState, sender: Any, message: VoteRequest) -> None:
     if message.term > state.term:
         become_follower(state, message.term, None)
     granted = message.term == state.term and _is_up_to_date(
--- a/tests/consensus/test_repair.py
+++ b/tests/consensus/test_repair.py
@@ -6,7 +6,7 @@
 
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import AddMember, RemoveMember
-from finchshed.consensus.messages import Envelope, Hello
+from finchshed.consensus.messages import Envelope, MemberGreeting
 from finchshed.proof.consensus.group import Group
 from finchshed.proof.consensus.node import SimulatedNode
 from finchshed.proof.consensus.scheduler import Process
@@ -136,7 +136,7 @@
     assert leader is not None
     node = followers(group)[0]
     dead = NodeIdentity(node.name, "dead")
-    hello = Hello(dead, node.address, formed=False)
+    hello = MemberGreeting(dead, node.address, formed=False)
     receiver = NodeIdentity(leader.name, "")
     group.network.send(node.name, leader.address, Envelope(dead, receiver, hello))
     wait(group, lambda: False, patience=0.5)
--- a/tests/control/test_ledger_router.py
+++ b/tests/control/test_ledger_router.py
@@ -9,7 +9,7 @@
 from finchshed.configuration.resources import Operator, Policy
 from finchshed.control.background import Background
 from finchshed.control.daemons.ledger_router import LedgerRouter
-from finchshed.control.daemons.ledger_service import LedgerRequest, LedgerService
+from finchshed.control.daemons.ledger_service import LedgerService
 from finchshed.control.raft.replicated_log import LogStatus
 from finchshed.control.state.commands import (
     ApplyChange,
@@ -27,6 +27,7 @@
     LedgerGranted,
     LedgerNoted,
     LedgerRefused,
+    LedgerRequest,
     LedgerUnknown,
 )
 from finchshed.distribution.status import InForceReport
--- a/tests/control/test_ledger_service.py
+++ b/tests/control/test_ledger_service.py
@@ -1,5 +1,6 @@
 import asyncio
 import random
+from typing import get_args
 
 import pytest
 
@@ -17,6 +18,7 @@
     CompleteRequest,
 )
 from finchshed.distribution.messages import (
+    LedgerAnswer,
     LedgerBegin,
     LedgerCancel,
     LedgerComplete,
@@ -24,6 +26,7 @@
     LedgerGranted,
     LedgerNoted,
     LedgerRefused,
+    LedgerRequest,
     LedgerUnknown,
 )
 from finchshed.distribution.status import InForceReport
@@ -154,3 +157,12 @@
             await asyncio.sleep(0)
         await asyncio.sleep(0.01)
     assert isinstance(await service.answer(LedgerBegin(2, KEY, "b", "edge")), LedgerGranted)
+
+
+def test_each_request_and_answer_has_the_label_that_its_tag_says() -> None:
+    for labels, messages in (
+        (ledger_service.REQUEST_LABELS, LedgerRequest),
+        (ledger_service.ANSWER_LABELS, LedgerAnswer),
+    ):
+        tags = {kind: kind.__struct_config__.tag for kind in get_args(messages)}
+        assert {kind: f"ledger_{label}" for kind, label in labels.items()} == tags
--- a/tests/control/test_malformed_input.py
+++ b/tests/control/test_malformed_input.py
@@ -13,15 +13,16 @@
 from finchshed.configuration.declarations import read_declarations
 from finchshed.configuration.resources import Service
 from finchshed.consensus.identity import NodeIdentity
-from finchshed.consensus.messages import Append, Envelope, Heartbeat
+from finchshed.consensus.messages import Append, Envelope, LeaderHeartbeat
 from finchshed.control.background import Background
-from finchshed.control.daemons.ledger_service import LedgerReply, LedgerService
+from finchshed.control.daemons.ledger_service import LedgerService
 from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
 from finchshed.distribution.messages import (
     ControlToDaemon,
     DaemonToControl,
     Delta,
     InForce,
+    LedgerAnswer,
     LedgerBegin,
     LedgerCancel,
     LedgerComplete,
@@ -52,7 +53,7 @@
         LedgerComplete(1, "key", "attempt", Answered(200, (("a", "b"),), b"\x00body")),
         Delta(0, 3, (Service(name="s"),)),
         PeerHello("c1", "127.0.0.1:1"),
-        RaftLine(Envelope(HERE, HERE, Heartbeat(1, 2, 3))),
+        RaftLine(Envelope(HERE, HERE, LeaderHeartbeat(1, 2, 3))),
         RaftLine(Envelope(HERE, HERE, Append(1, 0, 0, (Entry(1, 1, data=b"x"),), 0))),
         InForceReport("c1", 3, (SubscriberStatus("n", "e", "s", "z", 3),), True),
     )
@@ -260,7 +261,7 @@
         service = LedgerService(OneNodeLog(), Background(pytest.fail))
         for request in asked:
             answer = await service.answer(request)
-            assert isinstance(answer, LedgerReply)
+            assert isinstance(answer, LedgerAnswer)
             assert answer.request == request.request
 
     asyncio.run(run())
--- a/tests/control/test_platform_list.py
+++ b/tests/control/test_platform_list.py
@@ -3,8 +3,8 @@
 
 from finchshed.configuration.resources import Endpoint
 from finchshed.control.daemons.platform_list import (
-    Instance,
-    InstanceState,
+    ListedInstance,
+    ListedState,
     PlatformList,
     decode_instances,
 )
@@ -23,8 +23,8 @@
 LAG = 30.0
 
 
-def instance(number: int, state: str, incarnation: str = "1") -> Instance:
-    return Instance(f"m{number}", f"10.0.0.{number}:80", incarnation, InstanceState(state))
+def instance(number: int, state: str, incarnation: str = "1") -> ListedInstance:
+    return ListedInstance(f"m{number}", f"10.0.0.{number}:80", incarnation, ListedState(state))
 
 
 def test_a_machine_missing_from_the_list_is_no_hint() -> None:
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -23,8 +23,9 @@
     LedgerGranted,
     LedgerNoted,
     LedgerRefused,
+    LedgerRequest,
 )
-from finchshed.distribution.server import Answer, HubServer, LedgerRequest
+from finchshed.distribution.server import Answer, HubServer
 from finchshed.distribution.snapshot import Configuration
 
 GIVE_UP_SECONDS = 20.0
--- a/tests/distribution/test_server.py
+++ b/tests/distribution/test_server.py
@@ -18,10 +18,11 @@
     InForce,
     LedgerBegin,
     LedgerGranted,
+    LedgerRequest,
     Subscribe,
 )
 from finchshed.distribution.quorum_reads import CONFIRMATION_PAUSE_SECONDS
-from finchshed.distribution.server import Answer, HubServer, LedgerRequest
+from finchshed.distribution.server import Answer, HubServer
 from finchshed.link import lines
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import FIRST_LINE_BYTES
--- a/tests/distribution/test_strangers.py
+++ b/tests/distribution/test_strangers.py
@@ -7,8 +7,8 @@
 import pytest_asyncio
 
 from finchshed.distribution.hub import Hub
-from finchshed.distribution.messages import InForce, LedgerNoted, Subscribe
-from finchshed.distribution.server import Answer, HubServer, LedgerRequest
+from finchshed.distribution.messages import InForce, LedgerNoted, LedgerRequest, Subscribe
+from finchshed.distribution.server import Answer, HubServer
 from finchshed.link import lines
 from finchshed.link.encoding import encode_line
 
--- a/tests/forms/codecs.py
+++ b/tests/forms/codecs.py
@@ -16,7 +16,8 @@
 from finchshed.configuration.resources import Policy
 from finchshed.consensus.membership import Membership, decode_membership, encode_membership
 from finchshed.consensus.messages import Envelope
-from finchshed.control.daemons.platform_list import Instance, decode_instances
+from finchshed.control.daemons.platform_list import ListedInstance as Instance
+from finchshed.control.daemons.platform_list import decode_instances
 from finchshed.control.operators.whole_configuration import Document
 from finchshed.control.raft.node_messages import PeerMessage as ControlPeerMessage
 from finchshed.control.raft.storage import open_durable_state, open_log_folder
--- a/tests/tls/keys.py
+++ b/tests/tls/keys.py
@@ -12,7 +12,7 @@
     make_authority,
     write_synced,
 )
-from finchshed.tls.names import CONTROL_HOST, Role, name_of
+from finchshed.tls.names import CONTROL_HOST, CertificateRole, name_of
 
 DAY = datetime.timedelta(days=1)
 EXPIRED = datetime.timedelta(seconds=-1)
@@ -29,11 +29,11 @@
         write_synced(self.authority_file, self.authority.certificate_pem(), CERTIFICATE_MODE)
 
     def issue(
-        self, role: Role, name: str, valid: datetime.timedelta = DAY, **others: str
+        self, role: CertificateRole, name: str, valid: datetime.timedelta = DAY, **others: str
     ) -> TlsFiles:
         """Write key and certificate of ``name``; others are zone and endpoint."""
-        names = [name_of(role, name), *(name_of(Role(k), v) for k, v in others.items())]
-        hosts = [CONTROL_HOST] if role is Role.CONTROL else []
+        names = [name_of(role, name), *(name_of(CertificateRole(k), v) for k, v in others.items())]
+        hosts = [CONTROL_HOST] if role is CertificateRole.CONTROL else []
         issued = issue(self.authority, name, names, hosts, valid)
         certificate, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
         write_synced(key, issued.key_pem(), KEY_MODE)
--- a/tests/tls/test_command.py
+++ b/tests/tls/test_command.py
@@ -9,7 +9,7 @@
 from finchshed.common.errors import SettingsError
 from finchshed.ctl.connection import connect
 from finchshed.tls.files import TlsFiles, problems_of
-from finchshed.tls.names import Role
+from finchshed.tls.names import CertificateRole
 from tests.tls.keys import Deployment
 
 
@@ -64,7 +64,7 @@
 def test_an_operator_s_files_come_from_the_environment(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    files = Deployment(tmp_path / "keys").issue(Role.OPERATOR, "ana")
+    files = Deployment(tmp_path / "keys").issue(CertificateRole.OPERATOR, "ana")
     monkeypatch.setenv("FINCHSHED_TOKEN", "secret")
     monkeypatch.setenv("FINCHSHED_TLS_CERTIFICATE_FILE", files.certificate)
     monkeypatch.setenv("FINCHSHED_TLS_KEY_FILE", "/no/such.key")
--- a/tests/tls/test_connections.py
+++ b/tests/tls/test_connections.py
@@ -17,7 +17,7 @@
 from finchshed.tls.files import TlsFiles
 from finchshed.tls.handshakes import Connector, serve
 from finchshed.tls.handshakes import listening as loopback
-from finchshed.tls.names import REFUSED, Role, proven_names
+from finchshed.tls.names import REFUSED, CertificateRole, proven_names
 from tests.tls.keys import EXPIRED, Deployment
 
 PLAIN_SECONDS = 1.0
@@ -69,7 +69,9 @@
         return await asyncio.wait_for(self.words.get(), 10)
 
 
-async def dial(listener: Listener, credentials: Credentials | None, role: Role | None) -> Client:
+async def dial(
+    listener: Listener, credentials: Credentials | None, role: CertificateRole | None
+) -> Client:
     client = Client()
     await Connector(credentials, role)(lambda: client.lines, *listener.address)
     return client
@@ -95,10 +97,10 @@
 async def test_a_peer_of_the_authority_is_known_by_the_names_it_was_issued(
     keys: Deployment,
 ) -> None:
-    node = Credentials(keys.issue(Role.CONTROL, "c1"))
-    daemon = Credentials(keys.issue(Role.DAEMON, "d1", zone="a", endpoint="e1"))
+    node = Credentials(keys.issue(CertificateRole.CONTROL, "c1"))
+    daemon = Credentials(keys.issue(CertificateRole.DAEMON, "d1", zone="a", endpoint="e1"))
     async with listening(node) as listener:
-        client = await dial(listener, daemon, Role.CONTROL)
+        client = await dial(listener, daemon, CertificateRole.CONTROL)
         assert await client.say("hello") == Word("hello")
         assert proven_names(client.lines.transport) == {"finchshed://control/c1"}
         seen = proven_names(listener.opened[0].transport)
@@ -114,9 +116,9 @@
 
 
 async def test_long_lines_pass_whole_both_ways(keys: Deployment) -> None:
-    both = Credentials(keys.issue(Role.CONTROL, "c1"))
+    both = Credentials(keys.issue(CertificateRole.CONTROL, "c1"))
     async with listening(both) as listener:
-        client = await dial(listener, both, Role.CONTROL)
+        client = await dial(listener, both, CertificateRole.CONTROL)
         assert await client.say("x" * 10_000) == Word("x" * 10_000)
         listener.opened[0].greeted()
         assert await client.say("y" * 5_000_000) == Word("y" * 5_000_000)
@@ -139,15 +141,15 @@
 async def test_a_client_of_another_authority_is_refused(keys: Deployment, tmp_path: Path) -> None:
     other = Deployment(tmp_path / "other")
     stranger = dataclasses.replace(
-        other.issue(Role.DAEMON, "d1"), authority=str(keys.authority_file)
+        other.issue(CertificateRole.DAEMON, "d1"), authority=str(keys.authority_file)
     )
-    async with listening(Credentials(keys.issue(Role.CONTROL, "c1"))) as listener:
+    async with listening(Credentials(keys.issue(CertificateRole.CONTROL, "c1"))) as listener:
         await refused(listener, Credentials(stranger))
 
 
 async def test_a_client_with_an_expired_certificate_is_refused(keys: Deployment) -> None:
-    late = Credentials(keys.issue(Role.DAEMON, "d1", EXPIRED))
-    async with listening(Credentials(keys.issue(Role.CONTROL, "c1"))) as listener:
+    late = Credentials(keys.issue(CertificateRole.DAEMON, "d1", EXPIRED))
+    async with listening(Credentials(keys.issue(CertificateRole.CONTROL, "c1"))) as listener:
         await refused(listener, late)
 
 
@@ -158,7 +160,7 @@
             context.check_hostname = False
             return context
 
-    files = keys.issue(Role.CONTROL, "c1")
+    files = keys.issue(CertificateRole.CONTROL, "c1")
     async with listening(Credentials(files)) as listener:
         await refused(listener, NoCertificate(files))
 
@@ -166,24 +168,27 @@
 async def test_a_client_refuses_a_listener_of_another_authority_or_an_expired_one(
     keys: Deployment, tmp_path: Path
 ) -> None:
-    client = Credentials(keys.issue(Role.DAEMON, "d1"))
+    client = Credentials(keys.issue(CertificateRole.DAEMON, "d1"))
     other = Deployment(tmp_path / "other")
-    for files in (other.issue(Role.CONTROL, "c1"), keys.issue(Role.CONTROL, "c2", EXPIRED)):
+    for files in (
+        other.issue(CertificateRole.CONTROL, "c1"),
+        keys.issue(CertificateRole.CONTROL, "c2", EXPIRED),
+    ):
         async with listening(Credentials(files)) as listener:
             with pytest.raises(ssl.SSLCertVerificationError):
-                await dial(listener, client, Role.CONTROL)
+                await dial(listener, client, CertificateRole.CONTROL)
 
 
 async def test_a_daemon_can_not_stand_for_a_control_node(keys: Deployment) -> None:
-    client = Credentials(keys.issue(Role.DAEMON, "d1"))
-    async with listening(Credentials(keys.issue(Role.DAEMON, "d2"))) as listener:
+    client = Credentials(keys.issue(CertificateRole.DAEMON, "d1"))
+    async with listening(Credentials(keys.issue(CertificateRole.DAEMON, "d2"))) as listener:
         with pytest.raises(ConnectionAbortedError, match="daemon/d2, not a control node"):
-            await dial(listener, client, Role.CONTROL)
+            await dial(listener, client, CertificateRole.CONTROL)
 
 
 async def test_a_plain_client_is_refused_by_a_tls_listener_at_once(keys: Deployment) -> None:
     before = refusals("handshake")
-    async with listening(Credentials(keys.issue(Role.CONTROL, "c1"))) as listener:
+    async with listening(Credentials(keys.issue(CertificateRole.CONTROL, "c1"))) as listener:
         client = await dial(listener, None, None)
         assert await client.say("hello") is None
         await until(lambda: refusals("handshake") == before + 1)
@@ -191,35 +196,35 @@
 
 
 async def test_a_tls_client_doesn_t_fall_back_to_a_plain_listener(keys: Deployment) -> None:
-    client = Credentials(keys.issue(Role.DAEMON, "d1"))
+    client = Credentials(keys.issue(CertificateRole.DAEMON, "d1"))
     async with listening(None) as listener:
         with pytest.raises((OSError, TimeoutError)):
-            await asyncio.wait_for(dial(listener, client, Role.CONTROL), PLAIN_SECONDS)
+            await asyncio.wait_for(dial(listener, client, CertificateRole.CONTROL), PLAIN_SECONDS)
 
 
 async def test_new_files_are_taken_for_new_connections_and_cut_none(
     keys: Deployment, tmp_path: Path
 ) -> None:
-    files = keys.issue(Role.CONTROL, "c1")
+    files = keys.issue(CertificateRole.CONTROL, "c1")
     server = Credentials(files)
-    old = Credentials(keys.issue(Role.DAEMON, "d1"))
+    old = Credentials(keys.issue(CertificateRole.DAEMON, "d1"))
     later = Deployment(tmp_path / "later")
-    new_client = Credentials(later.issue(Role.DAEMON, "d2"))
+    new_client = Credentials(later.issue(CertificateRole.DAEMON, "d2"))
     async with listening(server) as listener:
-        client = await dial(listener, old, Role.CONTROL)
-        replacement = later.issue(Role.CONTROL, "c1")
+        client = await dial(listener, old, CertificateRole.CONTROL)
+        replacement = later.issue(CertificateRole.CONTROL, "c1")
         replace(files.key, replacement.key)
         # Half of the files: they don't fit together, so the old ones stay in use.
-        between = await dial(listener, old, Role.CONTROL)
+        between = await dial(listener, old, CertificateRole.CONTROL)
         assert await between.say("between") == Word("between")
         replace(files.certificate, replacement.certificate)
         replace(files.authority, replacement.authority)
-        newcomer = await dial(listener, new_client, Role.CONTROL)
+        newcomer = await dial(listener, new_client, CertificateRole.CONTROL)
         assert await newcomer.say("new") == Word("new")
         assert await client.say("old") == Word("old")
         listener.opened.clear()
         with pytest.raises(ssl.SSLCertVerificationError):
-            await dial(listener, Credentials(keys_of(old, tmp_path, keys)), Role.CONTROL)
+            await dial(listener, Credentials(keys_of(old, tmp_path, keys)), CertificateRole.CONTROL)
         for one in (client, between, newcomer):
             one.lines.abort()
 
--- a/tests/tls/test_control_peers.py
+++ b/tests/tls/test_control_peers.py
@@ -16,7 +16,7 @@
 from finchshed.link.encoding import encode_line
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.handshakes import Connector
-from finchshed.tls.names import REFUSED, Role
+from finchshed.tls.names import REFUSED, CertificateRole
 from tests.control.group import free_addresses
 from tests.tls.keys import Deployment
 
@@ -35,7 +35,7 @@
         self.received: asyncio.Queue[PeerMessage] = asyncio.Queue()
         self.keys = keys
         (self.address,) = free_addresses(1)
-        credentials = Credentials(keys.issue(Role.CONTROL, "c1"))
+        credentials = Credentials(keys.issue(CertificateRole.CONTROL, "c1"))
         self.background = Background(lambda error: pytest.fail(str(error)))
         self.links = ControlNodeLinks(
             PeerHello("c1", ""),
@@ -44,11 +44,11 @@
             credentials=credentials,
         )
 
-    async def tell(self, role: Role, name: str, *messages: msgspec.Struct) -> bool:
+    async def tell(self, role: CertificateRole, name: str, *messages: msgspec.Struct) -> bool:
         """Send as ``name``; return whether the connection is closed for it."""
         reader = asyncio.StreamReader()
         host, port = self.address.split(":")
-        connector = Connector(Credentials(self.keys.issue(role, name)), Role.CONTROL)
+        connector = Connector(Credentials(self.keys.issue(role, name)), CertificateRole.CONTROL)
         transport, _ = await connector(
             lambda: asyncio.StreamReaderProtocol(reader), host, int(port)
         )
@@ -76,15 +76,15 @@
 
 async def test_a_node_speaks_for_itself_only(node: Node) -> None:
     hello = PeerHello("c2", "")
-    assert not await node.tell(Role.CONTROL, "c2", hello, raft_line("c2"))
-    assert await node.tell(Role.CONTROL, "c2", hello, raft_line("c3"))
-    assert await node.tell(Role.CONTROL, "c3", hello, raft_line("c2"))
-    assert await node.tell(Role.CONTROL, "c2", hello, InForceReport("c3", 1))
+    assert not await node.tell(CertificateRole.CONTROL, "c2", hello, raft_line("c2"))
+    assert await node.tell(CertificateRole.CONTROL, "c2", hello, raft_line("c3"))
+    assert await node.tell(CertificateRole.CONTROL, "c3", hello, raft_line("c2"))
+    assert await node.tell(CertificateRole.CONTROL, "c2", hello, InForceReport("c3", 1))
     assert node.received.empty()
 
 
 async def test_a_daemon_can_not_speak_as_a_control_node(node: Node) -> None:
-    assert await node.tell(Role.DAEMON, "c2", PeerHello("c2", ""), raft_line("c2"))
+    assert await node.tell(CertificateRole.DAEMON, "c2", PeerHello("c2", ""), raft_line("c2"))
     assert node.received.empty()
 
 
@@ -93,7 +93,7 @@
         PeerHello("c2", "127.0.0.1:1"),
         lambda *_: None,
         node.background,
-        credentials=Credentials(node.keys.issue(Role.CONTROL, "c2")),
+        credentials=Credentials(node.keys.issue(CertificateRole.CONTROL, "c2")),
     )
     assert other.send(node.address, raft_line("c2"))
     assert await asyncio.wait_for(node.received.get(), SECONDS) == raft_line("c2")
@@ -105,7 +105,7 @@
         PeerHello("c9", ""),
         lambda *_: None,
         node.background,
-        credentials=Credentials(node.keys.issue(Role.CONTROL, "c2")),
+        credentials=Credentials(node.keys.issue(CertificateRole.CONTROL, "c2")),
     )
     before = REFUSED.labels("name").value
     for _ in range(150):
--- a/tests/tls/test_deployment.py
+++ b/tests/tls/test_deployment.py
@@ -26,7 +26,7 @@
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.files import TlsFiles, load_into
 from finchshed.tls.handshakes import Connector
-from finchshed.tls.names import Role
+from finchshed.tls.names import CertificateRole
 from tests.control.group import OPERATOR_TOKEN, Group, Node, apply_one
 from tests.daemon.deployment import SERVICE, resources_for
 from tests.daemon.processes import DaemonProcess
@@ -42,8 +42,10 @@
 
     def __init__(self, folder: Path, keys: Deployment) -> None:
         super().__init__(folder)
-        self.files = {node.name: keys.issue(Role.CONTROL, node.name) for node in self.nodes}
-        self.operator = keys.issue(Role.OPERATOR, "ana")
+        self.files = {
+            node.name: keys.issue(CertificateRole.CONTROL, node.name) for node in self.nodes
+        }
+        self.operator = keys.issue(CertificateRole.OPERATOR, "ana")
 
     def settings_of(self, node: Node) -> Path:
         path = super().settings_of(node)
@@ -105,10 +107,10 @@
             backend_address=backend.address,
         )
         beside.flags = flags(
-            keys.issue(Role.DAEMON, beside.node, zone=beside.zone, endpoint=beside.node)
+            keys.issue(CertificateRole.DAEMON, beside.node, zone=beside.zone, endpoint=beside.node)
         )
         edge = DaemonProcess(node="edge", control_address=control_addresses(group))
-        edge.flags = flags(keys.issue(Role.DAEMON, edge.node, zone=edge.zone))
+        edge.flags = flags(keys.issue(CertificateRole.DAEMON, edge.node, zone=edge.zone))
         await asyncio.to_thread(group.bootstrap, *resources_for([beside]))
         await stack.enter_async_context(beside)
         await stack.enter_async_context(edge)
@@ -130,7 +132,7 @@
         assert await revision_of(session, edge) == result.revision
 
         hello = Hello("edge", "1", "epoch", "", edge.zone, 0)
-        files = keys.issue(Role.DAEMON, "edge", zone=edge.zone)
+        files = keys.issue(CertificateRole.DAEMON, "edge", zone=edge.zone)
         answer = json.loads(await dialled(beside.link_address, files, encode_line(hello)))
         assert answer["node"] == "licence-1"
         assert await dialled(beside.link_address, None, encode_line(hello)) == b""
@@ -156,7 +158,7 @@
 ) -> None:
     await asyncio.to_thread(group.bootstrap)
     address = group.voters[0].distribution
-    own = keys.issue(Role.DAEMON, "d1", zone="a", endpoint="e1")
+    own = keys.issue(CertificateRole.DAEMON, "d1", zone="a", endpoint="e1")
     subscribe = Subscribe("d1", "1", SERVICE, "a", 0, "e1")
     assert await dialled(address, own, encode_line(subscribe)) != b""
     for wrong in (
@@ -175,10 +177,10 @@
             client.close()
 
     await asyncio.to_thread(read, group.operator)
-    for other in (keys.issue(Role.OPERATOR, "ben"), own):
+    for other in (keys.issue(CertificateRole.OPERATOR, "ben"), own):
         with pytest.raises(AccessDeniedError, match="isn't that of operator ana"):
             await asyncio.to_thread(read, other)
-    stranger = Deployment(tmp_path / "other").issue(Role.OPERATOR, "ana")
+    stranger = Deployment(tmp_path / "other").issue(CertificateRole.OPERATOR, "ana")
     stranger = dataclasses.replace(stranger, authority=str(keys.authority_file))
     with pytest.raises(ControlUnavailableError):
         await asyncio.to_thread(read, stranger)
@@ -200,7 +202,7 @@
         for address in listeners:
             shown = await asyncio.to_thread(shown_certificate, address, group.operator)
             assert shown == own, address
-        keys.issue(Role.CONTROL, node.name)
+        keys.issue(CertificateRole.CONTROL, node.name)
         result = await asyncio.to_thread(apply_one, client, str(uuid4()), Service(name="permits"))
         assert isinstance(result, Accepted)
     client.close()
--- a/tests/tls/test_peer_link.py
+++ b/tests/tls/test_peer_link.py
@@ -10,7 +10,7 @@
 from finchshed.link.peer import LinkState, PeerLink
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.handshakes import Connector, listening, serve
-from finchshed.tls.names import Role
+from finchshed.tls.names import CertificateRole
 from tests.link.test_peer import Owner
 from tests.tls.keys import Deployment
 
@@ -62,8 +62,8 @@
     tmp_path: Path, zone: str, endpoint: str, state: LinkState
 ) -> None:
     keys = Deployment(tmp_path / "keys")
-    listener = Credentials(keys.issue(Role.DAEMON, "d1", zone=zone, endpoint=endpoint))
-    link, owner = await link_to(listener, Credentials(keys.issue(Role.DAEMON, "me")))
+    listener = Credentials(keys.issue(CertificateRole.DAEMON, "d1", zone=zone, endpoint=endpoint))
+    link, owner = await link_to(listener, Credentials(keys.issue(CertificateRole.DAEMON, "me")))
     assert link.state is state
     assert owner.opened.is_set() == (state is LinkState.OPEN)
     link.close("stopped")
--- a/tests/tls/test_settings.py
+++ b/tests/tls/test_settings.py
@@ -8,7 +8,7 @@
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.settings.loader import load
 from finchshed.tls.files import TlsFiles
-from finchshed.tls.names import Role
+from finchshed.tls.names import CertificateRole
 from tests.tls.keys import EXPIRED, Deployment
 
 BASE = {
@@ -36,12 +36,12 @@
 
 
 def test_files_that_fit_together_and_none_are_fine(keys: Deployment) -> None:
-    assert problems(keys.issue(Role.DAEMON, "d1")) == []
+    assert problems(keys.issue(CertificateRole.DAEMON, "d1")) == []
     assert problems(TlsFiles("", "", "")) == []
 
 
 def test_each_file_that_is_missing_or_not_given_is_named(keys: Deployment) -> None:
-    files = keys.issue(Role.DAEMON, "d1")
+    files = keys.issue(CertificateRole.DAEMON, "d1")
     found = problems(TlsFiles(files.certificate, "/no/such.key", ""))
     assert found == [
         "flag --tls_key_file: tls_key_file = /no/such.key: "
@@ -51,19 +51,19 @@
 
 
 def test_a_key_of_another_certificate_is_told(keys: Deployment) -> None:
-    one, two = keys.issue(Role.DAEMON, "d1"), keys.issue(Role.DAEMON, "d2")
+    one, two = keys.issue(CertificateRole.DAEMON, "d1"), keys.issue(CertificateRole.DAEMON, "d2")
     (found,) = problems(TlsFiles(one.certificate, two.key, one.authority))
     assert found.endswith("isn't the key of the certificate")
 
 
 def test_an_expired_certificate_is_told(keys: Deployment) -> None:
-    (found,) = problems(keys.issue(Role.DAEMON, "d1", EXPIRED))
+    (found,) = problems(keys.issue(CertificateRole.DAEMON, "d1", EXPIRED))
     assert "tls_certificate_file" in found
     assert "expired at 20" in found
 
 
 def test_files_that_hold_something_else_are_told(keys: Deployment, tmp_path: Path) -> None:
-    files = keys.issue(Role.DAEMON, "d1")
+    files = keys.issue(CertificateRole.DAEMON, "d1")
     other = tmp_path / "other"
     other.write_text("no PEM")
     found = problems(TlsFiles(str(other), files.key, str(other)))
