--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -63,7 +63,7 @@
 from finchshed.runtime import clock
 from finchshed.tls.credentials import credentials_of
 from finchshed.tls.handshakes import Connector
-from finchshed.tls.names import Role
+from finchshed.tls.names import CertificateRole
 
 SEED_BITS = 64
 """Bits of the seed of a daemon's random draws."""
@@ -131,7 +131,7 @@
     )
     addresses = [parse_control_address(text) for text in settings.control_addresses]
     folder = Path(settings.data_folder) if settings.data_folder else None
-    connect = Connector(state.credentials, Role.CONTROL)
+    connect = Connector(state.credentials, CertificateRole.CONTROL)
     return FollowerDriver(identity, addresses, listener, state.rng, folder, connect=connect)
 
 
--- a/tests/standins/test_operator.py
+++ b/tests/standins/test_operator.py
@@ -6,7 +6,7 @@
 
 from finchshed.configuration.changes import Accepted, ChangeResult, Conflict
 from finchshed.configuration.resources import Policy
-from finchshed.ctl.changes import InForce
+from finchshed.ctl.changes import DeclaredConfiguration
 from finchshed.standins import operator
 from finchshed.standins.operator import (
     BASE_VALUE_SECONDS,
@@ -29,8 +29,8 @@
         self.revision = 1
         self.conflicts = 0
 
-    def read(self, _: object) -> InForce:
-        return InForce(self.revision, {POLICY: Policy()})
+    def read(self, _: object) -> DeclaredConfiguration:
+        return DeclaredConfiguration(self.revision, {POLICY: Policy()})
 
     def submit(self, _: object, change_id: str, expected: int, __: object) -> ChangeResult:
         if self.conflicts:
