--- a/src/finchshed/bench/measures.py
+++ b/src/finchshed/bench/measures.py
@@ -9,11 +9,7 @@
 
 from finchshed.bench.roots import RootRecord, roots_of
 from finchshed.bench.series import client_repeats, inner_repeats, latency_histograms, timeline
-from finchshed.proof.history import (
-    Event,
-    RunBegan,
-    RunEnded,
-)
+from finchshed.proof.history import Event, RunBegan, RunEnded
 from finchshed.replay.recovery import Period, recovery_seconds
 
 
--- a/src/finchshed/proof/command.py
+++ b/src/finchshed/campaign/command.py
@@ -7,9 +7,7 @@
 import msgspec
 
 from finchshed import __version__
-from finchshed.cli.exit_codes import ExitCode
-from finchshed.common.errors import SettingsError
-from finchshed.proof.campaign import (
+from finchshed.campaign.runner import (
     SeedResult,
     Summary,
     repeat_command,
@@ -17,7 +15,9 @@
     run_plan,
     summary_lines,
 )
-from finchshed.proof.scenarios import SCENARIOS, plan_of
+from finchshed.campaign.scenarios import SCENARIOS, plan_of
+from finchshed.cli.exit_codes import ExitCode
+from finchshed.common.errors import SettingsError
 
 ALL = "all"
 DEFAULT_SEEDS = "1..20"
--- a/src/finchshed/proof/disturbances.py
+++ b/src/finchshed/campaign/disturbances.py
@@ -1,16 +1,16 @@
 """Faults of a campaign, drawn at random from one seed.
 
 Each kind of fault is a function of a :class:`Draw`. Kinds are gathered into scenarios in
-:mod:`finchshed.proof.scenarios`. A fault may come at any moment of the time given, alone, together
-with others or twice.
+:mod:`finchshed.campaign.scenarios`. A fault may come at any moment of the time given, alone,
+together with others or twice.
 """
 
 from collections.abc import Callable
 from typing import Final, TypeAlias
 
+from finchshed.campaign.draw import CONTROL_NODES, Draw
 from finchshed.emulator import acts
 from finchshed.emulator.callers import Surge
-from finchshed.proof.draw import CONTROL_NODES, Draw
 
 Disturbance: TypeAlias = acts.Act | Surge
 Kind: TypeAlias = Callable[[Draw], list[Disturbance]]
--- a/src/finchshed/proof/campaign.py
+++ b/src/finchshed/campaign/runner.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
+from finchshed.campaign.scenarios import Plan, plan_of
 from finchshed.emulator import world
 from finchshed.emulator.collector import tune_collector
 from finchshed.proof.checks import violations_of
 from finchshed.proof.checks.index import Violation
 from finchshed.proof.coverage import coverage_of
-from finchshed.proof.history import History
-from finchshed.proof.scenarios import Plan, plan_of
+from finchshed.proof.history_file import History
 
 VIOLATIONS_KEPT = 20
 
--- a/src/finchshed/proof/scenarios.py
+++ b/src/finchshed/campaign/scenarios.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
+from finchshed.campaign import disturbances as kinds
+from finchshed.campaign.disturbances import Disturbance, Kind
+from finchshed.campaign.draw import CONTROL_NODES, Draw
 from finchshed.emulator.callers import ClientPolicy, Surge
 from finchshed.emulator.deployment import Deployment, Hop
 from finchshed.emulator.presets import BRAZOS_RIDGE, MANILA
 from finchshed.emulator.run import RunSpecification
-from finchshed.proof import disturbances as kinds
-from finchshed.proof.disturbances import Disturbance, Kind
-from finchshed.proof.draw import CONTROL_NODES, Draw
 
 BEGIN_SECONDS: Final = 2.5
 """Time of the first arrival: the control group has formed by then."""
--- a/src/finchshed/cli/table.py
+++ b/src/finchshed/cli/table.py
@@ -67,7 +67,7 @@
     "bench": Command("measure what a call costs", "finchshed.bench.command:COMMANDS"),
     "keys": Command("make and show keys and certificates", "finchshed.tls.command:COMMANDS"),
     "emulate": Command("run a deployment in simulated time", "finchshed.emulator.command:emulate"),
-    "prove": Command("check the stated properties over seeds", "finchshed.proof.command:prove"),
+    "prove": Command("check the stated properties over seeds", "finchshed.campaign.command:prove"),
     "replay": Command("replay a trace against stated outcomes", "finchshed.replay.command:replay"),
     "record": Command("record a trace", "finchshed.replay.command:record"),
     "report": Command("make reports and plots of results", "finchshed.report.command:report"),
--- a/src/finchshed/emulator/recorder.py
+++ b/src/finchshed/emulator/recorder.py
@@ -13,9 +13,8 @@
     CallEnded,
     CallResult,
     Event,
-    Header,
-    History,
 )
+from finchshed.proof.history_file import Header, History
 
 
 class Recorder:
--- a/src/finchshed/emulator/run.py
+++ b/src/finchshed/emulator/run.py
@@ -5,7 +5,7 @@
 from finchshed.emulator.acts import Act
 from finchshed.emulator.callers import Arrival, ClientPolicy, Surge
 from finchshed.emulator.deployment import Deployment
-from finchshed.proof.history import History
+from finchshed.proof.history_file import History
 
 CONTROLS = ("finchshed", "none", "fixed-retries", "static-limit")
 """Control schemes: finchshed's own modules, and the baselines."""
--- a/src/finchshed/emulator/world.py
+++ b/src/finchshed/emulator/world.py
@@ -17,7 +17,7 @@
 from finchshed.emulator.scheme import FinchshedScheme
 from finchshed.emulator.simulation import Simulation
 from finchshed.emulator.streams import Streams
-from finchshed.proof.history import SCHEMA_VERSION, Header
+from finchshed.proof.history_file import SCHEMA_VERSION, Header
 
 
 class ControlScheme(Processes, Protocol):
--- a/src/finchshed/fleet/histories.py
+++ b/src/finchshed/fleet/histories.py
@@ -20,16 +20,14 @@
 from finchshed.fleet.scenario import FaultScenario
 from finchshed.fleet.serving_events import ServingEvents
 from finchshed.proof.history import (
-    SCHEMA_VERSION,
     CallBegan,
     CallEnded,
     CallResult,
     ChangeAnswered,
     ChangeSubmitted,
     Event,
-    Header,
-    History,
 )
+from finchshed.proof.history_file import SCHEMA_VERSION, Header, History
 from finchshed.standins.operator import OperatorRecord, StandinChangeOutcome
 from finchshed.standins.records import (
     AttemptRecord,
--- a/src/finchshed/fleet/judgement.py
+++ b/src/finchshed/fleet/judgement.py
@@ -19,7 +19,7 @@
 from finchshed.fleet.verdict import Check
 from finchshed.proof.checks import CHECKS, violations_of
 from finchshed.proof.checks.index import Index
-from finchshed.proof.history import History
+from finchshed.proof.history_file import History
 from finchshed.standins.records import CallerOutcome
 
 
--- a/src/finchshed/proof/checks/__init__.py
+++ b/src/finchshed/proof/checks/__init__.py
@@ -13,7 +13,7 @@
     shedding,
 )
 from finchshed.proof.checks.index import Index, Violation
-from finchshed.proof.history import History
+from finchshed.proof.history_file import History
 
 Check = Callable[[Index], Iterator[Violation]]
 
--- a/src/finchshed/proof/checks/index.py
+++ b/src/finchshed/proof/checks/index.py
@@ -14,11 +14,10 @@
     EndpointReturned,
     Event,
     Fault,
-    Header,
-    History,
     RunBegan,
     RunEnded,
 )
+from finchshed.proof.history_file import Header, History
 
 
 class Violation(msgspec.Struct, frozen=True):
--- a/src/finchshed/proof/checks/leaving.py
+++ b/src/finchshed/proof/checks/leaving.py
@@ -5,13 +5,7 @@
 from typing import Final
 
 from finchshed.proof.checks.index import Index, LeavingSpan, Violation
-from finchshed.proof.history import (
-    CallResult,
-    ControlReachable,
-    PlannedStop,
-    RunBegan,
-    RunResult,
-)
+from finchshed.proof.history import CallResult, ControlReachable, PlannedStop, RunBegan, RunResult
 
 NAME_LEAVING: Final = "leaving"
 NAME_STOP: Final = "planned-stop"
--- a/src/finchshed/proof/history.py
+++ b/src/finchshed/proof/history.py
@@ -1,7 +1,7 @@
-"""Schema of recorded histories.
+"""Events of recorded histories.
 
-A history is a file of JSON lines: one :class:`Header`, then events in the order of their time.
-The emulator and a fleet of real processes write the same schema, so the same checkers judge both.
+The emulator and a fleet of real processes record the same events, so the same checkers judge both.
+Owns their schema; :mod:`finchshed.proof.history_file` owns the file that holds them.
 
 Times are seconds since the start of the history, on one clock (the emulator's, or the monotonic
 clock of the one machine a fleet runs on).
@@ -12,18 +12,12 @@
 """
 
 import enum
-from collections.abc import Iterable, Iterator
-from pathlib import Path
 from typing import Final, TypeAlias
 
 import msgspec
-import xxhash
 
-from finchshed.common.errors import FinchshedError
 from finchshed.common.importance import Importance
 
-SCHEMA_VERSION: Final = 1
-
 HEADER_CALL: Final = "proof-call"
 """Request header in which callers of a proof name their call."""
 
@@ -34,10 +28,6 @@
 """Answer header with xxh3-64 (hexadecimal) of the body the back end meant to send."""
 
 
-class HistoryError(FinchshedError):
-    """A history can't be read. The message names the line."""
-
-
 class CallResult(enum.StrEnum):
     """What a caller was told."""
 
@@ -56,31 +46,6 @@
     CRASHED = "crashed"
 
 
-class Header(msgspec.Struct, frozen=True, omit_defaults=True, tag="header"):
-    """First line of a history.
-
-    Attributes
-    ----------
-    source
-        ``emulator`` or ``fleet``.
-    retry_budget
-        Spare attempts that one root request has over its whole call graph.
-    leaving_bound_seconds
-        Time after the first sign within which a leaving back end must stop receiving work.
-    in_force_bound_seconds
-        Time within which an accepted change must be in force at every reachable daemon.
-    """
-
-    schema: int
-    source: str
-    scenario: str
-    seed: int
-    version: str
-    retry_budget: int = 3
-    leaving_bound_seconds: float = 2.0
-    in_force_bound_seconds: float = 4.0
-
-
 class CallBegan(msgspec.Struct, frozen=True, omit_defaults=True, tag="call_began"):
     """A caller sent a request.
 
@@ -268,71 +233,3 @@
     | RevisionInForce
     | ControlReachable
 )
-
-_encoder = msgspec.json.Encoder()
-_header_decoder = msgspec.json.Decoder(Header)
-_event_decoder: msgspec.json.Decoder[Event] = msgspec.json.Decoder(Event)
-
-
-class History(msgspec.Struct):
-    """A whole history in memory."""
-
-    header: Header
-    events: list[Event]
-
-    def lines(self) -> Iterator[bytes]:
-        """Yield the history's JSON lines, each with its line feed."""
-        yield _encoder.encode(self.header) + b"\n"
-        for event in self.events:
-            yield _encoder.encode(event) + b"\n"
-
-    def digest(self) -> str:
-        """Return xxh3-64 of the JSON lines, hexadecimal."""
-        digest = xxhash.xxh3_64()
-        for line in self.lines():
-            digest.update(line)
-        return str(digest.hexdigest())
-
-    def write(self, path: Path) -> None:
-        """Write the history to ``path``."""
-        with path.open("wb") as file:
-            file.writelines(self.lines())
-
-
-def read(path: Path) -> History:
-    """Read a history.
-
-    Raises
-    ------
-    HistoryError
-        If a line is malformed, or the schema's version is another.
-    """
-    with path.open("rb") as file:
-        return parse(file, str(path))
-
-
-def parse(lines: Iterable[bytes], name: str) -> History:
-    """Parse JSON lines; ``name`` stands in error messages. Sorts events by time (stably)."""
-    header: Header | None = None
-    events: list[Event] = []
-    for number, line in enumerate(lines, start=1):
-        if not line.strip():
-            continue
-        try:
-            if header is None:
-                header = _header_decoder.decode(line)
-            else:
-                events.append(_event_decoder.decode(line))
-        except msgspec.DecodeError as error:
-            raise HistoryError(f"{name}:{number}: {error}") from error
-    if header is None:
-        raise HistoryError(f"{name}: no header")
-    if header.schema != SCHEMA_VERSION:
-        raise HistoryError(f"{name}: schema {header.schema}, this version reads {SCHEMA_VERSION}")
-    events.sort(key=lambda event: event.time)
-    return History(header, events)
-
-
-def encode_event(event: Event | Header) -> bytes:
-    """Return one event or header as a JSON line, for writers that append as they go."""
-    return _encoder.encode(event) + b"\n"
--- a/src/finchshed/replay/command.py
+++ b/src/finchshed/replay/command.py
@@ -2,14 +2,14 @@
 
 from pathlib import Path
 
+from finchshed.campaign.command import parse_seeds
+from finchshed.campaign.scenarios import SCENARIOS, plan_of
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.errors import SettingsError
 from finchshed.emulator.presets import PRESETS
-from finchshed.proof import history as histories
+from finchshed.proof import history_file as histories
 from finchshed.proof.checks import violations_of
-from finchshed.proof.command import parse_seeds
-from finchshed.proof.history import History
-from finchshed.proof.scenarios import SCENARIOS, plan_of
+from finchshed.proof.history_file import History
 from finchshed.replay import emulated
 from finchshed.replay.judge import judge
 from finchshed.replay.lines import unknown
--- a/src/finchshed/replay/emulated.py
+++ b/src/finchshed/replay/emulated.py
@@ -11,7 +11,7 @@
 from finchshed.emulator.run import RunSpecification
 from finchshed.emulator.streams import Streams
 from finchshed.ledger.keys import issued_at, new_key
-from finchshed.proof.history import History
+from finchshed.proof.history_file import History
 from finchshed.replay.trace import Load, Trace
 
 
--- a/src/finchshed/replay/judge.py
+++ b/src/finchshed/replay/judge.py
@@ -12,10 +12,10 @@
     CallEnded,
     CallResult,
     ChangeAnswered,
-    History,
     RevisionInForce,
     RunBegan,
 )
+from finchshed.proof.history_file import History
 from finchshed.replay.outcomes import (
     ALL,
     ChangeOutcome,
--- a/src/finchshed/replay/recording.py
+++ b/src/finchshed/replay/recording.py
@@ -2,13 +2,14 @@
 
 import msgspec
 
+from finchshed.campaign.scenarios import Plan
 from finchshed.common.errors import SettingsError
 from finchshed.emulator import acts
 from finchshed.emulator.callers import Arrival, ClientPolicy, generate_arrivals
 from finchshed.emulator.deployment import Deployment
 from finchshed.emulator.streams import Streams
-from finchshed.proof.history import CallBegan, Fault, History
-from finchshed.proof.scenarios import Plan
+from finchshed.proof.history import CallBegan, Fault
+from finchshed.proof.history_file import History
 from finchshed.replay.judge import request_records
 from finchshed.replay.outcomes import (
     OUTCOMES_VERSION,
--- a/tests/emulator/test_command.py
+++ b/tests/emulator/test_command.py
@@ -6,7 +6,7 @@
 
 from finchshed.cli import main
 from finchshed.cli.exit_codes import ExitCode
-from finchshed.proof.history import read
+from finchshed.proof.history_file import read
 
 
 def test_a_run_is_judged_and_written(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/emulator/test_control_group.py
+++ b/tests/emulator/test_control_group.py
@@ -9,7 +9,8 @@
 from finchshed.emulator.recorder import Recorder
 from finchshed.emulator.simulation import Simulation
 from finchshed.emulator.streams import Streams
-from finchshed.proof.history import SCHEMA_VERSION, ChangeAnswered, Header
+from finchshed.proof.history import ChangeAnswered
+from finchshed.proof.history_file import SCHEMA_VERSION, Header
 
 ZONES = ("zone-1", "zone-2", "zone-3")
 ENDPOINT = Endpoint(
--- a/tests/fleet/test_coverage.py
+++ b/tests/fleet/test_coverage.py
@@ -4,7 +4,8 @@
 from finchshed.fleet.coverage import CASES
 from finchshed.proof.checks import CHECKS, sessions
 from finchshed.proof.checks.index import Index
-from finchshed.proof.history import CallBegan, CallEnded, CallResult, Event, Header, History
+from finchshed.proof.history import CallBegan, CallEnded, CallResult, Event
+from finchshed.proof.history_file import Header, History
 
 
 def download(number: int, session: str, status: int) -> list[Event]:
--- a/tests/fleet/test_fault_run.py
+++ b/tests/fleet/test_fault_run.py
@@ -6,7 +6,7 @@
 from finchshed.fleet.fault_run import FaultRun
 from finchshed.fleet.scenario import Expectation, FaultScenario
 from finchshed.fleet.verdict import RunVerdict
-from finchshed.proof import history
+from finchshed.proof import history, history_file
 from finchshed.proof.checks import answers, configuration, leaving, runs
 from finchshed.standins.settings import Phase
 
@@ -35,7 +35,7 @@
 
 
 def faults_of(folder: pathlib.Path) -> list[tuple[str, bool]]:
-    events = history.read(folder / "run" / "history.jsonl").events
+    events = history_file.read(folder / "run" / "history.jsonl").events
     return [(item.fault, item.ended) for item in events if isinstance(item, history.Fault)]
 
 
--- a/tests/fleet/test_path_times.py
+++ b/tests/fleet/test_path_times.py
@@ -4,17 +4,15 @@
 from finchshed.fleet.path_times import NESTED, path_times_of
 from finchshed.proof.checks.index import Index
 from finchshed.proof.history import (
-    SCHEMA_VERSION,
     CallBegan,
     CallEnded,
     CallResult,
     Event,
-    Header,
-    History,
     RunBegan,
     RunEnded,
     RunResult,
 )
+from finchshed.proof.history_file import SCHEMA_VERSION, Header, History
 
 
 def call(name: str, begin: float, end: float, result: CallResult, parent: str = "") -> list[Event]:
--- a/tests/proof/histories.py
+++ b/tests/proof/histories.py
@@ -4,18 +4,16 @@
 from finchshed.proof.checks import CHECKS
 from finchshed.proof.checks.index import Index, Violation
 from finchshed.proof.history import (
-    SCHEMA_VERSION,
     Admission,
     CallBegan,
     CallEnded,
     CallResult,
     Event,
-    Header,
-    History,
     RunBegan,
     RunEnded,
     RunResult,
 )
+from finchshed.proof.history_file import SCHEMA_VERSION, Header, History
 
 HEADER = Header(SCHEMA_VERSION, "emulator", "test", 1, "0", retry_budget=2)
 
--- a/tests/proof/seeds_taken.py
+++ b/tests/proof/seeds_taken.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from finchshed.campaign.runner import run_plan
+from finchshed.campaign.scenarios import plan_of
 from finchshed.emulator.collector import tune_collector
-from finchshed.proof.campaign import run_plan
-from finchshed.proof.scenarios import plan_of
 from tests.proof.broken import VARIANTS, Variant
 
 MOST_SEEDS = 100
--- a/tests/proof/test_campaign.py
+++ b/tests/proof/test_campaign.py
@@ -7,11 +7,11 @@
 
 import pytest
 
+from finchshed.campaign.command import parse_seeds
+from finchshed.campaign.runner import run_plan, run_seed
+from finchshed.campaign.scenarios import SCENARIOS, plan_of
 from finchshed.cli import main
 from finchshed.cli.exit_codes import ExitCode
-from finchshed.proof.campaign import run_plan, run_seed
-from finchshed.proof.command import parse_seeds
-from finchshed.proof.scenarios import SCENARIOS, plan_of
 from tests.proof.broken import VARIANTS
 
 CI_SEEDS = (1, 2)
@@ -19,7 +19,7 @@
 
 DIGEST_PROGRAM = """
 import sys
-from finchshed.proof.campaign import run_seed
+from finchshed.campaign.runner import run_seed
 print(run_seed("everything", int(sys.argv[1])).digest)
 """
 
--- a/tests/proof/test_found_seeds.py
+++ b/tests/proof/test_found_seeds.py
@@ -1,8 +1,8 @@
 """Seeds of campaigns that broke a property; each stays here once it is mended."""
 
-from finchshed.proof.campaign import run_plan, run_seed
+from finchshed.campaign.runner import run_plan, run_seed
+from finchshed.campaign.scenarios import plan_of
 from finchshed.proof.checks.index import Index
-from finchshed.proof.scenarios import plan_of
 
 
 def test_a_change_accepted_around_the_loss_of_disks_stays_accepted() -> None:
--- a/tests/replay/test_judge.py
+++ b/tests/replay/test_judge.py
@@ -5,17 +5,15 @@
 
 from finchshed.common.importance import Importance
 from finchshed.proof.history import (
-    SCHEMA_VERSION,
     CallBegan,
     CallEnded,
     CallResult,
     ChangeAnswered,
     Event,
-    Header,
-    History,
     RevisionInForce,
     RunBegan,
 )
+from finchshed.proof.history_file import SCHEMA_VERSION, Header, History
 from finchshed.replay.judge import judge
 from finchshed.replay.outcomes import OutcomeLine, Outcomes, OutcomesHeader
 
--- a/tests/replay/test_recording.py
+++ b/tests/replay/test_recording.py
@@ -2,11 +2,11 @@
 
 from pathlib import Path
 
+from finchshed.campaign.runner import run_plan
+from finchshed.campaign.scenarios import plan_of
 from finchshed.cli import main
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.emulator.presets import MANILA
-from finchshed.proof.campaign import run_plan
-from finchshed.proof.scenarios import plan_of
 from finchshed.replay.emulated import play
 from finchshed.replay.recording import trace_of_history
 from finchshed.replay.trace import read_trace
--- a/tests/simulation/test_wasted_work.py
+++ b/tests/simulation/test_wasted_work.py
@@ -13,17 +13,15 @@
 from finchshed.emulator.presets import BRAZOS_RIDGE
 from finchshed.emulator.run import RunSpecification
 from finchshed.proof.history import (
-    SCHEMA_VERSION,
     CallBegan,
     CallEnded,
     CallResult,
     Event,
-    Header,
-    History,
     RunBegan,
     RunEnded,
     RunResult,
 )
+from finchshed.proof.history_file import SCHEMA_VERSION, Header, History
 from tests.simulation.wasted_work import wasted_fraction
 
 OVERLOAD_BEGIN = 1.5
--- a/tests/simulation/wasted_work.py
+++ b/tests/simulation/wasted_work.py
@@ -1,6 +1,7 @@
 """Running time of back ends that went into requests which their callers did not get whole."""
 
-from finchshed.proof.history import History, RunBegan, RunEnded
+from finchshed.proof.history import RunBegan, RunEnded
+from finchshed.proof.history_file import History
 from finchshed.replay.judge import request_records
 
 
