--- a/src/finchshed/campaign/command.py
+++ b/src/finchshed/campaign/command.py
@@ -8,8 +8,8 @@
 
 from finchshed import __version__
 from finchshed.campaign.runner import (
+    ScenarioSummary,
     SeedResult,
-    Summary,
     repeat_command,
     run_campaign,
     run_plan,
@@ -63,8 +63,8 @@
     return ExitCode.FAILED if any(summary.failed for summary in summaries) else ExitCode.OK
 
 
-def _campaign(name: str, seeds: list[int], workers: int, out: str) -> Summary:
-    summary = Summary(name)
+def _campaign(name: str, seeds: list[int], workers: int, out: str) -> ScenarioSummary:
+    summary = ScenarioSummary(name)
     progress = _Progress(name, len(seeds))
     for result in run_campaign(name, seeds, workers):
         summary.add(result)
@@ -156,7 +156,7 @@
         self._total = total
         self._shown = 0.0
 
-    def show(self, summary: Summary) -> None:
+    def show(self, summary: ScenarioSummary) -> None:
         """Show the present state now and then."""
         now = time.monotonic()
         if not sys.stderr.isatty() or now - self._shown < PROGRESS_SECONDS:
--- a/src/finchshed/campaign/runner.py
+++ b/src/finchshed/campaign/runner.py
@@ -119,7 +119,7 @@
     return command
 
 
-class Summary(msgspec.Struct):
+class ScenarioSummary(msgspec.Struct):
     """A campaign over one scenario."""
 
     scenario: str
@@ -143,7 +143,7 @@
             )
 
 
-def summary_lines(summaries: Iterable[Summary]) -> list[str]:
+def summary_lines(summaries: Iterable[ScenarioSummary]) -> list[str]:
     """Return a table of campaigns."""
     lines = [f"{'scenario':<18}{'seeds':>7}{'failed':>8}{'requests':>10}{'cpu s':>9}  broken"]
     for summary in summaries:
--- a/src/finchshed/campaign/scenarios.py
+++ b/src/finchshed/campaign/scenarios.py
@@ -29,7 +29,7 @@
 a second keep the back ends as busy as on an ordinary day."""
 
 
-class Scenario(msgspec.Struct, frozen=True, kw_only=True):
+class CampaignScenario(msgspec.Struct, frozen=True, kw_only=True):
     """What is drawn for a run.
 
     Attributes
@@ -63,71 +63,71 @@
 )
 _PLANNED: Final = (kinds.planned_restart, kinds.rolling_restart)
 
-SCENARIOS: Final[Mapping[str, Scenario]] = {
-    "overload": Scenario(
+SCENARIOS: Final[Mapping[str, CampaignScenario]] = {
+    "overload": CampaignScenario(
         description="the deep service slows and demand surges, clients repeat hard",
         kinds=_OVERLOAD,
         always=(kinds.surge_with_slow_service,),
         least=0,
         most=2,
     ),
-    "partition": Scenario(
+    "partition": CampaignScenario(
         description="zones or machines are cut off, both ways or one, or links are slow",
         kinds=_PARTITION,
         always=(kinds.config_race,),
     ),
-    "silent-leader": Scenario(
+    "silent-leader": CampaignScenario(
         description="the control leader is cut off in silence while operators change things",
         kinds=(*_CONTROL, kinds.config_race),
         always=(kinds.silent_leader, kinds.config_race),
         least=0,
     ),
-    "disk-loss": Scenario(
+    "disk-loss": CampaignScenario(
         description="a control machine loses its disk, a second one is lost during the repair",
         kinds=(*_DISKS, *_DAEMONS, kinds.control_kill, kinds.config_race),
         always=(kinds.second_loss_during_repair, kinds.config_race),
         most=3,
     ),
-    "daemon-loss": Scenario(
+    "daemon-loss": CampaignScenario(
         description="daemons and edges are killed or frozen",
         kinds=_DAEMONS,
         always=(kinds.config_race,),
         most=4,
     ),
-    "zone-loss": Scenario(
+    "zone-loss": CampaignScenario(
         description="a whole zone is lost and comes back, perhaps with an empty control disk",
         kinds=(kinds.zone_loss, kinds.zone_cut, kinds.surge, kinds.disk_loss),
         always=(kinds.zone_loss, kinds.config_race),
         least=0,
         most=2,
     ),
-    "back-end-loss": Scenario(
+    "back-end-loss": CampaignScenario(
         description="back ends die, freeze, leave, slow or mislead",
         kinds=_BACK_ENDS,
         always=(kinds.back_end_leaves, kinds.back_end_kill),
         most=4,
     ),
-    "rolling-restart": Scenario(
+    "rolling-restart": CampaignScenario(
         description="back ends, daemons and control nodes are restarted as planned, under load",
         kinds=(kinds.planned_restart, kinds.surge, kinds.config_race),
         always=(kinds.rolling_restart,),
         least=0,
         most=2,
     ),
-    "config-race": Scenario(
+    "config-race": CampaignScenario(
         description="operators race and resend while control nodes and daemons fail",
         kinds=(*_CONTROL, *_DAEMONS, kinds.pair_cut),
         always=(kinds.config_race, kinds.config_race),
         least=0,
         most=2,
     ),
-    "duplicates": Scenario(
+    "duplicates": CampaignScenario(
         description="messages come twice, and links break",
         kinds=(kinds.node_cut, kinds.daemon_kill, kinds.slow_link),
         always=(kinds.duplicated_messages, kinds.config_race),
         most=2,
     ),
-    "everything": Scenario(
+    "everything": CampaignScenario(
         description="any of all faults, together and twice",
         kinds=(
             *_OVERLOAD,
--- a/src/finchshed/emulator/backend.py
+++ b/src/finchshed/emulator/backend.py
@@ -15,7 +15,7 @@
 from finchshed.emulator.clock import Timer
 from finchshed.emulator.deployment import ServiceModel
 from finchshed.emulator.network import Site
-from finchshed.emulator.request import Cancel, Done, Path, Request
+from finchshed.emulator.request import Cancel, Done, Path, SimulatedRequest
 from finchshed.emulator.simulation import Simulation
 from finchshed.http.status import STATUS_OK, STATUS_SERVICE_UNAVAILABLE
 from finchshed.link.digests import digest_of
@@ -37,7 +37,7 @@
 class Run:
     """One request at a back end, waiting or running."""
 
-    request: Request
+    request: SimulatedRequest
     done: Done
     name: str = ""
     timer: Timer | None = None
@@ -98,7 +98,7 @@
         """What the load endpoint says, which may be a lie."""
         return 0 if self.misreports_idle else self.in_flight
 
-    def serve(self, request: Request, done: Done) -> Cancel:
+    def serve(self, request: SimulatedRequest, done: Done) -> Cancel:
         """Take a request; ``done`` is called once unless the process crashes or is cancelled."""
         if not self.up:
             done(Refused(RefusalReason.CONNECT_FAILED, 0.1, "connection refused"))
@@ -197,7 +197,7 @@
         if run.ended or self.path is None:
             return
         request = run.request
-        child = Request(
+        child = SimulatedRequest(
             call=f"{run.name}/{index}",
             root=request.root,
             hop=request.hop.calls[index],
@@ -214,7 +214,7 @@
             self.path.call(child, lambda outcome: self._call_returned(run, child, outcome))
         )
 
-    def _call_returned(self, run: Run, child: Request, outcome: Outcome) -> None:
+    def _call_returned(self, run: Run, child: SimulatedRequest, outcome: Outcome) -> None:
         self._recorder.call_ended(child.call, outcome)
         if run.ended:
             return
@@ -225,7 +225,7 @@
         if run.waiting_for == 0 and not self.frozen:
             self._finish(run, STATUS_OK)
 
-    def _answer(self, request: Request, status: int) -> Answered:
+    def _answer(self, request: SimulatedRequest, status: int) -> Answered:
         body = f"{request.root}|{request.call}|{status}".encode()
         headers: tuple[tuple[str, str], ...] = (
             (HEADER_ANSWER_ROOT, request.root),
--- a/src/finchshed/emulator/baselines.py
+++ b/src/finchshed/emulator/baselines.py
@@ -28,10 +28,10 @@
 from finchshed.emulator.backend import BackEnd
 from finchshed.emulator.clock import Timer
 from finchshed.emulator.network import Site
-from finchshed.emulator.request import Cancel, Done, Request
+from finchshed.emulator.request import Cancel, Done, SimulatedRequest
 from finchshed.emulator.simulation import Simulation
 
-Serve = Callable[[Request, Done], Cancel]
+Serve = Callable[[SimulatedRequest, Done], Cancel]
 
 
 class BaselinePolicy(msgspec.Struct, frozen=True, kw_only=True):
@@ -65,9 +65,9 @@
     def __init__(self, back_end: BackEnd) -> None:
         self._back_end = back_end
         self._in_flight = 0
-        self._queue: deque[tuple[Request, Done]] = deque()
+        self._queue: deque[tuple[SimulatedRequest, Done]] = deque()
 
-    def serve(self, request: Request, done: Done) -> Cancel:
+    def serve(self, request: SimulatedRequest, done: Done) -> Cancel:
         """Run, queue or refuse a request."""
         if self._in_flight < self._back_end.slots:
             self._start(request, done)
@@ -77,7 +77,7 @@
             done(Refused(RefusalReason.QUEUE_FULL, 0.1))
         return _ignore
 
-    def _start(self, request: Request, done: Done) -> None:
+    def _start(self, request: SimulatedRequest, done: Done) -> None:
         self._in_flight += 1
 
         def finished(outcome: Outcome) -> None:
@@ -93,7 +93,7 @@
 class _Call:
     """One call of a hop, over its attempts."""
 
-    request: Request
+    request: SimulatedRequest
     done: Done
     retries_left: int
     attempt: int = 0
@@ -118,7 +118,7 @@
         self._network = simulation.network
         self._random = simulation.streams.python(f"baseline/{site.node}")
 
-    def call(self, request: Request, done: Done) -> Cancel:
+    def call(self, request: SimulatedRequest, done: Done) -> Cancel:
         """Send ``request`` to a back end at random, and again as the policy says."""
         call = _Call(request, done, self._policy.hop_retries)
         self._attempt(call)
--- a/src/finchshed/emulator/callers.py
+++ b/src/finchshed/emulator/callers.py
@@ -14,7 +14,7 @@
 from finchshed.emulator.deployment import Deployment, RequestKind
 from finchshed.emulator.network import OUTSIDE, Site
 from finchshed.emulator.plain_control import EPOCH_UNIX_SECONDS
-from finchshed.emulator.request import Cancel, Path, Request
+from finchshed.emulator.request import Cancel, Path, SimulatedRequest
 from finchshed.emulator.simulation import Simulation
 from finchshed.emulator.streams import Streams
 from finchshed.ledger.keys import new_key
@@ -198,7 +198,7 @@
         site = Site(f"client-{arrival.zone}", OUTSIDE)
         edge_site, path = self._edge_of(arrival.zone)
         deadline = self._clock.now + self._deployment.deadline_seconds
-        request = Request(
+        request = SimulatedRequest(
             call=f"{arrival.root}/{root.attempts}",
             root=arrival.root,
             hop=root.kind.hop,
@@ -228,7 +228,7 @@
 
         self._network.send(site, edge_site, arrive)
 
-    def _begin_copy(self, request: Request, attempt: _Attempt) -> _Sending:
+    def _begin_copy(self, request: SimulatedRequest, attempt: _Attempt) -> _Sending:
         """Take note that the edge gets a request again.
 
         No transport delivers a request twice: the edge sees another request of the same root, as
--- a/src/finchshed/emulator/command.py
+++ b/src/finchshed/emulator/command.py
@@ -12,7 +12,7 @@
 from finchshed.emulator.collector import tune_collector
 from finchshed.emulator.deployment import Deployment
 from finchshed.emulator.presets import PRESETS
-from finchshed.emulator.run import CONTROLS, RunResult, RunSpecification
+from finchshed.emulator.run import CONTROLS, FinishedRun, RunSpecification
 from finchshed.proof.checks import violations_of
 from finchshed.proof.coverage import coverage_of
 
@@ -109,7 +109,7 @@
     )
 
 
-def _lines(result: RunResult) -> list[str]:
+def _lines(result: FinishedRun) -> list[str]:
     coverage = coverage_of(result.history.events)
     lines = [f"history {result.history.digest()}, {len(result.history.events)} events"]
     lines += [f"{name}: {count}" for name, count in sorted(coverage.items())]
--- a/src/finchshed/emulator/control/control_plane.py
+++ b/src/finchshed/emulator/control/control_plane.py
@@ -6,17 +6,19 @@
 from finchshed.configuration.resources import Endpoint, Policy
 from finchshed.emulator import acts
 from finchshed.emulator.daemons.control_connection import ControlConnection
-from finchshed.emulator.daemons.daemon import Daemon
+from finchshed.emulator.daemons.daemon import SimulatedDaemon
 
 
 class ControlPlane(Protocol):
     """The control nodes of a run."""
 
-    def connect(self, daemon: Daemon) -> ControlConnection:
+    def connect(self, daemon: SimulatedDaemon) -> ControlConnection:
         """Return the way to control for the present life of ``daemon``."""
         ...
 
-    def start(self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[Daemon]) -> None:
+    def start(
+        self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[SimulatedDaemon]
+    ) -> None:
         """Begin, with the first configuration."""
 
     def crash(self, node: str, seconds: float, wipe_disk: bool) -> None:
--- a/src/finchshed/emulator/control/group.py
+++ b/src/finchshed/emulator/control/group.py
@@ -12,8 +12,8 @@
 from finchshed.consensus.membership import InitialMember, quorum_size
 from finchshed.distribution.messages import Hints, LeavingHint
 from finchshed.emulator import acts
-from finchshed.emulator.control.node import ControlNode
-from finchshed.emulator.control.operators import Operator
+from finchshed.emulator.control.node import SimulatedControlNode
+from finchshed.emulator.control.operators import SimulatedOperator
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.network import Site
 from finchshed.emulator.simulation import Simulation
@@ -45,13 +45,13 @@
             InitialMember(site.node, f"10.1.0.{number + 1}:{CONTROL_PORT}")
             for number, site in enumerate(sites)
         )
-        self.by_address: dict[str, ControlNode] = {}
+        self.by_address: dict[str, SimulatedControlNode] = {}
         for site in sites:
-            node = ControlNode(simulation, site, voters, self.by_address)
+            node = SimulatedControlNode(simulation, site, voters, self.by_address)
             self.by_address[node.address] = node
         self.nodes = tuple(self.by_address.values())
         self._operators = [
-            Operator(
+            SimulatedOperator(
                 simulation,
                 Site(f"operator-{number + 1}", zones[number % len(zones)]),
                 self.nodes,
@@ -103,7 +103,7 @@
         if node.up and not node.frozen:
             node.stop_planned(seconds)
 
-    def node(self, name: str) -> ControlNode:
+    def node(self, name: str) -> SimulatedControlNode:
         """Return the control node called ``name``, or the leader's or a follower's.
 
         ``leader`` is the node that leads at this moment, or the first if none does; ``follower``
@@ -177,7 +177,7 @@
             for chosen in itertools.combinations(usable, needed)
         )
 
-    def _is_usable(self, node: ControlNode, process: Process) -> bool:
+    def _is_usable(self, node: SimulatedControlNode, process: Process) -> bool:
         if not node.up or node.frozen or not self._joined(node, process):
             return False
         member = node.host.node.membership.find(node.host.node.identity)
@@ -187,14 +187,14 @@
         network = self._simulation.network
         return network.reachable(one.site, other.site) and network.reachable(other.site, one.site)
 
-    def _restart(self, node: ControlNode, wipe_disk: bool) -> None:
+    def _restart(self, node: SimulatedControlNode, wipe_disk: bool) -> None:
         if not node.up:
             node.restart(wipe_disk)
 
     def _revision(self) -> int:
         return max(node.machine.store.revision for node in self.nodes)
 
-    def _latest(self) -> ControlNode:
+    def _latest(self) -> SimulatedControlNode:
         return max(self.nodes, key=lambda node: node.machine.store.revision)
 
     def _policy(self) -> Policy:
@@ -206,7 +206,7 @@
                 return resource
         return None
 
-    def _resending(self, operator: Operator, change: Change) -> Callable[..., None]:
+    def _resending(self, operator: SimulatedOperator, change: Change) -> Callable[..., None]:
         def resend(_: ChangeResult | None) -> None:
             operator.submit(change, _ignore)
 
--- a/src/finchshed/emulator/control/node.py
+++ b/src/finchshed/emulator/control/node.py
@@ -29,7 +29,7 @@
 TRANSFER_POLL_SECONDS: Final = 0.05
 
 
-class ControlNode(Process):
+class SimulatedControlNode(Process):
     """A control node over its lives.
 
     Parameters
@@ -45,7 +45,7 @@
         simulation: Simulation,
         site: Site,
         voters: tuple[InitialMember, ...],
-        peers: dict[str, "ControlNode"],
+        peers: dict[str, "SimulatedControlNode"],
     ) -> None:
         super().__init__(simulation, site)
         self._voters = voters
@@ -143,7 +143,7 @@
         self.send(target, target.take_forwarded, self, self.life, request, command)
 
     def take_forwarded(
-        self, sender: "ControlNode", life: int, request: int, command: Command
+        self, sender: "SimulatedControlNode", life: int, request: int, command: Command
     ) -> None:
         """Take a command of another node, as the leader."""
 
--- a/src/finchshed/emulator/control/operators.py
+++ b/src/finchshed/emulator/control/operators.py
@@ -10,7 +10,7 @@
 
 from finchshed.configuration.changes import Accepted, Change, ChangeResult, Conflict, Invalid
 from finchshed.control.state.commands import ApplyChange, CommandResult
-from finchshed.emulator.control.node import REQUEST_SECONDS, ControlNode
+from finchshed.emulator.control.node import REQUEST_SECONDS, SimulatedControlNode
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.network import Site
 from finchshed.emulator.simulation import Simulation
@@ -31,7 +31,7 @@
     ended: bool = False
 
 
-class Operator(Process):
+class SimulatedOperator(Process):
     """One operator's client.
 
     Parameters
@@ -41,7 +41,11 @@
     """
 
     def __init__(
-        self, simulation: Simulation, site: Site, nodes: tuple[ControlNode, ...], first_node: int
+        self,
+        simulation: Simulation,
+        site: Site,
+        nodes: tuple[SimulatedControlNode, ...],
+        first_node: int,
     ) -> None:
         super().__init__(simulation, site)
         self._nodes = nodes
--- a/src/finchshed/emulator/control/planes.py
+++ b/src/finchshed/emulator/control/planes.py
@@ -10,7 +10,7 @@
 from finchshed.emulator import acts
 from finchshed.emulator.control.group import PLATFORM_LAG_SECONDS, ControlGroup
 from finchshed.emulator.daemons.control_connection import ControlConnection
-from finchshed.emulator.daemons.daemon import Daemon
+from finchshed.emulator.daemons.daemon import SimulatedDaemon
 from finchshed.emulator.daemons.follower_shell import FollowerDisk, FollowerShell
 from finchshed.emulator.plain_control import COMMIT_SECONDS, PlainControl
 from finchshed.emulator.simulation import Simulation
@@ -30,7 +30,7 @@
         self._simulation = simulation
         self._group = ControlGroup(simulation, zones, count)
         self._disks: dict[str, FollowerDisk] = {}
-        self._daemons: list[Daemon] = []
+        self._daemons: list[SimulatedDaemon] = []
         self._reachable: dict[str, bool] = {}
         self.crash = self._group.crash
         self.freeze = self._group.freeze
@@ -40,7 +40,7 @@
         self.list_live = self._group.list_live
         self.list_leaving = self._group.list_leaving
 
-    def connect(self, daemon: Daemon) -> ControlConnection:
+    def connect(self, daemon: SimulatedDaemon) -> ControlConnection:
         """Return the daemon's follower and its connection to control."""
         disk = self._disks.get(daemon.name)
         if disk is None:
@@ -64,7 +64,9 @@
         )
         return ControlConnection(shell.client, shell)
 
-    def start(self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[Daemon]) -> None:
+    def start(
+        self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[SimulatedDaemon]
+    ) -> None:
         """Form the group, declare the first configuration and let daemons follow."""
         self._daemons = daemons
         self._group.start(endpoints, policy)
@@ -99,18 +101,20 @@
     def __init__(self, simulation: Simulation) -> None:
         self._clock = simulation.clock
         self._control = PlainControl(simulation)
-        self._daemons: list[Daemon] = []
+        self._daemons: list[SimulatedDaemon] = []
         self._endpoints: dict[str, Endpoint] = {}
         self._policy = Policy()
         self._revision = 1
 
-    def connect(self, daemon: Daemon) -> ControlConnection:
+    def connect(self, daemon: SimulatedDaemon) -> ControlConnection:
         """Return the one control process; a daemon that starts anew is configured soon."""
         if self._daemons:
             daemon.call_later(2 * COMMIT_SECONDS, self._configure, daemon)
         return ControlConnection(self._control)
 
-    def start(self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[Daemon]) -> None:
+    def start(
+        self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[SimulatedDaemon]
+    ) -> None:
         """Configure every daemon."""
         self._endpoints = {endpoint.name: endpoint for endpoint in endpoints}
         self._policy = policy
@@ -156,7 +160,7 @@
     def note_reachability(self) -> None:
         """Do nothing: control is always in reach."""
 
-    def _configure(self, daemon: Daemon) -> None:
+    def _configure(self, daemon: SimulatedDaemon) -> None:
         daemon.configure(self._endpoints.values(), self._policy, self._revision)
         if not daemon.is_serving:
             daemon.start_serving()
--- a/src/finchshed/emulator/daemons/accepted_link.py
+++ b/src/finchshed/emulator/daemons/accepted_link.py
@@ -7,7 +7,7 @@
 from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.request import Request
+from finchshed.emulator.request import SimulatedRequest
 from finchshed.link.messages import (
     Reply,
 )
@@ -22,7 +22,7 @@
 
     epoch: str
     call: int
-    request: Request
+    request: SimulatedRequest
     context: CallContext
     revision: int
 
@@ -56,10 +56,10 @@
 class ServingDaemon(Protocol):
     """What the serving end of a link needs of its daemon."""
 
-    def take_call(self, link: "AcceptedLink", message: CallMessage) -> None:
+    def take_call(self, link: "SimulatedAcceptedLink", message: CallMessage) -> None:
         """Take a call."""
 
-    def give_up_call(self, link: "AcceptedLink", call: int) -> None:
+    def give_up_call(self, link: "SimulatedAcceptedLink", call: int) -> None:
         """Drop a call whose caller has given up or is gone."""
 
     def load_report(self) -> LoadReport:
@@ -78,7 +78,7 @@
         ...
 
 
-class AcceptedLink:
+class SimulatedAcceptedLink:
     """The serving end of a link."""
 
     def __init__(
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -25,14 +25,14 @@
 from finchshed.daemon.serving.accounts import ServedRequest
 from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.backend import HEADER_DRAINING, BackEnd
-from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
+from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.daemons.guarded import LEDGER_TIMEOUT_SECONDS, GuardedStart
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 from finchshed.emulator.daemons.outgoing import SHED_REASONS
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.daemons.serving_sessions import ServingSessions
-from finchshed.emulator.daemons.work import Work
-from finchshed.emulator.request import Request
+from finchshed.emulator.daemons.work import SimulatedWork
+from finchshed.emulator.request import SimulatedRequest
 from finchshed.link.digests import digest_of
 from finchshed.link.messages import Reply
 from finchshed.proof.history import Admission
@@ -49,7 +49,7 @@
 """Time to the back end or back over the loopback."""
 
 
-class Callee:
+class SimulatedCallee:
     """Serves calls with the local back end."""
 
     def __init__(
@@ -72,8 +72,8 @@
         self._revision = revision
         self._recorder = process.simulation.recorder
         self._gate = Gate(back_end.slots, rng, process.now)
-        self._works: dict[int, Work] = {}
-        self._by_call: dict[tuple[str, int], Work] = {}
+        self._works: dict[int, SimulatedWork] = {}
+        self._by_call: dict[tuple[str, int], SimulatedWork] = {}
         self._served: dict[str, ServedRequest] = {}
         self._sessions = ServingSessions(process, back_end)
         self._guarded = GuardedStart(
@@ -111,16 +111,16 @@
         """Return a request being served, by its account."""
         return self._served.get(account)
 
-    def call_on_began(self, account: str, request: Request) -> None:
+    def call_on_began(self, account: str, request: SimulatedRequest) -> None:
         """Take note of a call that the back end makes for a request it serves."""
         self._paths.on_call(account, request.hop.service, request.kind)
 
-    def take(self, link: AcceptedLink, message: CallMessage) -> None:
+    def take(self, link: SimulatedAcceptedLink, message: CallMessage) -> None:
         """Take a call."""
         now = self._process.now
         token = self._next_token
         self._next_token += 1
-        work = Work(token, link, message, now + message.context.remaining_seconds)
+        work = SimulatedWork(token, link, message, now + message.context.remaining_seconds)
         reason = self._reason_not_to_take(work)
         if reason is not None:
             self._reply(link, message, self._refused(reason), message.context.spare_attempts)
@@ -130,7 +130,7 @@
         path_threshold = self._paths.threshold(message.request.kind, now)
         self._apply(self._gate.arrive(token, work.rank_context(), now, path_threshold))
 
-    def _reason_not_to_take(self, work: Work) -> RefusalReason | None:
+    def _reason_not_to_take(self, work: SimulatedWork) -> RefusalReason | None:
         """Return why a call is refused before the gate; open its session if it isn't."""
         if not self.may_serve:
             return RefusalReason.NO_CONFIGURATION
@@ -138,7 +138,7 @@
             return RefusalReason.DRAINING
         return self._sessions.open_for(work)
 
-    def give_up(self, link: AcceptedLink, call: int) -> None:
+    def give_up(self, link: SimulatedAcceptedLink, call: int) -> None:
         """Drop a call whose caller has given up or is gone."""
         work = self._by_call.get((link.epoch, call))
         if work is None:
@@ -181,7 +181,7 @@
                 refused = Refused(effect.reason, effect.retry_after)
                 self._reply(work.link, work.message, refused, work.message.context.spare_attempts)
 
-    def _note_admission(self, work: Work, admitted: bool) -> None:
+    def _note_admission(self, work: SimulatedWork, admitted: bool) -> None:
         context = work.message.context
         self._recorder.note(
             Admission(
@@ -195,13 +195,13 @@
             )
         )
 
-    def _start(self, work: Work) -> None:
+    def _start(self, work: SimulatedWork) -> None:
         if work.repeatable:
             self._send_to_back_end(work)
             return
         self._guarded.ask(work)
 
-    def _send_to_back_end(self, work: Work) -> None:
+    def _send_to_back_end(self, work: SimulatedWork) -> None:
         work.state = WorkState.AT_BACKEND
         context = work.message.context
         work.account = f"{self._process.name}.{self._process.life}.{work.token}"
@@ -219,7 +219,7 @@
 
         work.cancel_back_end = self._back_end.serve(served, returned)
 
-    def _returned(self, work: Work, outcome: Outcome) -> None:
+    def _returned(self, work: SimulatedWork, outcome: Outcome) -> None:
         if work.state is not WorkState.AT_BACKEND:
             return
         if isinstance(outcome, Answered) and (HEADER_DRAINING, "1") in outcome.headers:
@@ -244,7 +244,7 @@
             self._ledger.cancel(key, work.ledger_attempt)
         self._finish(work, outcome)
 
-    def _blaming(self, work: Work, outcome: Outcome) -> Outcome:
+    def _blaming(self, work: SimulatedWork, outcome: Outcome) -> Outcome:
         """Mark a server error that is due to a call the back end made."""
         if not isinstance(outcome, Answered) or outcome.status < SERVER_ERROR:
             return outcome
@@ -253,13 +253,13 @@
         headers = (*outcome.headers, (HEADER_DOWNSTREAM, "1"))
         return Answered(outcome.status, headers, outcome.body)
 
-    def _finish(self, work: Work, outcome: Outcome) -> None:
+    def _finish(self, work: SimulatedWork, outcome: Outcome) -> None:
         if work.state is WorkState.DONE:
             return
         spare = self._end(work, result_of(outcome))
         self._reply(work.link, work.message, outcome, spare)
 
-    def _end(self, work: Work, result: CallResult) -> int:
+    def _end(self, work: SimulatedWork, result: CallResult) -> int:
         spare = work.message.context.spare_attempts
         if work.account:
             spare = self._accounts.close(work.account)
@@ -269,14 +269,14 @@
         self._apply(self._gate.finish(work.token, result, self._process.now))
         return spare
 
-    def _forget(self, work: Work) -> None:
+    def _forget(self, work: SimulatedWork) -> None:
         work.state = WorkState.DONE
         self._works.pop(work.token, None)
         self._by_call.pop((work.message.epoch, work.message.call), None)
         self._sessions.answered(work)
 
     def _reply(
-        self, link: AcceptedLink, message: CallMessage, outcome: Outcome, spare: int
+        self, link: SimulatedAcceptedLink, message: CallMessage, outcome: Outcome, spare: int
     ) -> None:
         digest = digest_of(outcome.body) if isinstance(outcome, Answered) else ""
         link.reply(
--- a/src/finchshed/emulator/daemons/control_client.py
+++ b/src/finchshed/emulator/daemons/control_client.py
@@ -14,7 +14,7 @@
 from finchshed.distribution.addresses import AddressBook, ControlAddress
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import ControlToDaemon, Delta, Hints, Redirect, Subscribe
-from finchshed.emulator.control.node import ControlNode
+from finchshed.emulator.control.node import SimulatedControlNode
 from finchshed.emulator.daemons.ledger_client import OnLedgerResult
 from finchshed.emulator.daemons.process import Process
 
@@ -52,19 +52,19 @@
 
 @dataclass(slots=True, eq=False)
 class _Pending:
-    send: Callable[[ControlNode, int, int], None]
+    send: Callable[[SimulatedControlNode, int, int], None]
     done: Callable[[CommandResult | None], None]
     sent: bool = False
 
 
-class ControlClient:
+class SimulatedControlClient:
     """Keeps a connection to one control node, in one life of a daemon."""
 
     def __init__(
         self,
         process: Process,
         identity: ClientIdentity,
-        nodes: Mapping[str, ControlNode],
+        nodes: Mapping[str, SimulatedControlNode],
         owner: ClientOwner,
         rng: random.Random,
     ) -> None:
@@ -77,7 +77,7 @@
         self._book = AddressBook(addresses, identity.zone, rng)
         self._epoch = 0
         self._address: ControlAddress | None = None
-        self._node: ControlNode | None = None
+        self._node: SimulatedControlNode | None = None
         self._node_life = 0
         self._is_connected = False
         self._is_subscribed = False
@@ -105,7 +105,7 @@
     def begin(self, key: str, attempt: str, timeout: float, done: OnLedgerResult) -> None:
         """Ask leave to run the request under ``key``."""
 
-        def send(node: ControlNode, epoch: int, request: int) -> None:
+        def send(node: SimulatedControlNode, epoch: int, request: int) -> None:
             self._send(node.ledger_begin, self, epoch, request, key, attempt)
 
         pending = _Pending(send, done)  # type: ignore[arg-type]
@@ -120,7 +120,7 @@
     def cancel(self, key: str, attempt: str) -> None:
         """Say that a granted attempt was never sent."""
 
-        def send(node: ControlNode, epoch: int, request: int) -> None:
+        def send(node: SimulatedControlNode, epoch: int, request: int) -> None:
             self._send(node.ledger_cancel, self, epoch, request, key, attempt)
 
         self._request(_Pending(send, _ignore), ABANDON_SECONDS, _nothing)
@@ -130,7 +130,7 @@
     ) -> None:
         """Record the whole answer; ``done`` is called when it is committed, or in time anyway."""
 
-        def send(node: ControlNode, epoch: int, request: int) -> None:
+        def send(node: SimulatedControlNode, epoch: int, request: int) -> None:
             command = CompleteRequest(key, attempt, answer)
             self._send(node.ledger_complete, self, epoch, request, command)
 
@@ -201,7 +201,7 @@
         network.send(self.process.site, node.site, lambda: self._reach(node, epoch))
         self.process.call_later(CONNECT_SECONDS, self._connect_timed_out, epoch)
 
-    def _reach(self, node: ControlNode, epoch: int) -> None:
+    def _reach(self, node: SimulatedControlNode, epoch: int) -> None:
         """Arrive at the control machine, whose operating system answers."""
         self._node_life = node.life
         function = self.on_connected if node.up else self.on_reset
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -12,15 +12,15 @@
 from finchshed.distribution.messages import Delta, Hints
 from finchshed.distribution.snapshot import Configuration
 from finchshed.emulator.backend import BackEnd
-from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
-from finchshed.emulator.daemons.callee import Callee
+from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
+from finchshed.emulator.daemons.callee import SimulatedCallee
 from finchshed.emulator.daemons.configuration_digest import digest_of_configuration
 from finchshed.emulator.daemons.control_connection import ControlConnection
 from finchshed.emulator.daemons.incoming import IncomingRequests, nothing
 from finchshed.emulator.daemons.link import DaemonLink
 from finchshed.emulator.daemons.outgoing import CallingProcess
 from finchshed.emulator.network import Site
-from finchshed.emulator.request import Cancel, Done, Request
+from finchshed.emulator.request import Cancel, Done, SimulatedRequest
 from finchshed.emulator.simulation import Simulation
 from finchshed.proof.history import RevisionInForce
 from finchshed.retry.account import RetryAccounts
@@ -32,19 +32,19 @@
 LOCAL_DELAY_SECONDS: Final = 0.0002
 
 
-class Directory(Protocol):
+class DaemonsByName(Protocol):
     """Where a daemon finds the processes of other daemons."""
 
-    def daemon_of(self, endpoint: str) -> "Daemon":
+    def daemon_of(self, endpoint: str) -> "SimulatedDaemon":
         """Return the daemon beside an endpoint."""
         ...
 
-    def node_called(self, name: str) -> "Daemon | None":
+    def node_called(self, name: str) -> "SimulatedDaemon | None":
         """Return the daemon of this name: an endpoint's or an edge."""
         ...
 
 
-class Daemon(CallingProcess):
+class SimulatedDaemon(CallingProcess):
     """One daemon process.
 
     Parameters
@@ -59,8 +59,8 @@
         self,
         simulation: Simulation,
         site: Site,
-        directory: Directory,
-        connect: Callable[["Daemon"], ControlConnection],
+        directory: DaemonsByName,
+        connect: Callable[["SimulatedDaemon"], ControlConnection],
         back_end: BackEnd | None,
     ) -> None:
         super().__init__(simulation, site)
@@ -77,7 +77,7 @@
         self.table = RoutingTable(self.site.zone, REGION, self.random, owner=self.name)
         self.accounts = RetryAccounts()
         self._links: dict[str, DaemonLink] = {}
-        self._accepted: list[AcceptedLink] = []
+        self._accepted: list[SimulatedAcceptedLink] = []
         self._linked_at: dict[str, float] = {}
         self._listed: set[str] = set()
         self._began_at = self.now
@@ -86,9 +86,9 @@
         self.held_revision = 0
         self._digest = ""
         self._connection = self._connect(self)
-        self.callee: Callee | None = None
+        self.callee: SimulatedCallee | None = None
         if self.back_end is not None:
-            self.callee = Callee(
+            self.callee = SimulatedCallee(
                 self,
                 self.back_end,
                 ledger=self._connection.ledger,
@@ -135,7 +135,7 @@
         self._note_in_force()
         self.table.replace(self._endpoints, self.now)
 
-    def call(self, request: Request, done: Done) -> Cancel:
+    def call(self, request: SimulatedRequest, done: Done) -> Cancel:
         """Take a request over HTTP from an outside caller or the back end beside it."""
         if not self.up:
             done(Refused(RefusalReason.CONNECT_FAILED, 0.1, "connection refused"))
@@ -148,7 +148,7 @@
         self.call_later(LOCAL_DELAY_SECONDS, take)
         return lambda: self.dispatch(self.life, holder[0]) if holder else None
 
-    def _take(self, request: Request, done: Done) -> Cancel:
+    def _take(self, request: SimulatedRequest, done: Done) -> Cancel:
         life = self.life
 
         def answer(outcome: Outcome) -> None:
@@ -187,17 +187,17 @@
 
     def accept(self, link: DaemonLink, epoch: str) -> None:
         """Take a connection of another daemon."""
-        accepted = AcceptedLink(self, self, link, epoch)
+        accepted = SimulatedAcceptedLink(self, self, link, epoch)
         self._accepted = [held for held in self._accepted if held.open]
         self._accepted.append(accepted)
         self.send(link.process, link.on_accepted, epoch, accepted, self.incarnation())
 
-    def take_call(self, link: AcceptedLink, message: CallMessage) -> None:
+    def take_call(self, link: SimulatedAcceptedLink, message: CallMessage) -> None:
         """Take a call."""
         if self.callee is not None:
             self.callee.take(link, message)
 
-    def give_up_call(self, link: AcceptedLink, call: int) -> None:
+    def give_up_call(self, link: SimulatedAcceptedLink, call: int) -> None:
         """Drop a call whose caller has given up."""
         if self.callee is not None:
             self.callee.give_up(link, call)
@@ -227,7 +227,7 @@
             self.send(target, target.answer_fetch, self, self.life, revision, done)
 
     def answer_fetch(
-        self, peer: "Daemon", life: int, revision: int, done: Callable[[Delta], None]
+        self, peer: "SimulatedDaemon", life: int, revision: int, done: Callable[[Delta], None]
     ) -> None:
         """Send a peer what follows ``revision``."""
         if self._connection.follower is not None:
--- a/src/finchshed/emulator/daemons/follower_shell.py
+++ b/src/finchshed/emulator/daemons/follower_shell.py
@@ -25,8 +25,8 @@
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import Delta, Hints
 from finchshed.distribution.snapshot import Configuration
-from finchshed.emulator.control.node import ControlNode
-from finchshed.emulator.daemons.control_client import ControlClient
+from finchshed.emulator.control.node import SimulatedControlNode
+from finchshed.emulator.daemons.control_client import SimulatedControlClient
 from finchshed.emulator.daemons.process import Process
 
 TICK_SECONDS: Final = 0.5
@@ -41,7 +41,7 @@
     record: FollowerRecord | None = None
 
 
-class FollowerListener(Protocol):
+class SimulatedFollowerListener(Protocol):
     """What a daemon does when its follower asks for it."""
 
     def take_effect(self, current: Configuration) -> None:
@@ -67,9 +67,9 @@
         self,
         process: Process,
         identity: ClientIdentity,
-        nodes: Mapping[str, ControlNode],
+        nodes: Mapping[str, SimulatedControlNode],
         *,
-        listener: FollowerListener,
+        listener: SimulatedFollowerListener,
         disk: FollowerDisk,
         rng: random.Random,
     ) -> None:
@@ -81,7 +81,7 @@
             has_disk=disk.has_disk,
             record=disk.record,
         )
-        self.client = ControlClient(process, identity, nodes, self, rng)
+        self.client = SimulatedControlClient(process, identity, nodes, self, rng)
 
     def start(self) -> None:
         """Follow from now on."""
--- a/src/finchshed/emulator/daemons/guarded.py
+++ b/src/finchshed/emulator/daemons/guarded.py
@@ -10,7 +10,7 @@
 from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.daemons.work import Work
+from finchshed.emulator.daemons.work import SimulatedWork
 from finchshed.ledger.results import Completed, Granted, LedgerResult, OutcomeUnknown
 
 LEDGER_TIMEOUT_SECONDS: Final = 1.0
@@ -28,8 +28,8 @@
         process: Process,
         ledger: LedgerClient,
         *,
-        send: Callable[[Work], None],
-        finish: Callable[[Work, Outcome], None],
+        send: Callable[[SimulatedWork], None],
+        finish: Callable[[SimulatedWork, Outcome], None],
         retry_after: Callable[[], float],
     ) -> None:
         self._process = process
@@ -38,7 +38,7 @@
         self._finish = finish
         self._retry_after = retry_after
 
-    def ask(self, work: Work) -> None:
+    def ask(self, work: SimulatedWork) -> None:
         """Ask the ledger for leave to run ``work``."""
         work.state = WorkState.ASKING_LEDGER
         work.asked_at = self._process.now
@@ -51,7 +51,7 @@
             lambda result: self._answered(work, result),
         )
 
-    def _answered(self, work: Work, result: LedgerResult | None) -> None:
+    def _answered(self, work: SimulatedWork, result: LedgerResult | None) -> None:
         if isinstance(result, Granted):
             reason = self._reason_not_to_send(work)
             if reason is None:
@@ -67,7 +67,7 @@
             self._ledger.cancel(work.message.context.key, work.ledger_attempt)
             self._finish(work, Refused(RefusalReason.LEDGER_UNAVAILABLE, self._retry_after()))
 
-    def _reason_not_to_send(self, work: Work) -> RefusalReason | None:
+    def _reason_not_to_send(self, work: SimulatedWork) -> RefusalReason | None:
         now = self._process.now
         if work.abandoned:
             return RefusalReason.CANCELLED
--- a/src/finchshed/emulator/daemons/incoming.py
+++ b/src/finchshed/emulator/daemons/incoming.py
@@ -14,10 +14,10 @@
 from finchshed.configuration.resources import Policy
 from finchshed.daemon.calling.pins import SessionPins
 from finchshed.daemon.request import Request as DaemonRequest
-from finchshed.emulator.daemons.callee import Callee
-from finchshed.emulator.daemons.outgoing import CallingProcess, OnFinish, OutgoingCall
+from finchshed.emulator.daemons.callee import SimulatedCallee
+from finchshed.emulator.daemons.outgoing import CallingProcess, OnFinish, SimulatedOutgoingCall
 from finchshed.emulator.daemons.serving_sessions import SESSION_IDLE_SECONDS
-from finchshed.emulator.request import Cancel, Done, Request
+from finchshed.emulator.request import Cancel, Done, SimulatedRequest
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.retry.policy import retry_after
@@ -29,7 +29,7 @@
 class _Joined:
     """A root request in progress, and the repeats that joined it."""
 
-    outgoing: OutgoingCall
+    outgoing: SimulatedOutgoingCall
     waiting: dict[str, Done] = field(default_factory=dict)
 
 
@@ -47,7 +47,7 @@
         process: CallingProcess,
         table: RoutingTable,
         accounts: RetryAccounts,
-        callee: Callee | None,
+        callee: SimulatedCallee | None,
     ) -> None:
         self._process = process
         self._table = table
@@ -66,7 +66,7 @@
             self._buckets.clear()
         self._policy = policy
 
-    def take(self, request: Request, answer: Done) -> Cancel:
+    def take(self, request: SimulatedRequest, answer: Done) -> Cancel:
         """Send a request on; one of a root request in progress joins it."""
         if request.parent:
             return self._call_on(request, answer)
@@ -78,7 +78,7 @@
         joined = held
         return lambda: self._leave(joined, request.call)
 
-    def _start_root(self, request: Request, answer: Done) -> _Joined:
+    def _start_root(self, request: SimulatedRequest, answer: Done) -> _Joined:
         context = CallContext(
             request.root,
             request.importance,
@@ -114,7 +114,7 @@
         if joined.waiting.pop(call, None) is not None and not joined.waiting:
             joined.outgoing.cancel()
 
-    def _call_on(self, request: Request, answer: Done) -> Cancel:
+    def _call_on(self, request: SimulatedRequest, answer: Done) -> Cancel:
         served = None if self._callee is None else self._callee.served(request.account)
         if self._callee is None or served is None:
             answer(Refused(RefusalReason.CANCELLED, retry_after(0.0, self._process.random)))
@@ -146,8 +146,8 @@
         return outgoing.cancel
 
     def _outgoing(
-        self, request: Request, context: CallContext, pinned: str, finished: OnFinish
-    ) -> OutgoingCall:
+        self, request: SimulatedRequest, context: CallContext, pinned: str, finished: OnFinish
+    ) -> SimulatedOutgoingCall:
         service = request.hop.service
         bucket = self._buckets.get(service)
         if bucket is None:
@@ -164,10 +164,10 @@
             pinned=pinned,
             route=request.kind,
         )
-        return OutgoingCall(self._process, logic, request, context, finished)
+        return SimulatedOutgoingCall(self._process, logic, request, context, finished)
 
 
-def _as_pinned(request: Request, context: CallContext) -> DaemonRequest:
+def _as_pinned(request: SimulatedRequest, context: CallContext) -> DaemonRequest:
     """Return the request as session pins see it."""
     return DaemonRequest(
         service=request.hop.service,
--- a/src/finchshed/emulator/daemons/link.py
+++ b/src/finchshed/emulator/daemons/link.py
@@ -11,9 +11,9 @@
 from finchshed.admission.load_report import LoadReport
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import RefusalReason
-from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
+from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.request import Request
+from finchshed.emulator.request import SimulatedRequest
 from finchshed.link.messages import (
     Reply,
 )
@@ -24,14 +24,14 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class SimulatedAttempt:
     """One attempt of a call on its way to an endpoint.
 
     ``on_reply`` gets the reply, or None when the link broke after the send; ``on_unsent`` is
     called if the attempt was never sent.
     """
 
-    request: Request
+    request: SimulatedRequest
     context: CallContext
     deadline: float
     on_reply: Callable[[Reply | None], None]
@@ -82,17 +82,17 @@
         self._target = target
         self._target_life = 0
         self._accept = accept
-        self._accepted: AcceptedLink | None = None
+        self._accepted: SimulatedAcceptedLink | None = None
         self._connecting = False
         self._connections = 0
         self._epoch = ""
         self._next_call = 1
-        self._pending: dict[int, Attempt] = {}
-        self._waiting: list[Attempt] = []
+        self._pending: dict[int, SimulatedAttempt] = {}
+        self._waiting: list[SimulatedAttempt] = []
         self._heard_at = 0.0
         self._not_before = 0.0
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: SimulatedAttempt) -> None:
         """Send an attempt, opening the link first where needed."""
         if self.connected:
             self._send_call(attempt)
@@ -104,7 +104,7 @@
         if not self._connecting:
             self._connect()
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: SimulatedAttempt) -> None:
         """Give an attempt up; neither of its callbacks is called any more."""
         attempt.withdrawn = True
         if self._pending.pop(attempt.identity, None) is not None and self._accepted is not None:
@@ -124,7 +124,7 @@
                 self.process.site, target.site, lambda: target.dispatch(life, accepted.close)
             )
 
-    def on_accepted(self, epoch: str, accepted: AcceptedLink, incarnation: str) -> None:
+    def on_accepted(self, epoch: str, accepted: SimulatedAcceptedLink, incarnation: str) -> None:
         """Take the peer's first line."""
         if epoch != self._epoch or not self._connecting:
             return
@@ -188,7 +188,7 @@
         if epoch == self._epoch and self._connecting:
             self._break()
 
-    def _send_call(self, attempt: Attempt) -> None:
+    def _send_call(self, attempt: SimulatedAttempt) -> None:
         remaining = attempt.deadline - self.process.now
         if remaining <= 0.0:
             attempt.on_unsent(RefusalReason.DEADLINE)
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -18,9 +18,9 @@
     Refused,
 )
 from finchshed.emulator.clock import Timer
-from finchshed.emulator.daemons.link import Attempt, DaemonLink
+from finchshed.emulator.daemons.link import DaemonLink, SimulatedAttempt
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.request import Request
+from finchshed.emulator.request import SimulatedRequest
 from finchshed.link.digests import digest_of
 from finchshed.link.messages import (
     Reply,
@@ -54,7 +54,7 @@
         raise NotImplementedError
 
 
-class OutgoingCall:
+class SimulatedOutgoingCall:
     """Carries out the effects of one call's state machine.
 
     Attributes
@@ -67,7 +67,7 @@
         self,
         daemon: CallingProcess,
         logic: CallerLogic,
-        request: Request,
+        request: SimulatedRequest,
         context: CallContext,
         on_finish: OnFinish,
     ) -> None:
@@ -78,7 +78,7 @@
         self._deadline = daemon.now + context.remaining_seconds
         self._on_finish = on_finish
         self._timer: Timer | None = None
-        self._attempts: dict[int, tuple[Attempt, DaemonLink]] = {}
+        self._attempts: dict[int, tuple[SimulatedAttempt, DaemonLink]] = {}
         self._was_sent = False
         self.endpoint = ""
         self._recorder = daemon.simulation.recorder
@@ -108,7 +108,7 @@
         self.endpoint = effect.endpoint.name
         remaining = self._deadline - self._process.now
         context = self._context.for_attempt(remaining, effect.lent_attempts)
-        attempt = Attempt(
+        attempt = SimulatedAttempt(
             self._request,
             context,
             self._deadline,
--- a/src/finchshed/emulator/daemons/serving_sessions.py
+++ b/src/finchshed/emulator/daemons/serving_sessions.py
@@ -8,7 +8,7 @@
 from finchshed.common.outcomes import RefusalReason
 from finchshed.emulator.backend import BackEnd
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.daemons.work import Work
+from finchshed.emulator.daemons.work import SimulatedWork
 from finchshed.session.table import NotOpened, SessionTable
 
 SESSION_IDLE_SECONDS: Final = 60.0
@@ -23,11 +23,11 @@
         self._back_end = back_end
         self._table = SessionTable()
 
-    def is_running(self, work: Work) -> bool:
+    def is_running(self, work: SimulatedWork) -> bool:
         """Whether the call belongs to a session that was opened here."""
         return bool(work.session and self._table.get(work.session))
 
-    def open_for(self, work: Work) -> RefusalReason | None:
+    def open_for(self, work: SimulatedWork) -> RefusalReason | None:
         """Open the call's session, if it has one; return why that can't be."""
         session = work.session
         if not session:
@@ -46,17 +46,17 @@
         self._table.on_request(session, self._process.now)
         return None
 
-    def admitted(self, work: Work) -> None:
+    def admitted(self, work: SimulatedWork) -> None:
         """Take note that the gate let the call in."""
         if work.session:
             self._table.admit(work.session)
 
-    def refused(self, work: Work) -> None:
+    def refused(self, work: SimulatedWork) -> None:
         """Take note that the gate refused the call: a session it would have opened is none."""
         if work.opens_session:
             self._table.refuse(work.session)
 
-    def answered(self, work: Work) -> None:
+    def answered(self, work: SimulatedWork) -> None:
         """Take note of the end of the call."""
         if work.session:
             self._table.on_answer(work.session, self._process.now)
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -6,16 +6,16 @@
 
 from finchshed.common.context import CallContext
 from finchshed.daemon.serving.work_state import WorkState
-from finchshed.emulator.daemons.accepted_link import AcceptedLink, CallMessage
+from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.request import Cancel
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class SimulatedWork:
     """One call being served."""
 
     token: int
-    link: AcceptedLink
+    link: SimulatedAcceptedLink
     message: CallMessage
     deadline: float
     state: WorkState = WorkState.QUEUED
--- a/src/finchshed/emulator/recorder.py
+++ b/src/finchshed/emulator/recorder.py
@@ -4,7 +4,7 @@
 
 from finchshed.common.outcomes import Answered, Outcome, Refused
 from finchshed.emulator.clock import Clock
-from finchshed.emulator.request import Request
+from finchshed.emulator.request import SimulatedRequest
 from finchshed.link.digests import digest_of
 from finchshed.proof.history import (
     HEADER_ANSWER_DIGEST,
@@ -30,7 +30,7 @@
         """Present time, for the events' ``time``."""
         return self._clock.now
 
-    def call_began(self, request: Request) -> None:
+    def call_began(self, request: SimulatedRequest) -> None:
         """Record that a caller sends ``request``."""
         self.note(
             CallBegan(
--- a/src/finchshed/emulator/request.py
+++ b/src/finchshed/emulator/request.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class SimulatedRequest:
     """A request as a caller hands it to its daemon.
 
     Attributes
@@ -43,6 +43,6 @@
 class Path(Protocol):
     """What a caller sends through: a daemon, or a baseline's client."""
 
-    def call(self, request: Request, done: Done) -> Cancel:
+    def call(self, request: SimulatedRequest, done: Done) -> Cancel:
         """Send ``request``; ``done`` is called once. The result cancels the call."""
         ...
--- a/src/finchshed/emulator/run.py
+++ b/src/finchshed/emulator/run.py
@@ -43,7 +43,7 @@
     retry_budget: int = 3
 
 
-class RunResult(msgspec.Struct):
+class FinishedRun(msgspec.Struct):
     """A finished run.
 
     ``busy_seconds`` are the slot seconds that back ends spent on own work, and
--- a/src/finchshed/emulator/scheme.py
+++ b/src/finchshed/emulator/scheme.py
@@ -7,7 +7,7 @@
 from finchshed.emulator.control.control_plane import ControlPlane
 from finchshed.emulator.control.group import PLATFORM_LAG_SECONDS
 from finchshed.emulator.control.planes import GroupPlane, PlainPlane
-from finchshed.emulator.daemons.daemon import REGION, Daemon
+from finchshed.emulator.daemons.daemon import REGION, SimulatedDaemon
 from finchshed.emulator.faults import UnknownTargetError
 from finchshed.emulator.network import Site
 from finchshed.emulator.request import Path
@@ -41,8 +41,8 @@
         self._back_ends = back_ends
         self._control = _make_control(simulation, specification)
         self._endpoints: dict[str, Endpoint] = {}
-        self._daemons: dict[str, Daemon] = {}
-        self._edges: dict[str, Daemon] = {}
+        self._daemons: dict[str, SimulatedDaemon] = {}
+        self._edges: dict[str, SimulatedDaemon] = {}
         for number, back_end in enumerate(back_ends.values()):
             self._add_back_end(number, back_end)
         for zone in specification.deployment.zones:
@@ -59,11 +59,11 @@
         edge = self._edges[zone]
         return edge.site, edge
 
-    def daemon_of(self, endpoint: str) -> Daemon:
+    def daemon_of(self, endpoint: str) -> SimulatedDaemon:
         """Return the daemon beside an endpoint."""
         return self._daemons[endpoint]
 
-    def node_called(self, name: str) -> Daemon | None:
+    def node_called(self, name: str) -> SimulatedDaemon | None:
         """Return the daemon of this name: an endpoint's or an edge."""
         for daemon in self._every_daemon():
             if daemon.name == name:
@@ -170,31 +170,33 @@
         self._daemons[endpoint.name] = daemon
         back_end.path = daemon
 
-    def _daemon(self, site: Site, back_end: BackEnd | None) -> Daemon:
-        return Daemon(self._simulation, site, self, self._control.connect, back_end)
+    def _daemon(self, site: Site, back_end: BackEnd | None) -> SimulatedDaemon:
+        return SimulatedDaemon(self._simulation, site, self, self._control.connect, back_end)
 
-    def _every_daemon(self) -> list[Daemon]:
+    def _every_daemon(self) -> list[SimulatedDaemon]:
         return [*self._daemons.values(), *self._edges.values()]
 
-    def _node(self, node: str) -> Daemon:
+    def _node(self, node: str) -> SimulatedDaemon:
         daemon = self.node_called(node)
         if daemon is None:
             raise UnknownTargetError(f"no daemon {node!r}")
         return daemon
 
-    def _restart(self, daemon: Daemon) -> None:
+    def _restart(self, daemon: SimulatedDaemon) -> None:
         if daemon.up:
             return
         daemon.restart()
         self._recorder.note(NodeStarted(self._clock.now, daemon.name))
         daemon.begin()
 
-    def _thaw(self, daemon: Daemon, life: int) -> None:
+    def _thaw(self, daemon: SimulatedDaemon, life: int) -> None:
         if daemon.life == life:
             daemon.thaw()
             self._recorder.note(NodeStarted(self._clock.now, daemon.name))
 
-    def _stop_when_idle(self, daemon: Daemon, life: int, stop_after: float, seconds: float) -> None:
+    def _stop_when_idle(
+        self, daemon: SimulatedDaemon, life: int, stop_after: float, seconds: float
+    ) -> None:
         if daemon.life != life:
             return
         back_end = self._back_ends[daemon.name]
@@ -210,7 +212,7 @@
         self._recorder.note(NodeStopped(self._clock.now, daemon.name))
         self._clock.call_later(seconds, self._start_again, daemon, back_end)
 
-    def _start_again(self, daemon: Daemon, back_end: BackEnd) -> None:
+    def _start_again(self, daemon: SimulatedDaemon, back_end: BackEnd) -> None:
         back_end.start()
         self._control.list_live(back_end.endpoint)
         self._recorder.note(EndpointReturned(self._clock.now, back_end.endpoint))
--- a/src/finchshed/emulator/world.py
+++ b/src/finchshed/emulator/world.py
@@ -13,7 +13,7 @@
 from finchshed.emulator.network import Network, Site
 from finchshed.emulator.recorder import Recorder
 from finchshed.emulator.request import Path
-from finchshed.emulator.run import RunResult, RunSpecification
+from finchshed.emulator.run import FinishedRun, RunSpecification
 from finchshed.emulator.scheme import FinchshedScheme
 from finchshed.emulator.simulation import Simulation
 from finchshed.emulator.streams import Streams
@@ -48,7 +48,7 @@
         self.scheme = self._make_scheme()
         self.faults = FaultInjector(self.simulation, self.back_ends, self.scheme)
 
-    def run(self) -> RunResult:
+    def run(self) -> FinishedRun:
         """Run to the end and return what happened."""
         began = time.process_time()
         specification = self.specification
@@ -71,7 +71,7 @@
             else iter(arrivals)
         )
         simulation.clock.run_until(specification.seconds + specification.settle_seconds)
-        return RunResult(
+        return FinishedRun(
             history=simulation.recorder.history,
             roots=callers.roots,
             messages=simulation.network.messages,
@@ -159,6 +159,6 @@
     )
 
 
-def run(specification: RunSpecification) -> RunResult:
+def run(specification: RunSpecification) -> FinishedRun:
     """Run ``specification`` in a fresh world."""
     return World(specification).run()
--- a/src/finchshed/proof/consensus/campaign.py
+++ b/src/finchshed/proof/consensus/campaign.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from finchshed.proof.consensus.run import Verdict, simulate
+from finchshed.proof.consensus.run import ConsensusVerdict, simulate
 
 _SEEDS_PER_TASK = 20
 
 
-class Summary(msgspec.Struct, kw_only=True):
+class ConsensusSummary(msgspec.Struct, kw_only=True):
     """What the seeds of one scenario gave.
 
     Attributes
@@ -26,11 +26,11 @@
     seeds: int = 0
     operations: int = 0
     accepted: int = 0
-    failures: list[Verdict] = msgspec.field(default_factory=list)
+    failures: list[ConsensusVerdict] = msgspec.field(default_factory=list)
     recovery_seconds: list[float] = msgspec.field(default_factory=list)
     counts: Counter[str] = msgspec.field(default_factory=Counter)
 
-    def add(self, verdict: Verdict) -> None:
+    def add(self, verdict: ConsensusVerdict) -> None:
         """Take in one verdict."""
         self.seeds += 1
         self.operations += verdict.operations
@@ -50,11 +50,13 @@
         return self.recovery_seconds[position]
 
 
-def run_campaign(scenarios: Sequence[str], seeds: range, workers: int) -> Iterator[Summary]:
+def run_campaign(
+    scenarios: Sequence[str], seeds: range, workers: int
+) -> Iterator[ConsensusSummary]:
     """Run every scenario under every seed; yield a summary of each scenario as it ends."""
     with ProcessPoolExecutor(workers) as pool:
         for scenario in scenarios:
-            summary = Summary(scenario=scenario)
+            summary = ConsensusSummary(scenario=scenario)
             names = [scenario] * len(seeds)
             for verdict in pool.map(simulate, names, seeds, chunksize=_SEEDS_PER_TASK):
                 summary.add(verdict)
--- a/src/finchshed/proof/consensus/clients.py
+++ b/src/finchshed/proof/consensus/clients.py
@@ -23,7 +23,7 @@
 _CHANCE_OF_HOME = 0.8
 
 
-class History(msgspec.Struct):
+class OperationHistory(msgspec.Struct):
     """What all clients saw.
 
     Attributes
@@ -53,7 +53,7 @@
         self,
         name: str,
         group: Group,
-        history: History,
+        history: OperationHistory,
         rng: random.Random,
         home: str | None = None,
     ) -> None:
--- a/src/finchshed/proof/consensus/command.py
+++ b/src/finchshed/proof/consensus/command.py
@@ -2,7 +2,7 @@
 
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.errors import SettingsError
-from finchshed.proof.consensus.campaign import Summary, run_campaign
+from finchshed.proof.consensus.campaign import ConsensusSummary, run_campaign
 from finchshed.proof.consensus.scenarios import SCENARIOS
 
 DEFAULT_SEEDS = "0..99"
@@ -48,7 +48,7 @@
     return seeds
 
 
-def _lines_of(summary: Summary) -> list[str]:
+def _lines_of(summary: ConsensusSummary) -> list[str]:
     counts = ", ".join(f"{name} {count}" for name, count in sorted(summary.counts.items()))
     lines = [
         f"{summary.scenario}: {summary.seeds} seeds, {len(summary.failures)} failed, "
--- a/src/finchshed/proof/consensus/run.py
+++ b/src/finchshed/proof/consensus/run.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from finchshed.proof.consensus.clients import Client, History
+from finchshed.proof.consensus.clients import Client, OperationHistory
 from finchshed.proof.consensus.group import Group
 from finchshed.proof.consensus.linearizability import is_linearizable
-from finchshed.proof.consensus.scenarios import SCENARIOS, Scenario
+from finchshed.proof.consensus.scenarios import SCENARIOS, ConsensusScenario
 from finchshed.proof.consensus.scheduler import Process
 
 _FIRST_LEADER_SECONDS = 10.0
@@ -15,7 +15,7 @@
 _CHECK_SECONDS = 0.5
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class ConsensusVerdict(msgspec.Struct, frozen=True):
     """Outcome of one simulation.
 
     Attributes
@@ -42,7 +42,7 @@
 """Initial voters of a group that grows: as many as every machine is told of at the start."""
 
 
-def _make_group(name: str, scenario: Scenario, rng: random.Random) -> Group:
+def _make_group(name: str, scenario: ConsensusScenario, rng: random.Random) -> Group:
     if not scenario.sizes:
         return Group(name, rng.choice((3, 3, 5)), scenario.spares)
     size = rng.choice(scenario.sizes)
@@ -50,7 +50,7 @@
     return Group(name, _INITIAL_VOTERS, spares, size.tolerated_failures)
 
 
-class Simulation:
+class ConsensusSimulation:
     """Runs a scenario under a seed."""
 
     def __init__(self, scenario: str, seed: int) -> None:
@@ -60,7 +60,7 @@
         name = f"{scenario}/{seed}"
         rng = random.Random(f"{name}/size")
         self.group = _make_group(name, self._scenario, rng)
-        self.history = History()
+        self.history = OperationHistory()
         self._clients = [
             Client(
                 f"c{number}",
@@ -73,14 +73,14 @@
         ]
         self._recovery_seconds = float("inf")
 
-    def run(self) -> Verdict:
+    def run(self) -> ConsensusVerdict:
         """Run to the end and judge."""
         scheduler = self.group.scheduler
         scheduler.start(self._watch_logs())
         scheduler.run_until(scheduler.start(self._course()))
         self._judge()
         observer = self.group.observer
-        return Verdict(
+        return ConsensusVerdict(
             scenario=self._scenario_name,
             seed=self._seed,
             violations=observer.violations,
@@ -165,6 +165,6 @@
         return longest
 
 
-def simulate(scenario: str, seed: int) -> Verdict:
+def simulate(scenario: str, seed: int) -> ConsensusVerdict:
     """Run one simulation."""
-    return Simulation(scenario, seed).run()
+    return ConsensusSimulation(scenario, seed).run()
--- a/src/finchshed/proof/consensus/scenarios.py
+++ b/src/finchshed/proof/consensus/scenarios.py
@@ -47,7 +47,7 @@
 """Sizes of the deployments known, and one between them."""
 
 
-class Scenario(msgspec.Struct, frozen=True):
+class ConsensusScenario(msgspec.Struct, frozen=True):
     """One kind of failure.
 
     Attributes
@@ -73,34 +73,38 @@
     sizes: tuple[GroupSize, ...] = ()
 
 
-SCENARIOS: Mapping[str, Scenario] = {
-    "formation": Scenario("a disturbed first start", formation, from_start=True),
-    "lossy-links": Scenario("messages lost, repeated, late, reordered", lossy_links),
-    "partitions": Scenario("splits and one-way cuts", partitions),
-    "silent-leader": Scenario("the leader cut off in silence for minutes", silent_leader),
-    "flapping-links": Scenario("links that come and go", flapping_links),
-    "leader-changes": Scenario("each leader taken out soon", leader_changes, clients=8),
-    "freezes": Scenario("processes stopped and continued", freezes),
-    "crashes": Scenario("kills and power cuts in the middle of writes", crashes),
-    "all-restarted": Scenario("all machines lose power at once", all_restarted),
-    "bit-rot": Scenario("damage of synced data", bit_rot),
-    "full-disks": Scenario("disks without room", full_disks),
-    "lost-disks": Scenario("disks lost one after the other", lost_disks),
-    "second-loss": Scenario("a second machine lost during a repair", second_loss),
-    "clocks": Scenario("clocks that step and drift", clocks),
-    "membership": Scenario("members added and removed during cuts", membership, spares=2),
-    "standbys": Scenario("voters away for long, standbys in their places", standbys, spares=2),
-    "replaced-while-cut": Scenario("a name given to a new machine too soon", replaced_while_cut),
-    "losses-at-once": Scenario(
+SCENARIOS: Mapping[str, ConsensusScenario] = {
+    "formation": ConsensusScenario("a disturbed first start", formation, from_start=True),
+    "lossy-links": ConsensusScenario("messages lost, repeated, late, reordered", lossy_links),
+    "partitions": ConsensusScenario("splits and one-way cuts", partitions),
+    "silent-leader": ConsensusScenario("the leader cut off in silence for minutes", silent_leader),
+    "flapping-links": ConsensusScenario("links that come and go", flapping_links),
+    "leader-changes": ConsensusScenario("each leader taken out soon", leader_changes, clients=8),
+    "freezes": ConsensusScenario("processes stopped and continued", freezes),
+    "crashes": ConsensusScenario("kills and power cuts in the middle of writes", crashes),
+    "all-restarted": ConsensusScenario("all machines lose power at once", all_restarted),
+    "bit-rot": ConsensusScenario("damage of synced data", bit_rot),
+    "full-disks": ConsensusScenario("disks without room", full_disks),
+    "lost-disks": ConsensusScenario("disks lost one after the other", lost_disks),
+    "second-loss": ConsensusScenario("a second machine lost during a repair", second_loss),
+    "clocks": ConsensusScenario("clocks that step and drift", clocks),
+    "membership": ConsensusScenario("members added and removed during cuts", membership, spares=2),
+    "standbys": ConsensusScenario(
+        "voters away for long, standbys in their places", standbys, spares=2
+    ),
+    "replaced-while-cut": ConsensusScenario(
+        "a name given to a new machine too soon", replaced_while_cut
+    ),
+    "losses-at-once": ConsensusScenario(
         "as many machines lost at once as must be borne", losses_at_once, sizes=DECLARED_SIZES
     ),
-    "all-off-with-disks-lost": Scenario(
+    "all-off-with-disks-lost": ConsensusScenario(
         "all off at once, as many disks lost as must be borne",
         all_off_with_disks_lost,
         sizes=DECLARED_SIZES,
     ),
-    "replaced-in-a-row": Scenario(
+    "replaced-in-a-row": ConsensusScenario(
         "the initial voters replaced by new machines", replaced_in_a_row, sizes=DECLARED_SIZES
     ),
-    "storm": Scenario("all of these together", storm, spares=1),
+    "storm": ConsensusScenario("all of these together", storm, spares=1),
 }
--- a/src/finchshed/replay/judge.py
+++ b/src/finchshed/replay/judge.py
@@ -33,7 +33,7 @@
 P99 = 0.99
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class StatementVerdict(msgspec.Struct, frozen=True):
     """Whether one statement held. ``problems`` is empty if it did."""
 
     line: int
@@ -61,13 +61,13 @@
         return "answered" if self.answered < math.inf else self.last_result
 
 
-def judge(history: History, outcomes: Outcomes) -> list[Verdict]:
+def judge(history: History, outcomes: Outcomes) -> list[StatementVerdict]:
     """Return a verdict for each statement, in the file's order."""
     judging = _Judge(history)
     verdicts = []
     for line, statement in outcomes.statements:
         problems = tuple(judging.problems_of(statement))
-        verdicts.append(Verdict(line, _title(statement), problems))
+        verdicts.append(StatementVerdict(line, _title(statement), problems))
     return verdicts
 
 
--- a/tests/consensus/broken_variants.py
+++ b/tests/consensus/broken_variants.py
@@ -24,7 +24,7 @@
 from finchshed.consensus.messages import Vote, VoteReply
 from finchshed.consensus.roles import advance_commit, become_follower
 from finchshed.consensus.state import LeaderState, NodeState, PendingRead
-from finchshed.proof.consensus.campaign import Summary
+from finchshed.proof.consensus.campaign import ConsensusSummary
 from finchshed.storage import framing, log_store
 from finchshed.storage.framing import Tail
 from finchshed.storage.journal import Journal, encode_records
@@ -196,7 +196,7 @@
 }
 
 
-def caught_by(name: str, first_seed: int, most_seeds: int) -> Summary:
+def caught_by(name: str, first_seed: int, most_seeds: int) -> ConsensusSummary:
     """Run seeds until one fails."""
     variant = VARIANTS[name]
     with variant.applied():
--- a/tests/consensus/test_group_size.py
+++ b/tests/consensus/test_group_size.py
@@ -7,7 +7,7 @@
 
 from finchshed.consensus.membership import MemberRole
 from finchshed.consensus.options import RaftOptions
-from finchshed.proof.consensus.clients import Client, History
+from finchshed.proof.consensus.clients import Client, OperationHistory
 from finchshed.proof.consensus.group import Group
 from finchshed.proof.consensus.node import SimulatedNode
 from finchshed.proof.consensus.register import Change, ChangeResult
@@ -41,7 +41,7 @@
 
 def change(group: Group, seed: int, patience: float = 20.0) -> ChangeResult | None:
     """Make one change through any node."""
-    client = Client(f"c{seed}", group, History(), random.Random(seed))
+    client = Client(f"c{seed}", group, OperationHistory(), random.Random(seed))
     running = group.scheduler.start(client.change())
     group.scheduler.run_until(running)
     return running.value
--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -16,11 +16,11 @@
 from finchshed.configuration.store import ConfigurationStore
 from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.follower import Follower
-from finchshed.emulator.daemons.accepted_link import AcceptedLink
-from finchshed.emulator.daemons.callee import Callee
-from finchshed.emulator.daemons.daemon import Daemon
+from finchshed.emulator.daemons.accepted_link import SimulatedAcceptedLink
+from finchshed.emulator.daemons.callee import SimulatedCallee
+from finchshed.emulator.daemons.daemon import SimulatedDaemon
 from finchshed.emulator.daemons.link import DaemonLink
-from finchshed.emulator.daemons.outgoing import OutgoingCall
+from finchshed.emulator.daemons.outgoing import SimulatedOutgoingCall
 from finchshed.emulator.scheme import FinchshedScheme
 from finchshed.ledger.ledger import Ledger
 from finchshed.ledger.results import Granted
@@ -77,25 +77,25 @@
 def call_identities_are_used_again(patch: pytest.MonkeyPatch) -> None:
     """Give the identity of a call that was given up to the next call on the link."""
     withdraw = DaemonLink.withdraw
-    on_call = AcceptedLink.on_call
+    on_call = SimulatedAcceptedLink.on_call
 
     def free_identity(self: DaemonLink, attempt: Any) -> None:
         withdraw(self, attempt)
         self._next_call = attempt.identity
 
-    def take_any(self: AcceptedLink, message: Any) -> None:
+    def take_any(self: SimulatedAcceptedLink, message: Any) -> None:
         self._calls.discard(message.call)
         on_call(self, message)
 
     patch.setattr(DaemonLink, "withdraw", free_identity)
-    patch.setattr(AcceptedLink, "on_call", take_any)
+    patch.setattr(SimulatedAcceptedLink, "on_call", take_any)
 
 
 def a_broken_link_counts_as_a_refusal(patch: pytest.MonkeyPatch) -> None:
     """Say that a request didn't run when its link broke after it was sent."""
-    replied = OutgoingCall._replied
+    replied = SimulatedOutgoingCall._replied
 
-    def refuse(self: OutgoingCall, number: int, reply: Any) -> None:
+    def refuse(self: SimulatedOutgoingCall, number: int, reply: Any) -> None:
         if reply is not None:
             replied(self, number, reply)
             return
@@ -103,7 +103,7 @@
         self._attempts.pop(number, None)
         self._apply(self._logic.on_outcome(number, refused, 0, None, self._process.now))
 
-    patch.setattr(OutgoingCall, "_replied", refuse)
+    patch.setattr(SimulatedOutgoingCall, "_replied", refuse)
 
 
 def the_last_attempt_speaks_for_all(patch: pytest.MonkeyPatch) -> None:
@@ -130,26 +130,26 @@
 
 def unknown_outcomes_are_run_again(patch: pytest.MonkeyPatch) -> None:
     """Free a key when the run of its request failed."""
-    returned = Callee._returned
+    returned = SimulatedCallee._returned
 
-    def free(self: Callee, work: Any, outcome: Any) -> None:
+    def free(self: SimulatedCallee, work: Any, outcome: Any) -> None:
         reason = getattr(outcome, "reason", None)
         if not work.repeatable and reason is FailureReason.BACKEND_BROKEN:
             self._ledger.cancel(work.message.context.key, work.ledger_attempt)
         returned(self, work, outcome)
 
-    patch.setattr(Callee, "_returned", free)
+    patch.setattr(SimulatedCallee, "_returned", free)
 
 
 def leaving_is_not_heeded(patch: pytest.MonkeyPatch) -> None:
     """Go on sending to an endpoint that said it leaves, and go on taking its calls."""
     patch.setattr(EndpointView, "set_sign", lambda self, sign, is_leaving: None)
-    patch.setattr(Callee, "drain", lambda self: None)
+    patch.setattr(SimulatedCallee, "drain", lambda self: None)
 
 
 def a_stop_does_not_wait(patch: pytest.MonkeyPatch) -> None:
     """Stop the process while it has work."""
-    patch.setattr(Daemon, "in_progress", property(lambda self: 0))
+    patch.setattr(SimulatedDaemon, "in_progress", property(lambda self: 0))
     wait = FinchshedScheme._stop_when_idle
 
     def stop_at_once(self: Any, daemon: Any, life: int, stop_after: float, seconds: float) -> None:
