--- a/src/finchshed/campaign/command.py
+++ b/src/finchshed/campaign/command.py
@@ -1,4 +1,7 @@
-"""``finchshed prove``: check the stated properties over seeds."""
+"""``finchshed prove``: check the stated properties over seeds.
+
+Owns the flags and what is printed; exit codes are in the command's help.
+"""
 
 import sys
 import time
@@ -22,6 +25,7 @@
 ALL = "all"
 DEFAULT_SEEDS = "1..20"
 PROGRESS_SECONDS = 2.0
+"""Seconds between lines of progress; chosen, not measured."""
 
 
 def prove(
--- a/src/finchshed/campaign/draw.py
+++ b/src/finchshed/campaign/draw.py
@@ -11,6 +11,7 @@
 
 CONTROL_NODES: Final = ("control-1", "control-2", "control-3")
 LONGEST_FAULT_SECONDS: Final = 4.0
+"""Longest fault, seconds; chosen, not measured."""
 
 
 class Draw:
--- a/src/finchshed/campaign/runner.py
+++ b/src/finchshed/campaign/runner.py
@@ -1,4 +1,7 @@
-"""Runs seeds of a scenario and judges their histories; shrinks what fails."""
+"""Runs seeds of a scenario and judges their histories; shrinks what fails.
+
+Owns the result of a seed and the summary of a scenario. One seed gives one history.
+"""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Sequence
@@ -15,6 +18,7 @@
 from finchshed.proof.history_file import History
 
 VIOLATIONS_KEPT = 20
+"""Violations kept of one seed; chosen, not measured."""
 
 
 class SeedResult(msgspec.Struct):
--- a/src/finchshed/campaign/scenarios.py
+++ b/src/finchshed/campaign/scenarios.py
@@ -1,4 +1,7 @@
-"""Scenarios of a campaign: which faults are drawn, on which deployment."""
+"""Scenarios of a campaign: which faults are drawn, on which deployment.
+
+Owns times and sizes of a campaign's runs, and how a seed becomes a plan.
+"""
 
 import random
 from collections.abc import Mapping
@@ -18,8 +21,11 @@
 """Time of the first arrival: the control group has formed by then."""
 
 FAULTS_FROM_SECONDS: Final = 3.0
+"""Earliest fault, seconds; half a second after the first arrival."""
 FAULTS_UNTIL_SECONDS: Final = 6.0
+"""Latest fault, seconds; chosen, not measured."""
 END_SECONDS: Final = 7.5
+"""Time of the last arrival; chosen, not measured."""
 SETTLE_SECONDS: Final = 6.0
 """Time after the last arrival, in which every fault has ended and every bound has run out."""
 
--- a/src/finchshed/emulator/callers.py
+++ b/src/finchshed/emulator/callers.py
@@ -5,6 +5,7 @@
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
+from random import Random
 from typing import Final
 
 import msgspec
@@ -20,6 +21,7 @@
 from finchshed.ledger.keys import new_key
 
 CALLERS: Final = 200
+"""Callers without a session; chosen, not measured."""
 SESSION_CALLERS: Final = 30
 """Callers with a session on an ordinary day; each always comes to the edge of one zone.
 
@@ -85,8 +87,6 @@
     highest = max(highest, 1.0)
     time = begin
     number = 0
-    kinds = deployment.kinds
-    shares = [kind.share for kind in kinds]
     while True:
         time += random.expovariate(deployment.arrivals_per_second * highest)
         if time >= end:
@@ -95,23 +95,30 @@
         if random.random() * highest > factor:
             continue
         number += 1
-        kind = random.choices(kinds, shares)[0]
-        callers = int(SESSION_CALLERS * factor) if kind.session else CALLERS
-        caller_number = random.randrange(max(callers, SESSION_CALLERS))
-        caller = f"caller-{caller_number}"
-        root = f"r{name}{number}"
-        zone = random.choice(deployment.zones)
-        if kind.session:
-            zone = deployment.zones[caller_number % len(deployment.zones)]
-        yield Arrival(
-            time=time,
-            root=root,
-            kind=kind.name,
-            zone=zone,
-            caller=caller,
-            key="" if kind.repeatable else new_key(EPOCH_UNIX_SECONDS + time, random),
-            session=f"s-{caller}" if kind.session else "",
-        )
+        yield _draw_arrival(deployment, random, time, f"r{name}{number}", factor)
+
+
+def _draw_arrival(
+    deployment: Deployment, random: Random, time: float, root: str, factor: float
+) -> Arrival:
+    """Draw kind, caller and zone of a root request; ``factor`` is the demand at that time."""
+    kinds = deployment.kinds
+    kind = random.choices(kinds, [kind.share for kind in kinds])[0]
+    callers = int(SESSION_CALLERS * factor) if kind.session else CALLERS
+    caller_number = random.randrange(max(callers, SESSION_CALLERS))
+    caller = f"caller-{caller_number}"
+    zone = random.choice(deployment.zones)
+    if kind.session:
+        zone = deployment.zones[caller_number % len(deployment.zones)]
+    return Arrival(
+        time=time,
+        root=root,
+        kind=kind.name,
+        zone=zone,
+        caller=caller,
+        key="" if kind.repeatable else new_key(EPOCH_UNIX_SECONDS + time, random),
+        session=f"s-{caller}" if kind.session else "",
+    )
 
 
 def _factor_at(time: float, surges: tuple[Surge, ...]) -> float:
--- a/src/finchshed/emulator/control/group.py
+++ b/src/finchshed/emulator/control/group.py
@@ -19,12 +19,16 @@
 from finchshed.emulator.simulation import Simulation
 
 CONTROL_PORT: Final = 7100
+"""Port in the addresses of control nodes; nothing listens there."""
 OPERATORS: Final = 16
+"""Operators that may change things at once; as many as a trace may name."""
 PLATFORM_LAG_SECONDS: Final = 1.0
 """How late the platform's list of live and leaving machines is."""
 
 HINT_SECONDS: Final = 0.5
+"""Seconds between readings of the platform's list; the default of a control node's settings."""
 RETRY_SECONDS: Final = 0.1
+"""Wait before a declaration is tried again, seconds; chosen, not measured."""
 
 
 class ControlGroup:
--- a/src/finchshed/emulator/control/hub_shell.py
+++ b/src/finchshed/emulator/control/hub_shell.py
@@ -17,7 +17,9 @@
 from finchshed.emulator.daemons.process import Process
 
 TICK_SECONDS: Final = 0.25
+"""Seconds between ticks of the hub; chosen, not measured."""
 CONTACT_SECONDS: Final = 0.4
+"""Seconds between looks whether the node is in contact with a majority; chosen, not measured."""
 
 Confirm = Callable[[Callable[[bool], None]], None]
 
--- a/src/finchshed/emulator/control/log_host.py
+++ b/src/finchshed/emulator/control/log_host.py
@@ -36,7 +36,9 @@
 """Mean time of a write with its sync."""
 
 DISK_RETRY_SECONDS: Final = 0.5
+"""Wait before a full disk is tried again, seconds; chosen, not measured."""
 CHANCE_OF_WRITE_BEFORE_CRASH: Final = 0.5
+"""How often a write on its way at a crash still reaches the disk; chosen, not measured."""
 
 OnResult: TypeAlias = Callable[[CommandResult | None], None]
 """Gets the committed result, or None if the proposal was refused or lost."""
--- a/src/finchshed/emulator/control/node.py
+++ b/src/finchshed/emulator/control/node.py
@@ -26,7 +26,9 @@
 """Longest time for one request over all its tries, as in the settings of a control node."""
 
 TRANSFER_SECONDS: Final = 2.0
+"""Longest time a stopping leader waits for its successor, seconds; chosen, not measured."""
 TRANSFER_POLL_SECONDS: Final = 0.05
+"""Seconds between looks for the successor; chosen, not measured."""
 
 
 class SimulatedControlNode(Process):
--- a/src/finchshed/emulator/control/operators.py
+++ b/src/finchshed/emulator/control/operators.py
@@ -17,8 +17,11 @@
 from finchshed.proof.history import ChangeAnswered, ChangeSubmitted
 
 ANSWER_SECONDS: Final = 6.0
+"""Longest wait for an answer, seconds; chosen, not measured."""
 PAUSE_SECONDS: Final = 0.2
+"""Wait before a change is sent again, seconds; chosen, not measured."""
 MAX_TRIES: Final = 8
+"""Times a change is sent at most; chosen, not measured."""
 
 OnChange = Callable[[ChangeResult | None], None]
 
--- a/src/finchshed/emulator/control/proposals.py
+++ b/src/finchshed/emulator/control/proposals.py
@@ -14,7 +14,9 @@
 from finchshed.emulator.daemons.process import Process
 
 FIRST_PAUSE_SECONDS: Final = 0.02
+"""First wait before a proposal is sent again, seconds; chosen, not measured."""
 LONGEST_PAUSE_SECONDS: Final = 0.5
+"""Longest wait before a proposal is sent again, seconds; chosen, not measured."""
 FORWARD_SECONDS: Final = 1.5
 """A forwarded request unanswered for this long is sent again, perhaps to another leader."""
 
--- a/src/finchshed/emulator/daemons/control_client.py
+++ b/src/finchshed/emulator/daemons/control_client.py
@@ -19,9 +19,13 @@
 from finchshed.emulator.daemons.process import Process
 
 CONNECT_SECONDS: Final = 1.0
+"""Longest wait for a connection, seconds; chosen, not measured."""
 SILENCE_SECONDS: Final = 2.0
+"""Seconds without a sign after which a control node is left; chosen, production has 1.5."""
 HEARTBEAT_SECONDS: Final = 1.0
+"""Seconds between heartbeats; as in production."""
 CHECK_SECONDS: Final = 0.5
+"""Seconds between looks for silence; chosen, production has 0.25."""
 ABANDON_SECONDS: Final = 30.0
 """How long the cancel of an attempt whose grant did not come in time is tried."""
 
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -1,4 +1,8 @@
-"""One emulated daemon: beside a back end, or an edge in front of outside callers."""
+"""One emulated daemon: beside a back end, or an edge in front of outside callers.
+
+Owns the links, the routing table and the configuration of one life of the process. Counterpart of
+:mod:`finchshed.daemon.daemon`, for declared endpoints alone.
+"""
 
 import random
 from collections.abc import Callable, Iterable
@@ -30,6 +34,7 @@
 
 REGION: Final = "region-1"
 LOCAL_DELAY_SECONDS: Final = 0.0002
+"""Seconds to the daemon or back over the loopback; chosen, not measured."""
 
 
 class DaemonsByName(Protocol):
--- a/src/finchshed/emulator/daemons/follower_shell.py
+++ b/src/finchshed/emulator/daemons/follower_shell.py
@@ -30,7 +30,9 @@
 from finchshed.emulator.daemons.process import Process
 
 TICK_SECONDS: Final = 0.5
+"""Seconds between ticks of the follower; chosen, not measured."""
 SYNC_SECONDS: Final = 0.002
+"""Seconds that a write of the record takes; chosen, not measured."""
 
 
 @dataclass(slots=True)
--- a/src/finchshed/emulator/daemons/link.py
+++ b/src/finchshed/emulator/daemons/link.py
@@ -19,8 +19,11 @@
 )
 
 HEARTBEAT_SECONDS: Final = 0.25
+"""Seconds between heartbeats; the default of a daemon's settings."""
 SILENCE_SECONDS: Final = 1.0
+"""Seconds without a sign after which a link is broken; the default of a daemon's settings."""
 CONNECT_TIMEOUT_SECONDS: Final = 0.5
+"""Longest wait for a connection, seconds; the default of a daemon's settings."""
 
 
 @dataclass(slots=True, eq=False)
--- a/src/finchshed/emulator/faults.py
+++ b/src/finchshed/emulator/faults.py
@@ -1,4 +1,8 @@
-"""Carries out acts on a running world."""
+"""Carries out acts on a running world.
+
+Owns when an act begins and ends, and records both. Relies on back ends, network and processes to
+do what it says.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
--- a/src/finchshed/emulator/network.py
+++ b/src/finchshed/emulator/network.py
@@ -17,7 +17,9 @@
 """Zone of outside callers."""
 
 SAME_ZONE_DELAY_SECONDS: Final = 0.0001
-JITTER_SHARE: Final = 0.1
+"""One-way delay within a zone, seconds; chosen, not measured."""
+JITTER_FRACTION: Final = 0.1
+"""Most that a delay is prolonged by, as a fraction of it; chosen, not measured."""
 
 
 @dataclass(slots=True)
@@ -124,7 +126,7 @@
 
     def _schedule(self, source: Site, target: Site, deliver: Callable[[], None]) -> None:
         delay = self.delay_between(source, target)
-        arrival = self._clock.now + delay * (1.0 + JITTER_SHARE * self._random.random())
+        arrival = self._clock.now + delay * (1.0 + JITTER_FRACTION * self._random.random())
         if self.reorder_probability and self._random.random() < self.reorder_probability:
             self._clock.call_at(arrival + self.reorder_seconds * self._random.random(), deliver)
             return
--- a/src/finchshed/emulator/scheme.py
+++ b/src/finchshed/emulator/scheme.py
@@ -22,6 +22,7 @@
 )
 
 STOP_POLL_SECONDS = 0.05
+"""Seconds between looks whether a stopping daemon still has work; chosen, not measured."""
 STOP_LINGER_SECONDS = 0.5
 """Time a stop leaves for late arrivals to come in."""
 
--- a/src/finchshed/emulator/world.py
+++ b/src/finchshed/emulator/world.py
@@ -1,4 +1,7 @@
-"""Puts a deployment together and runs it."""
+"""Puts a deployment together and runs it.
+
+Owns the parts of one run: clock, network, random streams, recorder, back ends, daemons, callers.
+"""
 
 import time
 from typing import Protocol
--- a/src/finchshed/proof/consensus/campaign.py
+++ b/src/finchshed/proof/consensus/campaign.py
@@ -9,6 +9,7 @@
 from finchshed.proof.consensus.run import ConsensusVerdict, simulate
 
 _SEEDS_PER_TASK = 20
+"""Seeds handed to a process at a time; chosen, not measured."""
 
 
 class ConsensusSummary(msgspec.Struct, kw_only=True):
@@ -42,11 +43,11 @@
             self.recovery_seconds.append(verdict.recovery_seconds)
             self.recovery_seconds.sort()
 
-    def recovery_at(self, share: float) -> float:
-        """Return the recovery time that this share of the seeds stayed within."""
+    def recovery_at(self, fraction: float) -> float:
+        """Return the recovery time that this fraction of the seeds stayed within."""
         if not self.recovery_seconds:
             return float("inf")
-        position = min(int(share * len(self.recovery_seconds)), len(self.recovery_seconds) - 1)
+        position = min(int(fraction * len(self.recovery_seconds)), len(self.recovery_seconds) - 1)
         return self.recovery_seconds[position]
 
 
--- a/src/finchshed/proof/consensus/clients.py
+++ b/src/finchshed/proof/consensus/clients.py
@@ -14,13 +14,20 @@
 _THINK_SECONDS = (0.05, 0.8)
 _LINK_SECONDS = (0.0005, 0.005)
 _PATIENCE_SECONDS = 1.5
+"""Longest wait for one answer, seconds; chosen, not measured."""
 _GIVE_UP_SECONDS = 6.0
+"""Longest time a change is tried, seconds; chosen, not measured."""
 _PAUSE_SECONDS = (0.05, 0.4)
 _CHANCE_OF_READ = 0.4
+"""How often a client reads; chosen, not measured."""
 _CHANCE_OF_STALE_REVISION = 0.2
+"""How often a change names a revision too low; chosen, not measured."""
 _CHANCE_OF_LOST_ANSWER = 0.05
+"""How often an answer is lost; chosen, not measured."""
 _CHANCE_OF_HINT = 0.7
+"""How often a client follows the hint to the leader; chosen, not measured."""
 _CHANCE_OF_HOME = 0.8
+"""How often a client asks its own node first; chosen, not measured."""
 
 
 class OperationHistory(msgspec.Struct):
--- a/src/finchshed/proof/consensus/command.py
+++ b/src/finchshed/proof/consensus/command.py
@@ -7,8 +7,10 @@
 
 DEFAULT_SEEDS = "0..99"
 DEFAULT_WORKERS = 2
+"""Processes; chosen, not measured."""
 
 _MOST_FAILURES_SHOWN = 10
+"""Failures printed of one scenario; chosen, not measured."""
 
 
 def prove_consensus(
--- a/src/finchshed/proof/consensus/group.py
+++ b/src/finchshed/proof/consensus/group.py
@@ -16,6 +16,7 @@
 UNLIMITED_BYTES = 1 << 40
 
 _POLL_SECONDS = 0.05
+"""Seconds between looks at a condition; chosen, not measured."""
 
 
 OPTIONS = RaftOptions(
--- a/src/finchshed/replay/command.py
+++ b/src/finchshed/replay/command.py
@@ -18,6 +18,7 @@
 from finchshed.replay.trace import Trace, read_trace
 
 PROBLEMS_SHOWN = 5
+"""Problems printed of one statement; chosen, not measured."""
 
 
 def replay(trace: str, expect: str = "", *, history: str = "") -> int:
--- a/src/finchshed/replay/judge.py
+++ b/src/finchshed/replay/judge.py
@@ -1,4 +1,7 @@
-"""Judges a history against stated outcomes. Works on histories of the emulator and of a fleet."""
+"""Judges a history against stated outcomes.
+
+Works on histories of the emulator and of a fleet; looks at nothing but their events.
+"""
 
 import math
 from collections.abc import Iterator
@@ -30,6 +33,7 @@
 from finchshed.replay.recovery import RECOVERED_FRACTION, recovery_seconds
 
 ERROR_STATUS = 400
+"""Lowest HTTP status of an error (RFC 9110, 15)."""
 P99 = 0.99
 
 
