--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -14,6 +14,7 @@
 from finchshed.admission import rank
 from finchshed.common.outcomes import FailureReason, RefusalReason, Refused
 from finchshed.configuration.store import ConfigurationStore
+from finchshed.daemon.calling.pins import SessionPins
 from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.follower import Follower
 from finchshed.emulator.daemons.accepted_link import SimulatedAcceptedLink
@@ -74,6 +75,11 @@
     patch.setattr(SessionTable, "admit", lambda self, identity: None)
 
 
+def sessions_are_not_pinned(patch: pytest.MonkeyPatch) -> None:
+    """Send each request of a session to any endpoint, which may not know the session."""
+    patch.setattr(SessionPins, "endpoint_of", lambda self, request, table, now: "")
+
+
 def call_identities_are_used_again(patch: pytest.MonkeyPatch) -> None:
     """Give the identity of a call that was given up to the next call on the link."""
     withdraw = DaemonLink.withdraw
@@ -207,6 +213,7 @@
         Variant("retry-bound", "overload", retries_are_not_paid),
         Variant("shed-order", "overload", importance_is_ignored),
         Variant("sessions", "overload", a_refused_request_ends_its_session),
+        Variant("sessions", "overload", sessions_are_not_pinned),
         Variant("whole-answers", "overload", call_identities_are_used_again),
         Variant("refused-not-run", "zone-loss", a_broken_link_counts_as_a_refusal, 9),
         Variant("refused-not-run", "zone-loss", the_last_attempt_speaks_for_all, 9),
