--- a/src/finchshed/emulator/control/proposals.py
+++ b/src/finchshed/emulator/control/proposals.py
@@ -14,12 +14,14 @@
 from finchshed.emulator.daemons.process import Process
 
 FIRST_PAUSE_SECONDS: Final = 0.02
+"""First wait before a proposal is sent again, seconds; chosen, not measured."""
 LONGEST_PAUSE_SECONDS: Final = 0.5
+"""Longest wait before a proposal is sent again, seconds; chosen, not measured."""
 FORWARD_SECONDS: Final = 1.5
 """A forwarded request unanswered for this long is sent again, perhaps to another leader."""
 
 
-class Forwarding(Protocol):
+class SimulatedForwarding(Protocol):
     """Carries a command to the leader and its result back."""
 
     def forward(self, address: str, request: int, command: Command) -> None:
@@ -40,7 +42,7 @@
     """Proposals that came in at one control node, in one life of it."""
 
     def __init__(
-        self, process: Process, host: LogHost, forwarding: Forwarding, rng: random.Random
+        self, process: Process, host: LogHost, forwarding: SimulatedForwarding, rng: random.Random
     ) -> None:
         self._process = process
         self._host = host
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -23,6 +23,7 @@
 )
 from finchshed.common.results import SERVER_ERROR, CallResult, result_of
 from finchshed.daemon.serving.accounts import ServedRequest
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.backend import HEADER_DRAINING, BackEnd
 from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.daemons.guarded import LEDGER_TIMEOUT_SECONDS, GuardedStart
@@ -30,7 +31,7 @@
 from finchshed.emulator.daemons.outgoing import SHED_REASONS
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.daemons.serving_sessions import ServingSessions
-from finchshed.emulator.daemons.work import SimulatedWork, SimulatedWorkState
+from finchshed.emulator.daemons.work import SimulatedWork
 from finchshed.emulator.request import SimulatedRequest
 from finchshed.link.digests import digest_of
 from finchshed.link.messages import Reply
@@ -143,11 +144,11 @@
         if work is None:
             return
         work.abandoned = True
-        if work.state is SimulatedWorkState.QUEUED:
+        if work.state is WorkState.QUEUED:
             effects = self._gate.cancel(work.token, self._process.now)
             self._forget(work)
             self._apply(effects)
-        elif work.state is SimulatedWorkState.AT_BACKEND and work.repeatable:
+        elif work.state is WorkState.AT_BACKEND and work.repeatable:
             if work.cancel_back_end is not None:
                 work.cancel_back_end()
             self._end(work, CallResult.CANCELLED)
@@ -155,7 +156,7 @@
     def abort(self) -> None:
         """Close the connections to the back end, because the process is gone."""
         for work in list(self._works.values()):
-            if work.state is SimulatedWorkState.AT_BACKEND and work.cancel_back_end is not None:
+            if work.state is WorkState.AT_BACKEND and work.cancel_back_end is not None:
                 work.cancel_back_end()
 
     def _tick(self) -> None:
@@ -201,7 +202,7 @@
         self._guarded.ask(work)
 
     def _send_to_back_end(self, work: SimulatedWork) -> None:
-        work.state = SimulatedWorkState.AT_BACKEND
+        work.state = WorkState.AT_BACKEND
         context = work.message.context
         work.account = f"{self._process.name}.{self._process.life}.{work.token}"
         self._accounts.open(work.account, context.spare_attempts)
@@ -219,7 +220,7 @@
         work.cancel_back_end = self._back_end.serve(served, returned)
 
     def _returned(self, work: SimulatedWork, outcome: Outcome) -> None:
-        if work.state is not SimulatedWorkState.AT_BACKEND:
+        if work.state is not WorkState.AT_BACKEND:
             return
         if isinstance(outcome, Answered) and (HEADER_DRAINING, "1") in outcome.headers:
             self.drain()
@@ -227,7 +228,7 @@
         if work.repeatable:
             self._finish(work, outcome)
             return
-        work.state = SimulatedWorkState.RECORDING
+        work.state = WorkState.RECORDING
         self._apply(self._gate.finish(work.token, result_of(outcome), self._process.now))
         key = work.message.context.key
         if isinstance(outcome, Answered):
@@ -253,7 +254,7 @@
         return Answered(outcome.status, headers, outcome.body)
 
     def _finish(self, work: SimulatedWork, outcome: Outcome) -> None:
-        if work.state is SimulatedWorkState.DONE:
+        if work.state is WorkState.DONE:
             return
         spare = self._end(work, result_of(outcome))
         self._reply(work.link, work.message, outcome, spare)
@@ -269,7 +270,7 @@
         return spare
 
     def _forget(self, work: SimulatedWork) -> None:
-        work.state = SimulatedWorkState.DONE
+        work.state = WorkState.DONE
         self._works.pop(work.token, None)
         self._by_call.pop((work.message.epoch, work.message.call), None)
         self._sessions.answered(work)
--- a/src/finchshed/emulator/daemons/guarded.py
+++ b/src/finchshed/emulator/daemons/guarded.py
@@ -7,9 +7,10 @@
 from typing import Final
 
 from finchshed.common.outcomes import Failed, FailureReason, Outcome, RefusalReason, Refused
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.daemons.work import SimulatedWork, SimulatedWorkState
+from finchshed.emulator.daemons.work import SimulatedWork
 from finchshed.ledger.results import Completed, Granted, LedgerResult, OutcomeUnknown
 
 LEDGER_TIMEOUT_SECONDS: Final = 1.0
@@ -39,7 +40,7 @@
 
     def ask(self, work: SimulatedWork) -> None:
         """Ask the ledger for leave to run ``work``."""
-        work.state = SimulatedWorkState.ASKING_LEDGER
+        work.state = WorkState.ASKING_LEDGER
         work.asked_at = self._process.now
         work.ledger_attempt = f"{self._process.name}.{self._process.life}.{work.token}"
         timeout = min(LEDGER_TIMEOUT_SECONDS, max(0.0, work.deadline - work.asked_at))
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -1,25 +1,15 @@
 """One call being served by an emulated daemon."""
 
-import enum
 from dataclasses import dataclass
 
 import msgspec
 
 from finchshed.common.context import CallContext
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.request import Cancel
 
 
-class SimulatedWorkState(enum.Enum):
-    """How far a call has come; the product's own stands beside code that needs an event loop."""
-
-    QUEUED = "queued"
-    ASKING_LEDGER = "asking_ledger"
-    AT_BACKEND = "at_backend"
-    RECORDING = "recording"
-    DONE = "done"
-
-
 @dataclass(slots=True, eq=False)
 class SimulatedWork:
     """One call being served."""
@@ -28,7 +18,7 @@
     link: SimulatedAcceptedLink
     message: CallMessage
     deadline: float
-    state: SimulatedWorkState = SimulatedWorkState.QUEUED
+    state: WorkState = WorkState.QUEUED
     abandoned: bool = False
     account: str = ""
     opens_session: bool = False
