--- a/src/finchshed/admission/effects.py
+++ b/src/finchshed/admission/effects.py
@@ -1,4 +1,4 @@
-"""What a gate asks its shell to do."""
+"""What a gate asks its caller to do. Carried out by ``daemon/serving/callee.py``."""
 
 from typing import TypeAlias
 
--- a/src/finchshed/common/outcomes.py
+++ b/src/finchshed/common/outcomes.py
@@ -2,7 +2,7 @@
 
 ``Refused`` is a statement that the request did not run. It may be made only by a party that
 knows: the request was never sent to a back end, or the back end itself refused before running.
-Anything less certain is ``Failed``.
+Anything less certain is ``Failed``. docs/DECISIONS.md leads from each reason to the rule behind it.
 """
 
 import enum
--- a/src/finchshed/common/results.py
+++ b/src/finchshed/common/results.py
@@ -1,4 +1,4 @@
-"""How a call ended, as far as routing, limits and retry budgets care."""
+"""How a call ended, as far as routing, limits and retry budgets care. Pure."""
 
 import enum
 
--- a/src/finchshed/common/text.py
+++ b/src/finchshed/common/text.py
@@ -1,7 +1,11 @@
-"""Text for people."""
+"""Text for people: whatever comes from outside is one printable line of bounded length."""
 
 MAX_LINE_CHARACTERS = 1_000
+"""Longest line, characters. Chosen, not measured."""
+
 _KEPT_OF_THE_END = 300
+"""Characters of the end that a cut line keeps. Chosen, not measured."""
+
 _CUT_MARK = " [...] "
 
 
--- a/src/finchshed/daemon/calling/pins.py
+++ b/src/finchshed/daemon/calling/pins.py
@@ -20,7 +20,7 @@
 from finchshed.daemon.request import Request
 from finchshed.http.status import STATUS_OK, STATUS_PARTIAL_CONTENT
 from finchshed.routing.table import RoutingTable
-from finchshed.session.table import MoveReason, Opened, SessionTable
+from finchshed.session.table import Opened, SessionTable
 
 MAX_SESSIONS = 100_000
 """Sessions remembered; further ones run without being pinned."""
@@ -92,7 +92,7 @@
             return
         self._sessions.admit(session)
         if endpoint and endpoint != held.endpoint:
-            self._sessions.move(session, endpoint, MoveReason.ENDPOINT_LOST, now)
+            self._sessions.move(session, endpoint, now)
         validator = header_of(outcome.headers, "etag")
         if outcome.status in {STATUS_OK, STATUS_PARTIAL_CONTENT} and is_strong(validator):
             self._editions[session] = _Edition(request.path, validator)
--- a/src/finchshed/emulator/daemons/pins.py
+++ b/src/finchshed/emulator/daemons/pins.py
@@ -8,7 +8,7 @@
 from finchshed.common.outcomes import Answered, Outcome
 from finchshed.emulator.daemons.callee import SESSION_IDLE_SECONDS
 from finchshed.emulator.request import Request
-from finchshed.session.table import MoveReason, SessionTable
+from finchshed.session.table import SessionTable
 
 
 class SessionPins:
@@ -41,7 +41,7 @@
         if held is None or not isinstance(outcome, Answered):
             return
         if endpoint and endpoint != held.endpoint:
-            self._sessions.move(request.session, endpoint, MoveReason.ENDPOINT_LOST, now)
+            self._sessions.move(request.session, endpoint, now)
 
 
 def _is_pinned(request: Request) -> bool:
--- a/src/finchshed/routing/weights.py
+++ b/src/finchshed/routing/weights.py
@@ -1,8 +1,9 @@
-"""Shares the requests of a route between services by weight.
+"""Splits the requests of a route between services by weight.
 
 Smooth weighted round robin (as in nginx): after any number of draws each destination is within one
-of its share, so that the shares hold over few requests too. Where it starts is drawn at random, so
-that many daemons with a request each hold them together.
+request of its part, so that the split holds over few requests too. Where it starts is drawn at
+random, so that many daemons with a request each hold it together. Owns where one route of one
+daemon stands; no request is refused here.
 """
 
 import random
@@ -11,7 +12,8 @@
 from finchshed.configuration.resources import Destination
 
 MAX_START = 100
-"""The first request is one of the first so many of a sequence, drawn at random."""
+"""The first request is one of the first so many of a sequence, drawn at random. Chosen, not
+measured."""
 
 
 class WeightedChoice:
--- a/src/finchshed/session/table.py
+++ b/src/finchshed/session/table.py
@@ -1,6 +1,10 @@
-"""Sessions of one daemon: admitted once, pinned to an endpoint, ended by idleness or by request."""
+"""Sessions of one daemon: admitted once, pinned to an endpoint, ended by idleness or by request.
+
+Inputs: identities of sessions, the bound on sessions of their service, the seconds of idleness that
+it allows, and the time. Owns what it holds of each session, in memory alone. Used on both sides: beside a back
+end it admits (reason ``session_limit``), at the caller it keeps the pins. docs/design/sessions.md.
+"""
 
-import enum
 import heapq
 from typing import TypeAlias
 
@@ -9,14 +13,6 @@
 from finchshed.common.outcomes import RefusalReason
 
 
-class MoveReason(enum.StrEnum):
-    """Why a session was moved to another endpoint."""
-
-    ENDPOINT_LOST = "endpoint_lost"
-    ENDPOINT_LEAVING = "endpoint_leaving"
-    OPERATOR = "operator"
-
-
 class Session(msgspec.Struct):
     """A session. Times are monotonic seconds.
 
@@ -26,11 +22,9 @@
     identity: str
     service: str
     endpoint: str
-    opened_at: float
     used_at: float
     idle_seconds: float
     in_progress: int = 0
-    moves: int = 0
     admitted: bool = False
 
 
@@ -91,7 +85,7 @@
         pinned = self._by_endpoint.setdefault(endpoint, set())
         if len(pinned) >= max_sessions:
             return NotOpened(RefusalReason.SESSION_LIMIT)
-        session = Session(identity, service, endpoint, now, now, idle_seconds)
+        session = Session(identity, service, endpoint, now, idle_seconds)
         self._sessions[identity] = session
         heapq.heappush(self._due, (now + idle_seconds, identity))
         pinned.add(identity)
@@ -105,13 +99,13 @@
             held.in_progress += 1
 
     def admit(self, identity: str) -> None:
-        """Take the start of a request of a session: the session runs from now on."""
+        """Note the start of a request of a session: the session runs from now on."""
         held = self._sessions.get(identity)
         if held is not None:
             held.admitted = True
 
     def refuse(self, identity: str) -> None:
-        """Take the refusal of a request, after :meth:`on_answer`.
+        """Note the refusal of a request, after :meth:`on_answer`.
 
         A session that doesn't run ends with the last of its requests, not before: another of them
         may still be started.
@@ -127,7 +121,7 @@
             held.used_at = now
             held.in_progress = max(0, held.in_progress - 1)
 
-    def move(self, identity: str, endpoint: str, reason: MoveReason, now: float) -> Session | None:
+    def move(self, identity: str, endpoint: str, now: float) -> Session | None:
         """Pin a session to another endpoint; return it, or None if it is not running."""
         held = self._sessions.get(identity)
         if held is None:
@@ -135,7 +129,6 @@
         self._by_endpoint[held.endpoint].discard(identity)
         self._by_endpoint.setdefault(endpoint, set()).add(identity)
         held.endpoint = endpoint
-        held.moves += 1
         held.used_at = now
         return held
 
--- a/src/finchshed/tenancy/gate.py
+++ b/src/finchshed/tenancy/gate.py
@@ -1,4 +1,9 @@
-"""Whose request it is, or why it isn't taken: the decision by its API key. Pure."""
+"""Whose request it is, or why it isn't taken: the decision by its API key. Pure.
+
+Inputs: the keys on the request, the declared tenants, the key lease (seconds since a question that
+control confirmed) and whether the route is public. Reasons given: ``api_key_missing``,
+``api_key_unknown``, ``api_key_unconfirmed``. The table of cases is in docs/design/tenancy.md.
+"""
 
 from collections.abc import Collection
 
--- a/src/finchshed/tenancy/lease.py
+++ b/src/finchshed/tenancy/lease.py
@@ -17,16 +17,18 @@
 """Time between two questions of a daemon.
 
 A lease that has to outlive 3 s without control, within 5 s in all, leaves 2 s for the time between
-questions, the read that answers one, and a reserve."""
+questions, the read that answers one, and a reserve. Chosen by calculation, not measured."""
 
 FRESH_SECONDS = 1.8
 """A key that isn't known is denied on the word of an answer to a question asked within this time.
 
 Longer than the time between questions, and shorter than the 2 s in which a change has to be in
-force: a daemon that lags behind the change which brought the key has the caller come back."""
+force: a daemon that lags behind the change which brought the key has the caller come back.
+Chosen by calculation, not measured."""
 
 QUESTIONS_KEPT = 16
-"""Unanswered questions remembered; the answer to an older one comes too late to be of use."""
+"""Unanswered questions remembered; the answer to an older one comes too late to be of use. Chosen,
+not measured."""
 
 
 class KeyLease:
--- a/tests/session/test_table.py
+++ b/tests/session/test_table.py
@@ -1,6 +1,6 @@
 """Sessions are admitted once and stay pinned."""
 
-from finchshed.session.table import MoveReason, NotOpened, Opened, SessionTable
+from finchshed.session.table import NotOpened, Opened, SessionTable
 
 
 def open_session(table: SessionTable, identity: str, now: float = 0.0) -> Opened | NotOpened:
@@ -21,7 +21,7 @@
 def test_moved_session_frees_its_place() -> None:
     table = SessionTable()
     open_session(table, "a")
-    assert table.move("a", "e2", MoveReason.ENDPOINT_LOST, 1.0) is not None
+    assert table.move("a", "e2", 1.0) is not None
     assert (table.count("e1"), table.count("e2")) == (0, 1)
 
 
