--- a/src/finchshed/session/table.py
+++ b/src/finchshed/session/table.py
@@ -1,8 +1,9 @@
 """Sessions of one daemon: admitted once, pinned to an endpoint, ended by idleness or by request.
 
 Inputs: identities of sessions, the bound on sessions of their service, the seconds of idleness that
-it allows, and the time. Owns what it holds of each session, in memory alone. Used on both sides: beside a back
-end it admits (reason ``session_limit``), at the caller it keeps the pins. docs/design/sessions.md.
+it allows, and the time. Owns what it holds of each session, in memory alone. Used on both sides:
+beside a back end it admits (reason ``session_limit``), at the caller it keeps the pins. See
+docs/design/sessions.md.
 """
 
 import heapq
