--- a/src/finchshed/fleet/operator.py
+++ b/src/finchshed/fleet/operator.py
@@ -1,4 +1,8 @@
-"""The operator of a fleet: runs ``finchshed ctl`` against its control nodes."""
+"""The operator of a fleet: runs ``finchshed ctl`` against its control nodes.
+
+Each command is a process of its own, as a person would run it. The stand-in operators, which
+change the configuration under load, are processes of the fleet.
+"""
 
 import asyncio
 import os
@@ -9,8 +13,8 @@
 from finchshed.common.errors import FinchshedError
 from finchshed.fleet.plan import FleetPlan
 
-STATUS_POLL_SECONDS = 0.1
 APPLY_TIMEOUT_SECONDS = 30.0
+"""How long the declarations may take to be accepted; chosen, not measured."""
 
 
 class OperatorError(FinchshedError):
@@ -25,13 +29,7 @@
     errors: str
 
 
-class _Members(msgspec.Struct, frozen=True):
-    """What is read of ``ctl members --json``."""
-
-    leader: str
-
-
-class Operator:
+class FleetOperator:
     """Runs operator's commands, each as a process of its own like a person would."""
 
     def __init__(self, plan: FleetPlan) -> None:
@@ -80,20 +78,6 @@
             )
         return result.output
 
-    async def leader(self) -> str:
-        """Return the name of the control group's leader.
-
-        Raises
-        ------
-        OperatorError
-            If no control node knows one.
-        """
-        output = await self.must("members", "--json")
-        leader: str = msgspec.json.decode(output, type=_Members).leader
-        if not leader:
-            raise OperatorError("no control node knows a leader")
-        return leader
-
     async def apply_declarations(self) -> str:
         """Apply the deployment's declarations as one change."""
         timeout = f"--timeout={APPLY_TIMEOUT_SECONDS}"
--- a/src/finchshed/fleet/planner.py
+++ b/src/finchshed/fleet/planner.py
@@ -1,4 +1,8 @@
-"""Plans a fleet: every process with its settings file, from a deployment and its declarations."""
+"""Plans a fleet: every process with its settings file, from a deployment and declarations.
+
+Owns the settings files under the run's folder; relies on the settings types of the programs and
+stand-ins.
+"""
 
 import hashlib
 import pathlib
@@ -11,20 +15,19 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.control.settings import ControlSettings
 from finchshed.daemon.settings import DaemonSettings
+from finchshed.fleet.addresses import FleetAddresses
 from finchshed.fleet.deployment import (
     DECLARATIONS_FOLDER,
     CallerGroup,
-    Deployment,
-    Machine,
+    FleetDeployment,
+    MachineSpec,
     ServiceBehaviour,
 )
-from finchshed.fleet.listeners import Listeners
 from finchshed.fleet.network import FleetNetwork, Port
 from finchshed.fleet.plan import FleetPlan, backend_name, daemon_name, host_of
 from finchshed.fleet.plan_options import PlanOptions
-from finchshed.fleet.processes import ProcessSpec, Role
+from finchshed.fleet.processes import ProcessRole, ProcessSpec
 from finchshed.fleet.toml_writer import to_toml
-from finchshed.standins.arrivals import write_arrivals
 from finchshed.standins.settings import (
     BackendSettings,
     CallerSettings,
@@ -34,6 +37,9 @@
 PLATFORM_POLL_SECONDS = 0.5
 """A back end that the platform's list shows as leaving must get no new work 2 s later."""
 
+DRAIN_SECONDS = 30.0
+"""Longest wait of a daemon for work in progress at a stop; callers give up long before."""
+
 
 class Planner:
     """Builds a plan; writes settings files under the run folder."""
@@ -41,7 +47,7 @@
     def __init__(
         self,
         source: pathlib.Path,
-        deployment: Deployment,
+        deployment: FleetDeployment,
         folder: pathlib.Path,
         network: FleetNetwork,
         options: PlanOptions,
@@ -50,7 +56,7 @@
         self._deployment = deployment
         self._folder = folder
         self._network = network
-        self._listeners = Listeners(network, relayed=options.relayed)
+        self._listeners = FleetAddresses(network, relayed=options.relayed)
         self._at = self._listeners.at
         self._behind = self._listeners.behind
         self._options = options
@@ -109,9 +115,9 @@
             address=address,
             lag_seconds=self._platform_lag_seconds,
         )
-        self._add_standin("platform", Role.PLATFORM, settings, address)
+        self._add_standin("platform", ProcessRole.PLATFORM, settings, address)
 
-    def _plan_control(self, machine: Machine) -> None:
+    def _plan_control(self, machine: MachineSpec) -> None:
         data_folder = self._data_folder(machine.name)
         settings = ControlSettings(
             node=machine.name,
@@ -139,7 +145,7 @@
         )
         spec = ProcessSpec(
             name=machine.name,
-            role=Role.CONTROL,
+            role=ProcessRole.CONTROL,
             zone=machine.zone,
             arguments=self._program("control", machine.name, settings),
             listens=(settings.distribution_address, settings.rpc_address),
@@ -159,15 +165,12 @@
             record_path=str(self._record_path(endpoint.name)),
             slots=endpoint.slots,
             service_time_seconds=behaviour.service_time_seconds,
-            distribution=behaviour.distribution,
             answer_bytes=behaviour.answer_bytes,
-            queue_limit=behaviour.queue_limit,
-            cold_start_seconds=behaviour.cold_start_seconds,
             seed=self._seed(endpoint.name),
             calls=behaviour.calls,
         )
         name = backend_name(endpoint.name)
-        self._add_standin(name, Role.BACKEND, settings, address, endpoint)
+        self._add_standin(name, ProcessRole.BACKEND, settings, address, endpoint)
 
     def _plan_daemon(self, endpoint: Endpoint) -> None:
         name = daemon_name(endpoint.name)
@@ -185,11 +188,11 @@
             admin_address=self._at(host, Port.ADMIN),
             control_addresses=self._control_addresses(),
             data_folder=data_folder,
-            drain_seconds=self._options.drain_seconds,
+            drain_seconds=DRAIN_SECONDS,
         )
-        self._add_daemon(name, Role.DAEMON, settings)
+        self._add_daemon(name, ProcessRole.DAEMON, settings)
 
-    def _plan_edge(self, machine: Machine) -> None:
+    def _plan_edge(self, machine: MachineSpec) -> None:
         settings = DaemonSettings(
             node=machine.name,
             region=machine.region,
@@ -199,9 +202,9 @@
             admin_address=self._at(machine.host, Port.ADMIN),
             control_addresses=self._control_addresses(),
             data_folder=self._data_folder(machine.name),
-            drain_seconds=self._options.drain_seconds,
+            drain_seconds=DRAIN_SECONDS,
         )
-        self._add_daemon(machine.name, Role.EDGE, settings)
+        self._add_daemon(machine.name, ProcessRole.EDGE, settings)
 
     def _plan_caller(self, group: CallerGroup) -> None:
         edges = sorted(self._deployment.edge, key=lambda edge: edge.zone != group.zone)
@@ -217,20 +220,11 @@
             ),
             phases=self._options.phases or self._deployment.phase,
             client_delay_seconds=self._deployment.client_delay_seconds,
-            arrivals_path=self._arrivals_path(group.name),
             seed=self._seed(group.name),
         )
-        self._add_standin(group.name, Role.CALLER, settings, "")
-
-    def _arrivals_path(self, group: str) -> str:
-        arrivals = self._options.arrivals.get(group)
-        if arrivals is None:
-            return ""
-        path = self._folder / "settings" / f"{group}-arrivals.jsonl"
-        write_arrivals(path, arrivals)
-        return str(path)
+        self._add_standin(group.name, ProcessRole.CALLER, settings, "")
 
-    def _add_daemon(self, name: str, role: Role, settings: DaemonSettings) -> None:
+    def _add_daemon(self, name: str, role: ProcessRole, settings: DaemonSettings) -> None:
         spec = ProcessSpec(
             name=name,
             role=role,
@@ -246,7 +240,7 @@
     def _add_standin(
         self,
         name: str,
-        role: Role,
+        role: ProcessRole,
         settings: msgspec.Struct,
         address: str,
         endpoint: Endpoint | None = None,
--- a/src/finchshed/fleet/summary.py
+++ b/src/finchshed/fleet/summary.py
@@ -1,12 +1,14 @@
-"""What a run's callers got, by load and phase, from their records."""
+"""What a run's callers got, by load and phase, from their records.
+
+Owns the counts and their table for people.
+"""
 
 import collections
-import pathlib
 from collections.abc import Iterable, Sequence
 
 import msgspec
 
-from finchshed.standins.records import CallerOutcome, CallerRecord, read_records
+from finchshed.standins.records import CallerOutcome, CallerRecord
 
 HEADINGS = (
     "phase",
@@ -75,18 +77,12 @@
         )
 
 
-def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value below which ``share`` of ``values`` lie; 0 for none."""
+def percentile(values: Sequence[float], fraction: float) -> float:
+    """Return the value below which ``fraction`` of ``values`` lie; 0 for none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
-
-
-def read_caller_records(paths: Iterable[pathlib.Path]) -> list[CallerRecord]:
-    """Return all records of callers in order of time."""
-    records = [record for path in paths for record in read_records(path, CallerRecord)]
-    return sorted(records, key=lambda record: record.begun)
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def rows_of(records: Iterable[CallerRecord]) -> list[Row]:
--- a/tests/architecture/decision_modules.py
+++ b/tests/architecture/decision_modules.py
@@ -28,8 +28,10 @@
         "finchshed.configuration.declarations",
         "finchshed.consensus.driver",
         "finchshed.distribution.client",
+        "finchshed.distribution.control_dialer",
         "finchshed.distribution.driver",
         "finchshed.distribution.ledger_requests",
+        "finchshed.distribution.quorum_reads",
         "finchshed.distribution.record",
         "finchshed.distribution.server",
     }
