--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -115,7 +115,7 @@
         drain=DrainState.before_registration() if awaits_registration else DrainState(),
         credentials=credentials_of(settings),
         table=table,
-        paths=PathThresholds(table.floor),
+        paths=PathThresholds(table.path_threshold),
         signatures=Signatures(names),
     )
 
@@ -150,7 +150,7 @@
     callee = Callee(
         settings,
         backend=backend,
-        guarded=GuardedRuns(settings, ControlLedger(driver.client), state.rng),
+        guarded=GuardedRuns(settings, ControlLedger(driver.client.ledger), state.rng),
         served=state.served,
         paths=state.paths,
         rng=state.rng,
--- a/src/finchshed/daemon/calling/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing.py
@@ -29,7 +29,14 @@
 from finchshed.link.messages import Reply
 from finchshed.observability.decisions import AttemptRecord
 from finchshed.quarantine.messages import CrashRecord
-from finchshed.routing.caller import CallerEffect, CallerLogic, Finish, Send, SetTimer, Withdraw
+from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller_effects import (
+    CallerEffect,
+    Finish,
+    SendAttempt,
+    SetTimer,
+    Withdraw,
+)
 from finchshed.runtime import clock
 
 
@@ -115,7 +122,7 @@
 
     def _perform(self, effects: list[CallerEffect]) -> None:
         for effect in effects:
-            if isinstance(effect, Send):
+            if isinstance(effect, SendAttempt):
                 self._send(effect)
             elif isinstance(effect, SetTimer):
                 self._set_timer(effect.at)
@@ -124,18 +131,20 @@
             elif isinstance(effect, Withdraw) and self._attempt is not None:
                 self._links.withdraw(self._attempt)
 
-    def _send(self, effect: Send) -> None:
+    def _send(self, effect: SendAttempt) -> None:
         number = effect.attempt
         self._sent = number
         if number > 1:
             metrics.RETRIES.labels(self.request.service).inc()
         attempt = Attempt(
             request=self.request,
-            lent_attempts=effect.share,
-            admitted_fraction=effect.admitted_share,
+            lent_attempts=effect.lent_attempts,
+            admitted_fraction=effect.admitted_fraction,
             deadline=self._deadline,
             on_reply=lambda reply: self._on_reply(number, reply),
-            on_unsent=lambda reason, detail: self._on_unsent(number, effect.share, reason, detail),
+            on_unsent=lambda reason, detail: self._on_unsent(
+                number, effect.lent_attempts, reason, detail
+            ),
         )
         self._attempt = attempt
         self.endpoint = effect.endpoint.name
--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -125,7 +125,7 @@
         depth=inherited.depth + 1,
         position=inherited.position,
         is_call=True,
-        admitted_share=inherited.admitted_share,
+        admitted_fraction=inherited.admitted_fraction,
     )
 
 
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -26,13 +26,14 @@
 from finchshed.daemon.serving.guarded import GuardedRuns
 from finchshed.daemon.serving.replies import ReplySender
 from finchshed.daemon.serving.suspect_queue import SuspectQueue, Turn
-from finchshed.daemon.serving.work import Work, WorkState
+from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import Signatures
 from finchshed.limit.concurrency import slots_to_use
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
-from finchshed.quarantine.register import Standing
+from finchshed.quarantine.register import Suspicion
 from finchshed.runtime import clock
 from finchshed.session.table import SessionTable
 
@@ -162,10 +163,10 @@
         self._by_call[call.epoch, call.call] = work
         work.signature = self._signatures.signer(call)
         judgement = self._quarantine.judge(work.signature)
-        if judgement.standing is Standing.QUARANTINED:
+        if judgement.suspicion is Suspicion.QUARANTINED:
             detail = f"{judgement.crashes} back ends ended under it"
             self._refuse(work, Refused(RefusalReason.QUARANTINED, judgement.seconds, detail))
-        elif judgement.standing is Standing.SUSPECT:
+        elif judgement.suspicion is Suspicion.SUSPECT:
             self._enter_suspect(work)
         else:
             self._gate.enter(work, now)
--- a/src/finchshed/daemon/serving/gate_runner.py
+++ b/src/finchshed/daemon/serving/gate_runner.py
@@ -12,7 +12,8 @@
 from finchshed.admission.gate import Gate
 from finchshed.admission.load_report import LoadReport
 from finchshed.admission.paths import PathThresholds
-from finchshed.admission.rank import passed
+from finchshed.admission.rank import with_admitted_fraction
+from finchshed.admission.threshold_rule import ThresholdRule
 from finchshed.common.results import CallResult
 from finchshed.daemon.serving.work import Work
 from finchshed.daemon.settings import DaemonSettings
@@ -27,16 +28,15 @@
 measured."""
 
 
-def admits_by_demand(settings: DaemonSettings) -> bool:
+def threshold_rule_of(settings: DaemonSettings) -> ThresholdRule:
     """Return which admission rule is in force at the gate.
 
-    True: by the estimated demand of each class (:mod:`finchshed.admission.demand`). False: by the
-    queue (:mod:`finchshed.admission.threshold`). It follows from how the back end is known: demand
-    was compared and is measured where back ends register (docs/design/compared-policies.md);
-    declared endpoints keep the queue's threshold that they were measured with
-    (docs/design/admission.md).
+    It follows from how the back end is known: the threshold by demand was compared and is measured
+    where back ends register, and estimates demand from admitted fractions, which only calls by host
+    carry (docs/design/compared-policies.md); declared endpoints keep the queue's threshold that
+    they were measured with (docs/design/admission.md).
     """
-    return settings.registers_backend
+    return ThresholdRule.BY_DEMAND if settings.registers_backend else ThresholdRule.BY_QUEUE
 
 
 class GateRunner:
@@ -55,8 +55,8 @@
         rng: random.Random,
         on_effect: Callable[[GateEffect], None],
     ) -> None:
-        by_demand = admits_by_demand(settings)
-        self._gate = Gate(UNDECLARED_SLOTS, rng, clock.now(), by_demand=by_demand)
+        rule = threshold_rule_of(settings)
+        self._gate = Gate(UNDECLARED_SLOTS, rng, clock.now(), threshold_rule=rule)
         self._paths = paths
         self._on_effect = on_effect
         self._ticker: asyncio.TimerHandle | None = None
@@ -77,9 +77,9 @@
 
     def enter(self, work: Work, now: float) -> None:
         """Have a call started, queued or refused."""
-        floor = self._paths.floor(work.route, now)
-        work.context = passed(work.context, floor)
-        self._apply(self._gate.arrive(work.token, work.context, now, floor))
+        path_threshold = self._paths.threshold(work.route, now)
+        work.context = with_admitted_fraction(work.context, path_threshold)
+        self._apply(self._gate.arrive(work.token, work.context, now, path_threshold))
         if self._gate.queued:
             self._arm_tick()
 
--- a/src/finchshed/fleet/acts.py
+++ b/src/finchshed/fleet/acts.py
@@ -1,4 +1,8 @@
-"""What a fault script can do to a fleet, as typed tables of a scenario file."""
+"""What a fault script can do to a fleet, as typed tables of a scenario file.
+
+Owns the kinds of acts and their bounds; the injector carries them out. The names of kinds and
+keys are those of scripts that are stored, so they stay.
+"""
 
 import enum
 from typing import Annotated, TypeAlias
@@ -6,7 +10,7 @@
 import msgspec
 
 from finchshed.configuration.resources import Name
-from finchshed.standins.settings import LoadReporting, Submission
+from finchshed.standins.settings import LoadReporting
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)]
 PositiveSeconds = Annotated[float, msgspec.Meta(gt=0.0, le=3600.0)]
@@ -53,7 +57,10 @@
 
 
 class Restart(Act, frozen=True, kw_only=True, tag="restart"):
-    """A planned restart: SIGTERM, wait until it has ended, start ``down_seconds`` later."""
+    """A planned restart: SIGTERM, wait until it has ended, start ``down_seconds`` later.
+
+    No script that ships sets ``down_seconds``, but storms' stored scripts name it.
+    """
 
     target: Selector
     down_seconds: Seconds = 0.0
@@ -77,7 +84,7 @@
     duration_seconds: PositiveSeconds
 
 
-class Misreport(Act, frozen=True, kw_only=True, tag="misreport"):
+class MisreportLoad(Act, frozen=True, kw_only=True, tag="misreport"):
     """Have an endpoint's back end report zero or old load and, if ``failing``, fail at once."""
 
     target: Name
@@ -154,29 +161,20 @@
     duration_seconds: PositiveSeconds
 
 
-class Change(Act, frozen=True, kw_only=True, tag="change"):
+class ChangeConfiguration(Act, frozen=True, kw_only=True, tag="change"):
     """Have one more operator change the policy ``times`` times, with a pause before each."""
 
     times: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
     pause_seconds: Seconds = 0.0
 
 
-class Submit(Act, frozen=True, kw_only=True, tag="submit"):
-    """Have operators submit changes of given identities, each once, timed from this act.
-
-    Those of one submission race each other against the same revision.
-    """
-
-    submissions: tuple[Submission, ...]
-
-
 FaultAct: TypeAlias = (
     Kill
     | Freeze
     | Restart
     | RollingRestart
     | Slow
-    | Misreport
+    | MisreportLoad
     | Leave
     | Edition
     | Cut
@@ -184,8 +182,7 @@
     | Throttle
     | Reset
     | FillDisk
-    | Change
-    | Submit
+    | ChangeConfiguration
 )
 
 LINK_ACTS = (Cut, Delay, Throttle, Reset)
--- a/src/finchshed/fleet/links.py
+++ b/src/finchshed/fleet/links.py
@@ -1,10 +1,15 @@
-"""The links of a fleet: the relay in front of its processes, and what the links suffer."""
+"""The links of a fleet: the relay in front of its processes, and what the links suffer.
+
+Owns the relay, its rules, and the account of which daemons can reach control. Relies on the
+kernel's tables to tell which process holds a connection.
+"""
 
 from finchshed.fleet.journal import FaultJournal
+from finchshed.fleet.link_conditions import UNKNOWN_PEER, Condition, Conditions, LinkRule, Peer
 from finchshed.fleet.plan import FleetPlan
-from finchshed.fleet.processes import FleetProcess, Role
+from finchshed.fleet.processes import FleetProcess, ProcessRole
 from finchshed.fleet.reachability import reaching
-from finchshed.fleet.relay import UNKNOWN_PEER, Condition, Conditions, Peer, Relay, Rule
+from finchshed.fleet.relay import Relay
 from finchshed.fleet.runner import Fleet
 from finchshed.fleet.socket_diagnosis import inode_between
 from finchshed.fleet.sockets import holder_of
@@ -37,7 +42,7 @@
         """Stop relaying."""
         await self.relay.close()
 
-    def set(self, name: str, rule: Rule) -> None:
+    def set(self, name: str, rule: LinkRule) -> None:
         """Put a rule in force."""
         self.conditions.set(name, rule)
         self.note_reachability()
@@ -49,8 +54,10 @@
 
     def note_reachability(self) -> None:
         """Note for which daemons it changed whether they reach a majority of control."""
-        daemons = [_peer(process) for process in self._fleet.of_role(Role.DAEMON, Role.EDGE)]
-        control = self._fleet.of_role(Role.CONTROL)
+        daemons = [
+            _peer(process) for process in self._fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)
+        ]
+        control = self._fleet.of_role(ProcessRole.CONTROL)
         working = [_peer(process) for process in control if process.is_working]
         reached = reaching(daemons, working, len(control), self._connected)
         for daemon in daemons:
@@ -74,7 +81,7 @@
         for source in zones:
             for target in zones:
                 if source != target:
-                    rule = Rule(source=source, target=target, condition=condition)
+                    rule = LinkRule(source=source, target=target, condition=condition)
                     self.conditions.set(f"distance-{source}-{target}", rule)
 
     def _identify(self, local_address: str, remote_address: str) -> Peer:
--- a/src/finchshed/fleet/plan.py
+++ b/src/finchshed/fleet/plan.py
@@ -1,13 +1,16 @@
-"""All processes of a fleet, their names, and where to reach them."""
+"""All processes of a fleet, their names, and where to reach them.
+
+Owns the names of daemons and back ends; the planner fills the plan.
+"""
 
 import pathlib
 
 import msgspec
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.fleet.acts import Change, Submit
-from finchshed.fleet.deployment import DECLARATIONS_FOLDER, Deployment
-from finchshed.fleet.processes import ProcessSpec, Role
+from finchshed.fleet.acts import ChangeConfiguration
+from finchshed.fleet.deployment import DECLARATIONS_FOLDER, FleetDeployment
+from finchshed.fleet.processes import ProcessRole, ProcessSpec
 from finchshed.fleet.toml_writer import to_toml
 from finchshed.standins.settings import OperatorSettings
 
@@ -16,7 +19,7 @@
     """All processes of a fleet, and where to reach them."""
 
     folder: pathlib.Path
-    deployment: Deployment
+    deployment: FleetDeployment
     specs: list[ProcessSpec]
     endpoints: tuple[Endpoint, ...]
     rpc_addresses: tuple[str, ...]
@@ -39,23 +42,22 @@
         """Return the process named ``name``."""
         return next(spec for spec in self.specs if spec.name == name)
 
-    def operator_spec(self, name: str, first_number: int, act: Change | Submit) -> ProcessSpec:
+    def operator_spec(self, name: str, first_number: int, act: ChangeConfiguration) -> ProcessSpec:
         """Write the settings of a stand-in operator and return how to start it."""
         settings = OperatorSettings(
             name=name,
             token=self.deployment.operator_token,
             rpc_addresses=self.rpc_addresses,
             record_path=str(self.folder / "records" / f"{name}.jsonl"),
-            changes=act.times if isinstance(act, Change) else 0,
-            pause_seconds=act.pause_seconds if isinstance(act, Change) else 0.0,
-            submissions=act.submissions if isinstance(act, Submit) else (),
+            changes=act.times,
+            pause_seconds=act.pause_seconds,
             first_number=first_number,
         )
         path = self.folder / "settings" / f"{name}.toml"
         path.write_text(to_toml(settings))
         return ProcessSpec(
             name=name,
-            role=Role.OPERATOR,
+            role=ProcessRole.OPERATOR,
             zone="",
             arguments=("-m", "finchshed", "standin", "operator", str(path)),
         )
--- a/src/finchshed/standins/calling.py
+++ b/src/finchshed/standins/calling.py
@@ -1,4 +1,7 @@
-"""Calls a stand-in back end makes on to further services, through its own daemon."""
+"""Calls a stand-in back end makes on to further services, through its own daemon.
+
+Owns the names of these calls and their records; relies on the daemon for repeats and budgets.
+"""
 
 import asyncio
 import itertools
@@ -15,6 +18,7 @@
 
 CONTEXT_PREFIX = "finchshed-"
 SUCCESS_BELOW = 400
+"""Statuses from here on are refusals and errors (RFC 9110, 15)."""
 
 
 class ChildRefusedError(Exception):
@@ -53,7 +57,7 @@
         Raises
         ------
         ChildRefusedError
-            If a service refused or failed, after the declared repeats.
+            If a service refused or failed.
         """
         context = {
             name.lower(): value
@@ -63,7 +67,7 @@
         numbers = itertools.count()
         results = await asyncio.gather(
             *(
-                self._call(call, run, context, numbers)
+                self._call(call, run, f"{run}/{next(numbers)}", context)
                 for call in self._calls
                 if request.path.startswith(call.prefix)
             ),
@@ -73,20 +77,7 @@
             if isinstance(result, BaseException):
                 raise result
 
-    async def _call(
-        self, call: CallOn, run: str, context: dict[str, str], numbers: "itertools.count[int]"
-    ) -> None:
-        error = ChildRefusedError(call.service, 0, "")
-        for _ in range(call.retries + 1):
-            try:
-                await self._attempt(call, run, f"{run}/{next(numbers)}", context)
-            except ChildRefusedError as refusal:
-                error = refusal
-            else:
-                return
-        raise error
-
-    async def _attempt(self, call: CallOn, run: str, name: str, context: dict[str, str]) -> None:
+    async def _call(self, call: CallOn, run: str, name: str, context: dict[str, str]) -> None:
         headers = {
             **context,
             HEADER_SERVICE: call.service,
