--- a/src/finchshed/configuration/validation.py
+++ b/src/finchshed/configuration/validation.py
@@ -20,7 +20,11 @@
 )
 
 MAX_PORT = 65_535
+"""Highest TCP port: 16 bits (RFC 9293, 3.1)."""
+
 MAX_SHARDS = 64
+"""Groups that the ledger may be spread over. Chosen, not measured."""
+
 POLICY_NAME = "default"
 LIMITS_NAME = "default"
 SERVICE_KIND = kind_of(Service)
--- a/src/finchshed/consensus/clock.py
+++ b/src/finchshed/consensus/clock.py
@@ -1,4 +1,7 @@
-"""A node's own time, which neither steps nor runs away."""
+"""A node's own time, which neither steps nor runs away.
+
+Owns that time; due times of a node are counted on it, so a host may give any clock.
+"""
 
 
 class SteadyClock:
--- a/src/finchshed/consensus/election.py
+++ b/src/finchshed/consensus/election.py
@@ -1,4 +1,9 @@
-"""Elections, with pre-vote and with respect for a leader that is there."""
+"""Elections, with pre-vote and with respect for a leader that is there.
+
+One vote in a term, for a candidate whose log is as complete (Raft, section 5.4.1); a pre-vote
+before a term is raised; none while a leader is heard. Owns role, vote and ballots in the node's
+state.
+"""
 
 from finchshed.consensus.effects import RaftRole
 from finchshed.consensus.identity import NodeIdentity
--- a/src/finchshed/consensus/following.py
+++ b/src/finchshed/consensus/following.py
@@ -1,4 +1,8 @@
-"""The follower's side of replication: entries, heartbeats, snapshots in pieces."""
+"""The follower's side of replication: entries, heartbeats, snapshots in pieces.
+
+Entries are taken only where the one before them agrees; an answer is held until they are durable.
+Owns the snapshot that comes in. Relies on :mod:`finchshed.consensus.roles` for terms.
+"""
 
 from finchshed.common.errors import InvariantError
 from finchshed.consensus.effects import MembershipChanged, RaftRole, RestoreSnapshot
--- a/src/finchshed/consensus/formation.py
+++ b/src/finchshed/consensus/formation.py
@@ -8,8 +8,11 @@
 be formed, of which the first has nothing committed. Their first entries differ in their term,
 which is drawn at random, so that they compete by the ordinary rules of elections.
 
- A node that hears no leader keeps greeting, and so does one whose identity is in no
+A node that hears no leader keeps greeting, and so does one whose identity is in no
 membership it knows of: the entry that took it in may have been dropped again.
+
+Owns the greetings kept in the node's state. Relies on :mod:`finchshed.consensus.election` for the
+election that follows.
 """
 
 from finchshed.consensus.election import start_election
@@ -26,10 +29,19 @@
 from finchshed.storage.records import Entry, EntryKind, Vote
 
 _MAX_FORMATION_TERM = 1_000_000
+"""Terms of first entries are drawn from 1 to this, so that two groups of one list compete. Chosen,
+not measured."""
 
 _MAX_GREETINGS = 64
+"""Greetings of nodes that are no members kept at a time: bounds the memory. Chosen, not
+measured."""
+
 _GREETING_KEPT_SECONDS = 10.0
+"""A greeting older than this is dropped. Chosen, not measured."""
+
 _FRESH_INTERVALS = 4
+"""An initial voter must have greeted within so many intervals between greetings. Chosen, not
+measured."""
 
 
 def is_member(state: NodeState) -> bool:
--- a/src/finchshed/consensus/log.py
+++ b/src/finchshed/consensus/log.py
@@ -1,4 +1,8 @@
-"""The part of the replicated log held in memory."""
+"""The part of the replicated log held in memory.
+
+Owns the entries after the last snapshot, and the memberships among them. Relies on the write buffer
+for what of it is durable.
+"""
 
 from finchshed.common.errors import InvariantError
 from finchshed.consensus.membership import Membership, decode_membership
--- a/src/finchshed/consensus/membership_changes.py
+++ b/src/finchshed/consensus/membership_changes.py
@@ -9,6 +9,8 @@
 answers. Such a change could never be committed, and it would block the group. That a voter
 answered a moment ago is not enough, it may be the one that was just lost: an operator's removal
 waits for a round of heartbeats sent after it was asked for.
+
+Owns the change in progress in the leader's state.
 """
 
 from finchshed.consensus.effects import Committed, RefusalCause, RequestRefused
@@ -27,6 +29,7 @@
 from finchshed.storage.records import Entry, EntryKind
 
 GREETING_LIFETIME_SECONDS = 5.0
+"""A node is taken in only if it greeted within this time: it is there. Chosen, not measured."""
 
 
 def on_change(state: NodeState, token: int, change: MembershipChange) -> None:
--- a/src/finchshed/consensus/node.py
+++ b/src/finchshed/consensus/node.py
@@ -1,4 +1,8 @@
-"""The node of the replicated log: a state machine that takes events and returns effects."""
+"""The node of the replicated log: a state machine that takes events and returns effects.
+
+Owns the state of the node; each module of this package has one part of the rules. Relies on
+:mod:`finchshed.consensus.driver` to carry the effects out in order.
+"""
 
 import random
 from collections.abc import Sequence
@@ -45,7 +49,12 @@
 from finchshed.storage.records import Stored
 
 _REQUEST_BITS = 48
+"""Requests are numbered from a random start of so many bits, so that a late answer to an earlier
+life of this node fits none. Chosen, not measured."""
+
 _MIN_DELAY_SECONDS = 0.001
+"""Shortest time until the next tick, so that a due time just reached is past. Chosen, not
+measured."""
 
 
 class MemberProgress(msgspec.Struct, frozen=True):
--- a/src/finchshed/consensus/progress.py
+++ b/src/finchshed/consensus/progress.py
@@ -43,12 +43,11 @@
         self.announced_commit = 0
         self.in_flight: deque[int] = deque()
         self.last_sent = float("-inf")
-        self.last_advance = now
         self.probe_sent = False
         self.snapshot: Snapshot | None = None
         self.snapshot_offset = 0
 
-    def advance(self, match_index: int, now: float) -> bool:
+    def advance(self, match_index: int) -> bool:
         """Note that entries up to ``match_index`` are durable there; whether that is news."""
         while self.in_flight and self.in_flight[0] <= match_index:
             self.in_flight.popleft()
@@ -56,7 +55,6 @@
             return False
         self.match_index = match_index
         self.next_index = max(self.next_index, match_index + 1)
-        self.last_advance = now
         return True
 
     def probe_from(self, next_index: int) -> None:
--- a/src/finchshed/consensus/replication.py
+++ b/src/finchshed/consensus/replication.py
@@ -1,4 +1,8 @@
-"""The leader's side of replication: sending, answers, the commit index."""
+"""The leader's side of replication: sending, answers, the commit index.
+
+An entry is committed once a quorum has it on its disks and one of the leader's own term is (Raft,
+section 5.4.2). Owns the progress of each follower in the leader's state.
+"""
 
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import (
@@ -16,6 +20,7 @@
 from finchshed.consensus.state import LeaderState, NodeState
 
 _RETRANSMIT_HEARTBEATS = 3
+"""Entries unanswered for so many heartbeats are sent again. Chosen, not measured."""
 
 
 def track_members(state: NodeState, leading: LeaderState) -> None:
@@ -49,7 +54,7 @@
     if progress is None:
         return
     progress.last_heard = state.now
-    news = progress.advance(message.match_index, state.now)
+    news = progress.advance(message.match_index)
     if progress.mode is SendMode.PROBE or (progress.mode is SendMode.SNAPSHOT and news):
         _leave_probe(state, progress)
     if news:
--- a/src/finchshed/consensus/state.py
+++ b/src/finchshed/consensus/state.py
@@ -1,4 +1,8 @@
-"""State shared by the modules of a node, and its effects of one step."""
+"""State shared by the modules of a node, and its effects of one step.
+
+Owns every field of a node; the other modules are functions on it. Relies on
+:class:`~finchshed.consensus.write_buffer.WriteBuffer` for what waits for the disk.
+"""
 
 import random
 from dataclasses import dataclass, field
@@ -16,6 +20,7 @@
 from finchshed.storage.records import Entry, Snapshot, Vote, Write
 
 _MAX_HEARD_ADDRESSES = 64
+"""Addresses kept of senders that no membership names: bounds the memory. Chosen, not measured."""
 
 
 @dataclass
--- a/src/finchshed/control/daemons/explanations.py
+++ b/src/finchshed/control/daemons/explanations.py
@@ -6,6 +6,7 @@
 from finchshed.distribution.server import HubServer
 
 ANSWER_SECONDS = 2.0
+"""Longest wait for a daemon's answer. Chosen, not measured."""
 
 
 class Explanations:
--- a/src/finchshed/control/daemons/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -178,7 +178,7 @@
         """Return why a key isn't taken to its shard, if so; see :mod:`finchshed.ledger.epochs`."""
         issued = issued_at(request.key)
         ledger = self._machine.ledger
-        if issued is None or issued < ledger.floor:
+        if issued is None or issued < ledger.oldest_issued:
             reason = LedgerRefusalReason.EXPIRED
             return LedgerRefused(request.request, expired=True, detail=reason)
         if issued > self._unix_now() + MAX_CLOCK_LEAD_SECONDS:
--- a/src/finchshed/control/state/audit.py
+++ b/src/finchshed/control/state/audit.py
@@ -13,9 +13,14 @@
 """Entries kept: about a week at 1,400 changes a day."""
 
 MAX_SUBJECT_CHARACTERS = 200
+"""Longest subject kept: bounds the memory. Chosen, not measured."""
+
 REPEAT_SECONDS = 600.0
+"""Longest time after which an equal action counts as a resend. Chosen, not measured."""
+
 REPEATS_LOOKED_AT = 32
-"""An action equal to one of the last so many, within :data:`REPEAT_SECONDS`, is a resend."""
+"""An action equal to one of the last so many, within :data:`REPEAT_SECONDS`, is a resend. Chosen,
+not measured."""
 
 
 class AuditEntry(msgspec.Struct, frozen=True, array_like=True):
--- a/src/finchshed/control/state/machine.py
+++ b/src/finchshed/control/state/machine.py
@@ -124,7 +124,7 @@
     def _apply_to_ledger(
         self, command: BeginRequest | CancelRequest | CompleteRequest
     ) -> CommandResult:
-        self.epochs.forget(self.ledger.floor)
+        self.epochs.forget(self.ledger.oldest_issued)
         if self.epochs.group_of(command.key) != OWN:
             return LedgerRefusal(LedgerRefusalReason.MOVED)
         self.epochs.is_used = True
--- a/src/finchshed/control/state/metrics.py
+++ b/src/finchshed/control/state/metrics.py
@@ -7,6 +7,7 @@
 from finchshed.observability.instruments import Gauge
 
 OBSERVE_SECONDS = 1.0
+"""Time between settings of the gauges. Chosen, not measured."""
 
 REVISION = Gauge("finchshed_control_revision", "Revision of the configuration applied here")
 DAEMONS = Gauge("finchshed_control_daemons", "Daemons connected to this control node")
--- a/src/finchshed/distribution/addresses.py
+++ b/src/finchshed/distribution/addresses.py
@@ -12,7 +12,11 @@
 from finchshed.common.backoff import Backoff
 
 FIRST_BACKOFF_SECONDS = 0.2
+"""Bound of the wait before a node that failed once is tried again. Chosen, not measured."""
+
 LONGEST_BACKOFF_SECONDS = 5.0
+"""Bound of that wait after many failures. Chosen, not measured."""
+
 FIRST_CONNECT_SECONDS = 0.15
 """Longest wait for the first connection to a node: ten round trips between the zones of a region.
 
@@ -26,7 +30,8 @@
 CONNECT_PATIENCE = Backoff(FIRST_CONNECT_SECONDS, LONGEST_CONNECT_SECONDS)
 
 STABLE_SECONDS = 10.0
-"""A connection that lived this long counts as a success, and the delay starts anew."""
+"""A connection that lived this long counts as a success, and the delay starts anew. Chosen,
+not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +85,7 @@
             self._add(address)
 
     def add(self, addresses: Iterable[str]) -> None:
-        """Take in nodes named by a redirect."""
+        """Add nodes that a control node or the settings named later."""
         known = {entry.address for entry in self._records}
         for text in addresses:
             if text not in known:
--- a/src/finchshed/distribution/delta_history.py
+++ b/src/finchshed/distribution/delta_history.py
@@ -6,6 +6,7 @@
 from finchshed.distribution.snapshot import Configuration, merge, whole
 
 ITEM_LIMIT = 20_000
+"""Resources and keys kept in all deltas together: bounds the memory. Chosen, not measured."""
 
 
 class DeltaHistory:
--- a/src/finchshed/distribution/driver.py
+++ b/src/finchshed/distribution/driver.py
@@ -37,6 +37,7 @@
 from finchshed.runtime import clock
 
 TICK_SECONDS = 0.5
+"""Time between ticks of the follower, half of the pause between fetches. Chosen, not measured."""
 
 
 class FollowerListener(Protocol):
--- a/src/finchshed/distribution/status.py
+++ b/src/finchshed/distribution/status.py
@@ -2,6 +2,8 @@
 
 Each control node reports the daemons connected to it, in batches of what changed; the node that
 answers an operator merges the reports of all.
+
+Owns the merged state, in memory only. Relies on the reports being repeated.
 """
 
 from bisect import bisect_right
@@ -11,13 +13,16 @@
 import msgspec
 
 REPORT_SILENCE_SECONDS = 5.0
-"""Daemons of a control node that has not reported for this long count as silent."""
+"""Daemons of a control node that has not reported for this long count as silent. Chosen,
+not measured."""
 
 RETENTION_SECONDS = 86_400.0
-"""A silent daemon that no declared endpoint stands for is forgotten after this long."""
+"""A silent daemon that no declared endpoint stands for is forgotten after this long. Chosen, not
+measured."""
 
 ADVANCES_KEPT = 1024
-"""Latest revisions whose times are kept, to say since when a daemon is behind."""
+"""Latest revisions whose times are kept, to say since when a daemon is behind. Chosen, not
+measured."""
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -89,7 +94,7 @@
         self._advanced_at: list[float] = []
 
     def merge(self, report: InForceReport, now: float) -> None:
-        """Take a report of one control node."""
+        """Add a report of one control node."""
         self._reported_at[report.control_node] = now
         self._note_revision(report.revision, now)
         if report.everything:
--- a/src/finchshed/ledger/epochs.py
+++ b/src/finchshed/ledger/epochs.py
@@ -25,7 +25,12 @@
 
 CLOCK_LEAD_SECONDS = MAX_CLOCK_LEAD_SECONDS
 MOVE_SECONDS = 300.0
+"""Lead of an epoch that follows shards; above the clock lead and the time of a confirmation
+together (see above). Chosen, not measured."""
+
 CONFIRMED_SECONDS = 30.0
+"""A control node sends keys to shards for this long after a majority confirmed its state. Chosen,
+not measured."""
 
 ShardAddresses = tuple[str, ...]
 """Distribution addresses of one shard's group; empty: the control group itself."""
@@ -76,9 +81,9 @@
         start = max(time + lead, latest.start)
         self._epochs = (*self._epochs, LedgerEpoch(start, shards))
 
-    def forget(self, floor: float) -> None:
-        """Forget epochs whose keys are all older than ``floor``."""
-        while len(self._epochs) > 1 and self._epochs[1].start <= floor:
+    def forget(self, oldest_issued: float) -> None:
+        """Forget epochs whose keys are all older than ``oldest_issued``, Unix seconds."""
+        while len(self._epochs) > 1 and self._epochs[1].start <= oldest_issued:
             self._epochs = self._epochs[1:]
 
     def group_of(self, key: str) -> ShardAddresses:
--- a/src/finchshed/ledger/keys.py
+++ b/src/finchshed/ledger/keys.py
@@ -2,16 +2,23 @@
 
 A key is a UUID of version 7 (RFC 9562, 5.7): its first 48 bits are Unix milliseconds. The ledger
 can so refuse a key that is too old without remembering it; a key without a time could be run
-again once it is forgotten, and is refused.
+again once it is forgotten, and is refused. Owns no state.
 """
 
 import random
 import uuid
 
 VERSION = 7
+"""Version of the UUID: a time and random bits (RFC 9562, 5.7)."""
+
 RANDOM_BITS = 74
+"""Random bits of such a UUID: rand_a of 12 and rand_b of 62 (RFC 9562, 5.7)."""
+
 TIMESTAMP_SHIFT = 80
+"""Bits after the 48 of the time (RFC 9562, 5.7)."""
+
 VARIANT_RFC = 0b10
+"""Variant bits of a UUID of that document (RFC 9562, 4.1)."""
 
 
 def new_key(unix_seconds: float, generator: random.Random) -> str:
--- a/src/finchshed/ledger/ledger.py
+++ b/src/finchshed/ledger/ledger.py
@@ -4,9 +4,10 @@
 the time of the log's entries (Unix seconds, proposed by the leader); it never goes back here, so
 restarts and changes of leader don't prolong or shorten a key's life.
 
-A key is free, begun by one attempt, or completed. It is forgotten once it is older than the
-window; :attr:`Ledger.floor` only rises, so a forgotten key is refused for good, also when the
-window is made longer later.
+Owns the keys of one log. A key is free, begun by one attempt, or completed. It is forgotten once it
+is older than the window; :attr:`Ledger.oldest_issued` only rises, so a forgotten key is refused for
+good, also when the window is made longer later. Relies on the control program to apply each entry
+once, in order.
 """
 
 import collections
@@ -29,17 +30,23 @@
 )
 
 MAX_CLOCK_LEAD_SECONDS = 60.0
-"""How far a key's time may lie ahead of the log's time: clocks of callers differ."""
+"""How far a key's time may lie ahead of the log's time: clocks of callers differ. Chosen, not
+measured."""
 
-DEFAULT_WINDOW_SECONDS = 600.0
 DEFAULT_MAX_KEYS = 500_000
+"""Keys held at most; one more is refused. docs/design/ledger.md says how many a window needs."""
+
 DEFAULT_MAX_ANSWER_BYTES = 64 << 10
+"""Longest answer kept; a resend of a longer one gets "outcome unknown". Chosen, not measured."""
+
 DEFAULT_MAX_TOTAL_ANSWER_BYTES = 512 << 20
+"""Bytes of all answers kept; past them no key is begun. Chosen, not measured."""
+
 CANCELLED_ATTEMPTS_KEPT = 8
 """Cancelled attempts remembered per key: a late begin of one of them is refused.
 
 A begin of an attempt cancelled longer ago leaves the key begun by nobody: resends then get
-"outcome unknown", which is safe.
+"outcome unknown", which is safe. Chosen, not measured.
 """
 
 
@@ -68,11 +75,18 @@
 class LedgerSnapshot(msgspec.Struct):
     """Everything a ledger holds.
 
-    ``unknown_before``: keys made earlier may have been begun in a part of the log that was lost.
+    Attributes
+    ----------
+    time
+        Time of the log, Unix seconds.
+    oldest_issued
+        Keys made before this are forgotten, Unix seconds; stored as ``floor``.
+    unknown_before
+        Keys made before this may have been begun in a part of the log that was lost, Unix seconds.
     """
 
     time: float
-    floor: float
+    oldest_issued: float = msgspec.field(name="floor")
     entries: dict[str, LedgerEntry]
     unknown_before: float = 0.0
 
@@ -109,7 +123,7 @@
         self._total_answer_bytes = 0
         self._counts: collections.Counter[KeyState] = collections.Counter()
         self.time = 0.0
-        self.floor = 0.0
+        self.oldest_issued = 0.0
         self.unknown_before = 0.0
 
     def __len__(self) -> int:
@@ -127,8 +141,8 @@
     def advance(self, time: float, window_seconds: float) -> None:
         """Move the log's time forward to ``time`` and forget keys older than the window."""
         self.time = max(self.time, time)
-        self.floor = max(self.floor, self.time - window_seconds)
-        while self._by_issue and self._by_issue[0][0] < self.floor:
+        self.oldest_issued = max(self.oldest_issued, self.time - window_seconds)
+        while self._by_issue and self._by_issue[0][0] < self.oldest_issued:
             _, key = heapq.heappop(self._by_issue)
             entry = self._entries.pop(key)
             self._counts[entry.state] -= 1
@@ -197,12 +211,12 @@
 
     def snapshot(self) -> LedgerSnapshot:
         """Return everything held; the value shares its entries with the ledger."""
-        return LedgerSnapshot(self.time, self.floor, self._entries, self.unknown_before)
+        return LedgerSnapshot(self.time, self.oldest_issued, self._entries, self.unknown_before)
 
     def restore(self, snapshot: LedgerSnapshot) -> None:
         """Replace everything held by ``snapshot``."""
         self.time = snapshot.time
-        self.floor = snapshot.floor
+        self.oldest_issued = snapshot.oldest_issued
         self.unknown_before = snapshot.unknown_before
         self._entries = snapshot.entries
         self._by_issue = [(entry.issued, key) for key, entry in snapshot.entries.items()]
@@ -214,7 +228,7 @@
     def _refusal_of_time(self, issued: float | None) -> LedgerRefusalReason | None:
         if issued is None:
             return LedgerRefusalReason.NO_TIME_IN_KEY
-        if issued < self.floor:
+        if issued < self.oldest_issued:
             return LedgerRefusalReason.EXPIRED
         if issued > self.time + MAX_CLOCK_LEAD_SECONDS:
             return LedgerRefusalReason.MADE_IN_THE_FUTURE
--- a/tests/ledger/test_ledger_stateful.py
+++ b/tests/ledger/test_ledger_stateful.py
@@ -69,7 +69,7 @@
     def begin(self, key: str, attempt: str) -> None:
         """Also stands for a begin that comes late or a second time."""
         result = self.both("begin", key, attempt)
-        expired = self.issued[key] < self.steady.floor
+        expired = self.issued[key] < self.steady.oldest_issued
         refused = LedgerRefusal(LedgerRefusalReason.EXPIRED)
         assert (result == refused) == expired
         if isinstance(result, Granted):
@@ -130,7 +130,7 @@
             held = sum(answer_bytes(entry.answer) for entry in entries.values())
             assert held == ledger.total_answer_bytes <= LIMITS.max_total_answer_bytes
             assert sum(ledger.counts().values()) == len(entries)
-            assert all(entry.issued >= ledger.floor for entry in entries.values())
+            assert all(entry.issued >= ledger.oldest_issued for entry in entries.values())
 
     @invariant()
     def restarts_change_nothing(self) -> None:
