--- a/src/finchshed/consensus/options.py
+++ b/src/finchshed/consensus/options.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-Positive = Annotated[float, msgspec.Meta(gt=0)]
+Positive = Annotated[float, msgspec.Meta(gt=0.0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 CountOrNone = Annotated[int, msgspec.Meta(ge=0)]
 
