--- a/src/finchshed/control/daemons/directory_service.py
+++ b/src/finchshed/control/daemons/directory_service.py
@@ -64,11 +64,11 @@
         registration = message.registration
         now = _now()
         self._reported_here[registration.address] = now
-        self._updates.on_own_news(self._directory.take((registration,), now))
+        self._updates.on_own_news(self._directory.merge((registration,), now))
 
     def on_report(self, report: DirectoryReport) -> None:
         """Merge registrations that another control node passes on."""
-        self._updates.on_peer_news(self._directory.take(report.registrations, _now()))
+        self._updates.on_peer_news(self._directory.merge(report.registrations, _now()))
 
     def greeting(self) -> Sequence[ControlToDaemon]:
         """Return what a daemon is sent when it connects."""
--- a/src/finchshed/control/operators/answers.py
+++ b/src/finchshed/control/operators/answers.py
@@ -84,7 +84,7 @@
         requests=[
             pb.QuarantinedRequest(
                 signature=record.signature,
-                standing=judgement.standing.value,
+                standing=judgement.suspicion.value,
                 instances=[crash.instance for crash in record.crashes],
                 age_seconds=record.age_seconds,
                 refused_seconds=judgement.seconds,
--- a/src/finchshed/fleet/link_faults.py
+++ b/src/finchshed/fleet/link_faults.py
@@ -1,4 +1,7 @@
-"""Acts of a fault script on the links of a fleet."""
+"""Acts of a fault script on the links of a fleet.
+
+Owns the names of the rules it puts in force; takes each out of force when its act is over.
+"""
 
 import asyncio
 import itertools
@@ -6,8 +9,8 @@
 
 from finchshed.fleet import acts
 from finchshed.fleet.journal import FaultJournal
+from finchshed.fleet.link_conditions import Condition, LinkRule
 from finchshed.fleet.links import FleetLinks
-from finchshed.fleet.relay import Condition, Rule
 from finchshed.proof.history import Fault
 
 
@@ -59,7 +62,7 @@
         for source, target in ways:
             name = f"{fault}-{next(self._numbers)}"
             resolved = (self._resolve(source), self._resolve(target))
-            rule = Rule(source=resolved[0], target=resolved[1], condition=condition)
+            rule = LinkRule(source=resolved[0], target=resolved[1], condition=condition)
             self._links.set(name, rule)
             names.append(name)
             targets += resolved
--- a/src/finchshed/fleet/runner.py
+++ b/src/finchshed/fleet/runner.py
@@ -1,4 +1,7 @@
-"""Starts a planned fleet, keeps it, and stops all of it, whatever happens."""
+"""Starts a planned fleet, keeps it, and stops all of it, whatever happens.
+
+Owns the processes; relies on a plan whose settings files are written.
+"""
 
 import asyncio
 import pathlib
@@ -9,33 +12,45 @@
 import aiohttp
 
 from finchshed.common.errors import FinchshedError
-from finchshed.fleet.acts import Change, Submit
+from finchshed.fleet.acts import ChangeConfiguration
 from finchshed.fleet.network import FleetNetwork
 from finchshed.fleet.plan import FleetPlan
-from finchshed.fleet.processes import FleetProcess, ProcessSpec, Role, wait_until_listening
-from finchshed.standins.platform import Instance, InstanceState
+from finchshed.fleet.processes import FleetProcess, ProcessRole, ProcessSpec, wait_until_listening
+from finchshed.standins.platform import StandinInstance, StandinInstanceState
 
 READY_SECONDS = 60.0
+"""How long a process may take to listen on a busy machine; chosen, not measured."""
+
 STOP_SECONDS = 15.0
+"""How long a process may take to end at the end of a run; chosen, not measured."""
+
 RESTART_STOP_SECONDS = 45.0
-"""A planned stop may take a daemon's whole drain (30 s by default) and a little more."""
+"""A planned stop may take a daemon's whole drain (planner.DRAIN_SECONDS) and a little more."""
 
 OPERATOR_SECONDS = 300.0
+"""How long a stand-in operator may take for its changes; chosen, not measured."""
+
 CALLERS_START_SECONDS = 2.0
-STARTING_ORDER = tuple(Role)
+"""How long callers are given to start in; chosen, not measured."""
+
+STARTING_ORDER = tuple(ProcessRole)
 STOPPING_ORDER = (
-    Role.OPERATOR,
-    Role.CALLER,
-    Role.EDGE,
-    Role.DAEMON,
-    Role.BACKEND,
-    Role.CONTROL,
-    Role.PLATFORM,
+    ProcessRole.OPERATOR,
+    ProcessRole.CALLER,
+    ProcessRole.EDGE,
+    ProcessRole.DAEMON,
+    ProcessRole.BACKEND,
+    ProcessRole.CONTROL,
+    ProcessRole.PLATFORM,
 )
-ENDING_ROLES = (Role.CALLER, Role.OPERATOR)
+ENDING_ROLES = (ProcessRole.CALLER, ProcessRole.OPERATOR)
 """Processes that end by themselves when their work is done."""
 
 LOG_TAIL_BYTES = 2000
+"""How much of a log goes into an error; chosen, not measured."""
+
+INCARNATION = "1"
+"""A run replaces no machine, so each endpoint's stays the first one."""
 
 
 class FleetError(FinchshedError):
@@ -54,8 +69,7 @@
         self.processes = {
             spec.name: FleetProcess(spec, self.log_path(spec.name)) for spec in plan.specs
         }
-        self._leaving: set[str] = set()
-        self._incarnations = {endpoint.name: 1 for endpoint in plan.endpoints}
+        self._draining: set[str] = set()
         self.http: aiohttp.ClientSession
 
     async def __aenter__(self) -> "Fleet":
@@ -75,11 +89,11 @@
         """How late the platform's list shows a change."""
         return self.plan.platform_lag_seconds
 
-    def of_role(self, *roles: Role) -> list[FleetProcess]:
+    def of_role(self, *roles: ProcessRole) -> list[FleetProcess]:
         """Return the processes in one of ``roles``."""
         return [process for process in self.processes.values() if process.spec.role in roles]
 
-    async def start(self, *roles: Role) -> None:
+    async def start(self, *roles: ProcessRole) -> None:
         """Start all processes of ``roles`` and wait until they listen.
 
         Raises
@@ -94,17 +108,16 @@
                     process.start()
                 await self.wait_ready(process.spec for process in chosen)
 
-    async def start_callers(self) -> float:
-        """Start all callers; return when they begin to send, on the monotonic clock.
+    async def start_callers(self) -> None:
+        """Start all callers and return when they begin to send.
 
         They are given time to start in, so that all begin together and faults that are timed from
         the same moment meet the phase they are meant for.
         """
         begin_at = time.monotonic() + CALLERS_START_SECONDS
-        for process in self.of_role(Role.CALLER):
+        for process in self.of_role(ProcessRole.CALLER):
             process.start(f"--begin_at={begin_at}")
         await asyncio.sleep(begin_at - time.monotonic())
-        return begin_at
 
     async def wait_ready(self, specs: Iterable[ProcessSpec]) -> None:
         """Wait until the processes of ``specs`` take connections.
@@ -124,12 +137,14 @@
     async def publish_instances(self) -> None:
         """Tell the platform which machines are live or leaving."""
         instances = [
-            Instance(
+            StandinInstance(
                 name=endpoint.name,
                 address=endpoint.address,
-                incarnation=str(self._incarnations[endpoint.name]),
+                incarnation=INCARNATION,
                 state=(
-                    InstanceState.LEAVING if endpoint.name in self._leaving else InstanceState.LIVE
+                    StandinInstanceState.LEAVING
+                    if endpoint.name in self._draining
+                    else StandinInstanceState.LIVE
                 ),
             )
             for endpoint in self.plan.endpoints
@@ -147,15 +162,9 @@
         async with self.http.put(url, json=body) as response:
             response.raise_for_status()
 
-    async def mark_leaving(self, endpoint: str) -> None:
+    async def mark_draining(self, endpoint: str) -> None:
         """Have the platform say, after its lag, that a machine leaves."""
-        self._leaving.add(endpoint)
-        await self.publish_instances()
-
-    async def mark_replaced(self, endpoint: str) -> None:
-        """Have the platform say that a new machine stands in an endpoint's place."""
-        self._leaving.discard(endpoint)
-        self._incarnations[endpoint] += 1
+        self._draining.add(endpoint)
         await self.publish_instances()
 
     async def command_backend(self, endpoint: str, act: str, value: str = "") -> None:
@@ -165,18 +174,18 @@
         async with self.http.post(url, params={"value": value}) as response:
             response.raise_for_status()
 
-    async def run_operator(self, name: str, first_number: int, act: Change | Submit) -> int:
+    async def run_operator(self, name: str, first_number: int, act: ChangeConfiguration) -> int:
         """Run a stand-in operator that makes changes; return its exit code."""
         spec = self.plan.operator_spec(name, first_number, act)
         process = FleetProcess(spec, self.log_path(spec.name))
         self.processes[spec.name] = process
-        process.start(f"--begin_at={time.monotonic()}")
+        process.start()
         await process.wait(OPERATOR_SECONDS)
         return process.exit_code if process.exit_code is not None else -1
 
     async def wait_callers(self, timeout_seconds: float) -> bool:
         """Wait until every caller has sent its requests; return whether all ended well."""
-        callers = self.of_role(Role.CALLER)
+        callers = self.of_role(ProcessRole.CALLER)
         ended = [await caller.wait(timeout_seconds) for caller in callers]
         return all(ended) and all(caller.exit_code == 0 for caller in callers)
 
@@ -198,7 +207,7 @@
         """Stop every process, role by role."""
         for role in STOPPING_ORDER:
             # A back end's own drain is for a deployment that goes on; here it ends with the rest.
-            number = signal.SIGINT if role is Role.BACKEND else signal.SIGTERM
+            number = signal.SIGINT if role is ProcessRole.BACKEND else signal.SIGTERM
             chosen = self.of_role(role)
             await asyncio.gather(*(process.stop(number, STOP_SECONDS) for process in chosen))
 
@@ -221,12 +230,6 @@
         """Return where a process writes its standard output and error."""
         return self.plan.folder / "logs" / f"{name}.log"
 
-    def record_paths_of(self, role: Role) -> list[pathlib.Path]:
-        """Return the record files of the stand-ins in ``role``."""
-        folder = self.plan.folder / "records"
-        named = [process.spec.endpoint or process.spec.name for process in self.of_role(role)]
-        return [folder / f"{name}.jsonl" for name in named]
-
     def tail(self, spec: ProcessSpec) -> str:
         """Return the end of a process's log."""
         path = self.log_path(spec.name)
--- a/src/finchshed/standins/arrivals.py
+++ b/src/finchshed/standins/arrivals.py
@@ -1,16 +1,18 @@
-"""Seeded open-loop arrivals: requests come whether or not earlier ones were answered."""
+"""Seeded open-loop arrivals: requests come whether or not earlier ones were answered.
+
+Owns the order of the draws: one seed gives one list of arrivals.
+"""
 
 import heapq
-import pathlib
-from collections.abc import Iterable, Iterator, Sequence
+from collections.abc import Iterator, Sequence
 
 import msgspec
 import numpy
 
-from finchshed.standins.settings import Load, Phase
+from finchshed.standins.settings import Phase, StandinLoad
 
 
-class Arrival(msgspec.Struct, frozen=True, order=True, omit_defaults=True):
+class StandinArrival(msgspec.Struct, frozen=True, order=True):
     """One request to send at ``at`` seconds after the start.
 
     Attributes
@@ -19,10 +21,6 @@
         Place of its load in the settings.
     caller
         Number of the outside caller within the load.
-    request
-        Name of the request; empty for one made of the number. Arrivals of one name are resends.
-    key
-        Idempotency key; empty for one made when the request is sent.
     """
 
     at: float
@@ -30,27 +28,11 @@
     load: int
     phase: str
     caller: int = 0
-    request: str = ""
-    caller_name: str = ""
-    key: str = ""
-    session: str = ""
-
-
-def read_arrivals(path: str) -> list[Arrival]:
-    """Read arrivals from a file of JSON lines, in order of time."""
-    decoder = msgspec.json.Decoder(Arrival)
-    with open(path, "rb") as file:
-        return sorted(decoder.decode(line) for line in file)
-
-
-def write_arrivals(path: pathlib.Path, arrivals: Iterable[Arrival]) -> None:
-    """Write arrivals as JSON lines."""
-    path.write_bytes(b"".join(msgspec.json.encode(item) + b"\n" for item in arrivals))
 
 
 def schedule(
-    loads: Sequence[Load], phases: Sequence[Phase], generator: numpy.random.Generator
-) -> list[Arrival]:
+    loads: Sequence[StandinLoad], phases: Sequence[Phase], generator: numpy.random.Generator
+) -> list[StandinArrival]:
     """Return all arrivals of a run in order of time."""
     streams = [
         list(_arrivals_of(index, load, phases, generator)) for index, load in enumerate(loads)
@@ -60,8 +42,8 @@
 
 
 def _arrivals_of(
-    index: int, load: Load, phases: Sequence[Phase], generator: numpy.random.Generator
-) -> Iterator[Arrival]:
+    index: int, load: StandinLoad, phases: Sequence[Phase], generator: numpy.random.Generator
+) -> Iterator[StandinArrival]:
     start = 0.0
     for phase in phases:
         factor = phase.factor if load.surges else 1.0
@@ -73,5 +55,5 @@
             if at >= end:
                 break
             caller = int(generator.integers(load.identities))
-            yield Arrival(at=at, number=0, load=index, phase=phase.name, caller=caller)
+            yield StandinArrival(at=at, number=0, load=index, phase=phase.name, caller=caller)
         start = end
--- a/src/finchshed/standins/operator.py
+++ b/src/finchshed/standins/operator.py
@@ -6,9 +6,7 @@
 """
 
 import enum
-import itertools
 import time
-from concurrent.futures import Future, ThreadPoolExecutor, wait
 from typing import cast
 
 import msgspec
@@ -20,14 +18,20 @@
 from finchshed.ctl.changes import read_in_force, submit
 from finchshed.ctl.client import OperatorClient
 from finchshed.standins.records import RecordWriter, monotonic
-from finchshed.standins.settings import OperatorSettings, Submission
+from finchshed.standins.settings import OperatorSettings
 
 POLICY = ResourceKey("policy", "default")
 REQUEST_SECONDS = 5.0
-MAX_RACING_OPERATORS = 32
+"""How long one request to the control nodes may take; chosen, not measured."""
 
+BASE_VALUE_SECONDS = 600.0
+"""A change's number is added to this to get the key window it sets."""
 
-class ChangeOutcome(enum.StrEnum):
+PATIENCE_SECONDS = 60.0
+"""A change not answered for so long is given up; chosen, not measured."""
+
+
+class StandinChangeOutcome(enum.StrEnum):
     """What a stand-in operator was told of a change."""
 
     SUBMITTED = "submitted"
@@ -51,7 +55,7 @@
     change_id: str
     expected_revision: int
     value: float
-    outcome: ChangeOutcome
+    outcome: StandinChangeOutcome
     revision: int = 0
 
 
@@ -82,78 +86,28 @@
 
     def _change(self, number: int) -> bool:
         """Make one change, anew after each conflict; return whether it was accepted."""
-        deadline = monotonic() + self._settings.patience_seconds
+        deadline = monotonic() + PATIENCE_SECONDS
         attempt = 0
         while monotonic() < deadline:
             attempt += 1
             identity = f"{self._settings.name}-{number}-{attempt}"
             outcome = self._submit(identity, number, deadline)
-            if outcome is not ChangeOutcome.CONFLICT:
-                return outcome is ChangeOutcome.ACCEPTED
+            if outcome is not StandinChangeOutcome.CONFLICT:
+                return outcome is StandinChangeOutcome.ACCEPTED
         return False
 
-    def run_submissions(self, begun: float) -> int:
-        """Submit the changes of given identities; return the exit code as :meth:`run`.
-
-        Times count from ``begun``, so that they keep their place among other acts however long
-        the process took to start.
-        """
-        numbers = itertools.count(self._settings.first_number)
-        series: dict[str, list[Future[ChangeOutcome]]] = {}
-        with ThreadPoolExecutor(MAX_RACING_OPERATORS) as racing:
-            sent = []
-            for submission in sorted(self._settings.submissions, key=lambda item: item.at):
-                time.sleep(max(0.0, begun + submission.at - monotonic()))
-                if submission.series:
-                    wait(series.get(submission.series, []))
-                racers = self._race(racing, submission, numbers)
-                series[submission.series] = racers
-                sent += racers
-            unanswered = sum(item.result() is ChangeOutcome.UNKNOWN for item in sent)
-        self._client.close()
-        return 1 if unanswered else 0
-
-    def _race(
-        self, racing: ThreadPoolExecutor, submission: Submission, numbers: "itertools.count[int]"
-    ) -> list["Future[ChangeOutcome]"]:
-        deadline = monotonic() + self._settings.patience_seconds
+    def _submit(self, identity: str, number: int, deadline: float) -> StandinChangeOutcome:
         held = self._revision(deadline)
         if held is None:
-            return []
-        times = 2 if submission.resend else 1
-        return [
-            racing.submit(
-                self._send_times,
-                _ChangeToMake(
-                    identity=f"{submission.change_id}.{operator}",
-                    expected=held[0],
-                    policy=held[1],
-                    value=self._settings.base_value + next(numbers),
-                ),
-                times,
-                deadline,
-            )
-            for operator in range(submission.operators)
-        ]
-
-    def _submit(self, identity: str, number: int, deadline: float) -> ChangeOutcome:
-        held = self._revision(deadline)
-        if held is None:
-            return ChangeOutcome.UNKNOWN
-        value = self._settings.base_value + number
+            return StandinChangeOutcome.UNKNOWN
+        value = BASE_VALUE_SECONDS + number
         return self._send(_ChangeToMake(identity, held[0], held[1], value), deadline)
 
-    def _send_times(self, change: "_ChangeToMake", times: int, deadline: float) -> ChangeOutcome:
-        outcome = ChangeOutcome.UNKNOWN
-        for _ in range(times):
-            outcome = self._send(change, deadline)
-        return outcome
-
-    def _send(self, change: "_ChangeToMake", deadline: float) -> ChangeOutcome:
+    def _send(self, change: "_ChangeToMake", deadline: float) -> StandinChangeOutcome:
         """Send a change until it is answered; return the answer."""
         policy = msgspec.structs.replace(change.policy, key_window_seconds=change.value)
         changed = Difference((policy,), ())
-        self._note(change, ChangeOutcome.SUBMITTED, 0)
+        self._note(change, StandinChangeOutcome.SUBMITTED, 0)
         while monotonic() < deadline:
             try:
                 result = submit(self._client, change.identity, change.expected, changed)
@@ -162,8 +116,8 @@
             outcome, accepted = _outcome_of(result)
             self._note(change, outcome, accepted)
             return outcome
-        self._note(change, ChangeOutcome.UNKNOWN, 0)
-        return ChangeOutcome.UNKNOWN
+        self._note(change, StandinChangeOutcome.UNKNOWN, 0)
+        return StandinChangeOutcome.UNKNOWN
 
     def _revision(self, deadline: float) -> tuple[int, Policy] | None:
         while monotonic() < deadline:
@@ -174,7 +128,7 @@
             return current.revision, cast(Policy, current.resources[POLICY])
         return None
 
-    def _note(self, change: "_ChangeToMake", outcome: ChangeOutcome, revision: int) -> None:
+    def _note(self, change: "_ChangeToMake", outcome: StandinChangeOutcome, revision: int) -> None:
         self._records.write(
             OperatorRecord(
                 at=monotonic(),
@@ -188,23 +142,14 @@
         )
 
 
-def _outcome_of(result: object) -> tuple[ChangeOutcome, int]:
+def _outcome_of(result: object) -> tuple[StandinChangeOutcome, int]:
     if isinstance(result, Accepted):
-        return ChangeOutcome.ACCEPTED, result.revision
+        return StandinChangeOutcome.ACCEPTED, result.revision
     if isinstance(result, Conflict):
-        return ChangeOutcome.CONFLICT, 0
-    return ChangeOutcome.INVALID, 0
+        return StandinChangeOutcome.CONFLICT, 0
+    return StandinChangeOutcome.INVALID, 0
 
 
-def run_operator(settings: OperatorSettings, begin_at: float = 0.0) -> int:
-    """Make the changes of ``settings``; return the exit code.
-
-    Parameters
-    ----------
-    begin_at
-        From when the times of submissions count, on the machine's monotonic clock; 0: from now.
-    """
-    operator = StandinOperator(settings)
-    if settings.submissions:
-        return operator.run_submissions(begin_at or monotonic())
-    return operator.run()
+def run_operator(settings: OperatorSettings) -> int:
+    """Make the changes of ``settings``; return the exit code: 1 if one was never answered."""
+    return StandinOperator(settings).run()
