--- a/src/finchshed/proof/consensus/node.py
+++ b/src/finchshed/proof/consensus/node.py
@@ -12,11 +12,7 @@
 
 from finchshed.common.errors import InvariantError, StorageError
 from finchshed.consensus.driver import Driver
-from finchshed.consensus.effects import (
-    Effect,
-    RaftRole,
-    RoleChanged,
-)
+from finchshed.consensus.effects import Effect, RaftRole, RoleChanged
 from finchshed.consensus.events import (
     ChangeMembership,
     Event,
