--- a/src/finchshed/emulator/control/proposals.py
+++ b/src/finchshed/emulator/control/proposals.py
@@ -21,7 +21,7 @@
 """A forwarded request unanswered for this long is sent again, perhaps to another leader."""
 
 
-class Forwarding(Protocol):
+class SimulatedForwarding(Protocol):
     """Carries a command to the leader and its result back."""
 
     def forward(self, address: str, request: int, command: Command) -> None:
@@ -42,7 +42,7 @@
     """Proposals that came in at one control node, in one life of it."""
 
     def __init__(
-        self, process: Process, host: LogHost, forwarding: Forwarding, rng: random.Random
+        self, process: Process, host: LogHost, forwarding: SimulatedForwarding, rng: random.Random
     ) -> None:
         self._process = process
         self._host = host
--- a/src/finchshed/replay/recording.py
+++ b/src/finchshed/replay/recording.py
@@ -62,11 +62,30 @@
     -------
     tuple of Trace and int
         The trace and the number of faults left out.
+
+    Raises
+    ------
+    SettingsError
+        If the history holds a kind of request that the deployment hasn't.
     """
+    arrivals = _arrivals_of(history, deployment)
+    found, left_out = _acts_of(history)
+    header = TraceHeader(
+        version=TRACE_VERSION,
+        name=name,
+        deployment=deployment,
+        description=f"recorded from a history of {history.header.source}",
+        seed=history.header.seed,
+        retry_budget=history.header.retry_budget,
+        client=ClientPolicy(),
+    )
+    return Trace(header, deployment, arrivals, (), found), left_out
+
+
+def _arrivals_of(history: History, deployment: Deployment) -> tuple[TraceArrival, ...]:
+    """Return each root request once. Histories don't hold the callers' zones: given in turn."""
     zones = deployment.zones
     arrivals: dict[str, TraceArrival] = {}
-    found: list[acts.Act] = []
-    left_out = 0
     for event in history.events:
         if isinstance(event, CallBegan) and not event.parent and event.root not in arrivals:
             arrivals[event.root] = TraceArrival(
@@ -78,25 +97,24 @@
                 key=event.key,
                 session=event.session,
             )
-        elif isinstance(event, Fault) and not event.ended:
-            try:
-                found.append(_act_decoder.decode(event.detail))
-            except msgspec.DecodeError:
-                left_out += 1
     kinds = {kind.name for kind in deployment.kinds}
     unknown = sorted({arrival.kind for arrival in arrivals.values()} - kinds)
     if unknown:
         raise SettingsError([f"kind = {unknown[0]!r}: allowed are {', '.join(sorted(kinds))}"])
-    header = TraceHeader(
-        version=TRACE_VERSION,
-        name=name,
-        deployment=deployment,
-        description=f"recorded from a history of {history.header.source}",
-        seed=history.header.seed,
-        retry_budget=history.header.retry_budget,
-        client=ClientPolicy(),
-    )
-    return Trace(header, deployment, tuple(arrivals.values()), (), tuple(found)), left_out
+    return tuple(arrivals.values())
+
+
+def _acts_of(history: History) -> tuple[tuple[acts.Act, ...], int]:
+    """Return the acts that the history holds whole, and the number of its other faults."""
+    found: list[acts.Act] = []
+    left_out = 0
+    for event in history.events:
+        if isinstance(event, Fault) and not event.ended:
+            try:
+                found.append(_act_decoder.decode(event.detail))
+            except msgspec.DecodeError:
+                left_out += 1
+    return tuple(found), left_out
 
 
 def outcomes_of(trace: Trace, history: History) -> list[bytes]:
