--- a/src/finchshed/bench/__init__.py
+++ b/src/finchshed/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: parameters, seeds and baselines in a file; measures as JSON lines."""
+"""Measurements on one machine: a hop's latency in pairs, the decisions, the replicated log."""
--- a/src/finchshed/cli/table.py
+++ b/src/finchshed/cli/table.py
@@ -66,11 +66,9 @@
     "fleet": Command("run a deployment of real processes", "finchshed.fleet.command:fleet"),
     "bench": Command("measure what a call costs", "finchshed.bench.command:COMMANDS"),
     "keys": Command("make and show keys and certificates", "finchshed.tls.command:COMMANDS"),
-    "emulate": Command("run a deployment in simulated time", "finchshed.emulator.command:emulate"),
     "prove": Command("check the stated properties over seeds", "finchshed.campaign.command:prove"),
     "replay": Command("replay a trace against stated outcomes", "finchshed.replay.command:replay"),
     "record": Command("record a trace", "finchshed.replay.command:record"),
-    "report": Command("make reports and plots of results", "finchshed.report.command:report"),
     "standin": Command("stand-ins for back ends and callers", "finchshed.standins.command:standin"),
 }
 
--- a/src/finchshed/emulator/backend.py
+++ b/src/finchshed/emulator/backend.py
@@ -86,7 +86,6 @@
         self._running: dict[str, Run] = {}
         self._runs = 0
         self._drain_told = False
-        self.busy_seconds = 0.0
 
     @property
     def in_flight(self) -> int:
@@ -169,7 +168,6 @@
             )
         )
         seconds = self._service_seconds(request.hop.seconds)
-        self.busy_seconds += seconds
         run.timer = self._clock.call_later(seconds, self._own_work_done, run)
 
     def _service_seconds(self, mean: float) -> float:
--- a/src/finchshed/emulator/run.py
+++ b/src/finchshed/emulator/run.py
@@ -7,12 +7,9 @@
 from finchshed.emulator.deployment import Deployment
 from finchshed.proof.history_file import History
 
-CONTROLS = ("finchshed", "none", "fixed-retries", "static-limit")
-"""Control schemes: finchshed's own modules, and the baselines."""
-
 
 class RunSpecification(msgspec.Struct, frozen=True, kw_only=True):
-    """One run: a deployment, a control scheme, a seed, demand and faults.
+    """One run: a deployment, a seed, demand and faults.
 
     Attributes
     ----------
@@ -29,7 +26,6 @@
     """
 
     deployment: Deployment
-    control: str = "finchshed"
     seed: int = 0
     begin_seconds: float = 0.0
     seconds: float = 10.0
@@ -46,12 +42,10 @@
 class FinishedRun(msgspec.Struct):
     """A finished run.
 
-    ``busy_seconds`` are the slot seconds that back ends spent on own work, and
-    ``processor_seconds`` what the emulator itself took.
+    ``processor_seconds`` is what the emulator itself took.
     """
 
     history: History
     roots: int
     messages: int
-    busy_seconds: float
     processor_seconds: float
--- a/src/finchshed/report/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Reports and plots of results of experiments."""
