--- a/src/finchshed/proof/checks/shedding.py
+++ b/src/finchshed/proof/checks/shedding.py
@@ -10,11 +10,11 @@
 The two classes of a pair are compared within slices of :data:`SLICE_SECONDS`, and the differences
 of the slices are weighed as by Mantel and Haenszel (1959): overload begins and ends within a
 window, and requests of low importance that were shed at a service before this one are missing from
-its overloaded part, so shares over the whole window would compare different moments. In a window
+its overloaded part, so fractions over the whole window would compare different moments. In a window
 with a weight of at least :data:`LEAST_WEIGHT`, the more important class must not be admitted to a
-smaller share than the other by more than :data:`TOLERANCE`. A window counts only once shedding has
-gone on for :data:`SETTLE_SECONDS` at the service: the threshold is learnt from measured queueing
-delay, so the first shed requests of a surge come from a full queue.
+smaller fraction than the other by more than :data:`TOLERANCE`. A window counts only once shedding
+has gone on for :data:`SETTLE_SECONDS` at the service: the threshold is learnt from measured
+queueing delay, so the first shed requests of a surge come from a full queue.
 
 Windows in which another fault than overload is at work (a kill, a freeze, a cut), or was within
 :data:`FAULT_MARGIN_SECONDS`, are not judged: there requests are refused because their deadline ran
@@ -152,7 +152,7 @@
 
 
 def _difference(units: Units, high: Importance, low: Importance) -> tuple[float, float]:
-    """Return by how much ``low`` was admitted to a greater share, and the weight of that."""
+    """Return by how much ``low`` was admitted to a greater fraction, and the weight of that."""
     counts: dict[int, list[int]] = defaultdict(lambda: [0, 0, 0, 0])
     for unit in units.values():
         if unit.importance in (high, low):
@@ -163,7 +163,7 @@
     weight = 0.0
     for admitted_high, count_high, admitted_low, count_low in counts.values():
         if count_high and count_low:
-            share = count_high * count_low / (count_high + count_low)
-            total += share * (admitted_low / count_low - admitted_high / count_high)
-            weight += share
+            slice_weight = count_high * count_low / (count_high + count_low)
+            total += slice_weight * (admitted_low / count_low - admitted_high / count_high)
+            weight += slice_weight
     return (total / weight if weight else 0.0), weight
--- a/src/finchshed/replay/judge.py
+++ b/src/finchshed/replay/judge.py
@@ -155,19 +155,19 @@
         if count < max(stated.arrived_at_least, 1):
             yield f"{count} requests arrived"
             return
-        shares = {
+        fractions = {
             result: sum(record.result == result for record in records) / count
             for result in ("answered", "refused", "failed")
         }
-        answered = shares["answered"]
+        answered = fractions["answered"]
         if stated.answered_at_least is not None and answered < stated.answered_at_least:
             yield f"{answered:.1%} of {count} were answered"
         if stated.answered_at_most is not None and answered > stated.answered_at_most:
             yield f"{answered:.1%} of {count} were answered"
-        if stated.refused_at_most is not None and shares["refused"] > stated.refused_at_most:
-            yield f"{shares['refused']:.1%} of {count} were refused"
-        if stated.failed_at_most is not None and shares["failed"] > stated.failed_at_most:
-            yield f"{shares['failed']:.1%} of {count} failed"
+        if stated.refused_at_most is not None and fractions["refused"] > stated.refused_at_most:
+            yield f"{fractions['refused']:.1%} of {count} were refused"
+        if stated.failed_at_most is not None and fractions["failed"] > stated.failed_at_most:
+            yield f"{fractions['failed']:.1%} of {count} failed"
         yield from self._class_figures(stated, records)
 
     @staticmethod
--- a/src/finchshed/replay/outcomes.py
+++ b/src/finchshed/replay/outcomes.py
@@ -14,7 +14,7 @@
 OUTCOMES_VERSION: Final = 1
 ALL: Final = "all"
 
-Share: TypeAlias = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Fraction: TypeAlias = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Count: TypeAlias = Annotated[int, msgspec.Meta(ge=0)]
 ClassName: TypeAlias = Literal["sheddable", "normal", "high", "critical"]
 
@@ -66,10 +66,10 @@
     begin: Seconds = 0.0
     end: Seconds = 86_400.0
     arrived_at_least: Count = 1
-    answered_at_least: Share | None = None
-    answered_at_most: Share | None = None
-    refused_at_most: Share | None = None
-    failed_at_most: Share | None = None
+    answered_at_least: Fraction | None = None
+    answered_at_most: Fraction | None = None
+    refused_at_most: Fraction | None = None
+    failed_at_most: Fraction | None = None
     p99_seconds_at_most: Seconds | None = None
     attempts_mean_at_most: float | None = None
 
@@ -87,7 +87,7 @@
 
 
 class RecoveryOutcome(_Line, frozen=True, tag="recovery"):
-    """Goodput must come back to a share of what it was before.
+    """Goodput must come back to a fraction of what it was before.
 
     ``before_begin .. before_end`` is ordinary load; the time counts from ``after``.
     """
@@ -96,7 +96,7 @@
     before_end: Seconds
     after: Seconds
     within_seconds: Seconds
-    share: Share = 0.95
+    share: Fraction = 0.95
 
 
 class ChangeOutcome(_Line, frozen=True, tag="change"):
--- a/src/finchshed/replay/recording.py
+++ b/src/finchshed/replay/recording.py
@@ -24,7 +24,7 @@
 _act_decoder: msgspec.json.Decoder[acts.Act] = msgspec.json.Decoder(acts.Act)
 
 MARGIN = 0.1
-"""By how much a recorded share may be missed in a replay."""
+"""By how much a recorded fraction may be missed in a replay."""
 
 
 def trace_of_plan(plan: Plan) -> Trace:
@@ -118,7 +118,7 @@
 
 
 def outcomes_of(trace: Trace, history: History) -> list[bytes]:
-    """Return outcomes that ``history`` reached: every property, and the share answered by class.
+    """Return outcomes that ``history`` reached: every property, and the fraction answered by class.
 
     Shares are stated with a margin of :data:`MARGIN`.
     """
@@ -129,13 +129,13 @@
     records = list(request_records(history).values())
     names: tuple[ClassName, ...] = ("critical", "high", "normal", "sheddable")
     for name in names:
-        shares = [
+        fractions = [
             record.result == "answered"
             for record in records
             if record.importance.name.lower() == name
         ]
-        if shares:
-            least = max(round(sum(shares) / len(shares) - MARGIN, 3), 0.0)
+        if fractions:
+            least = max(round(sum(fractions) / len(fractions) - MARGIN, 3), 0.0)
             lines.append(encode_line(ClassOutcome(importance=name, answered_at_least=least)))
     return lines
 
