--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -27,12 +27,12 @@
 from finchshed.control.state.commands import ApplyChange, NoteAction
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.observability import ring
+from finchshed.rpc.change_results import result_to_message
 from finchshed.rpc.conversion import (
     key_from_message,
     key_to_message,
     resource_to_message,
     resources_from_messages,
-    result_to_message,
 )
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.rpc.generated import finchshed_pb2_grpc as pb_grpc
--- a/src/finchshed/ctl/changes.py
+++ b/src/finchshed/ctl/changes.py
@@ -17,11 +17,11 @@
 from finchshed.ctl.exit_codes import CtlExitCode
 from finchshed.ctl.output import show
 from finchshed.ctl.values import ApplyView, DifferenceView
+from finchshed.rpc.change_results import result_from_message
 from finchshed.rpc.conversion import (
     key_to_message,
     resource_to_message,
     resources_by_key,
-    result_from_message,
 )
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
--- a/tests/rpc/test_conversion.py
+++ b/tests/rpc/test_conversion.py
@@ -18,12 +18,11 @@
     Service,
     Tenant,
 )
+from finchshed.rpc.change_results import result_from_message, result_to_message
 from finchshed.rpc.conversion import (
     resource_from_message,
     resource_to_message,
     resources_from_messages,
-    result_from_message,
-    result_to_message,
 )
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
