--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -1,7 +1,9 @@
-"""The call path's HTTP listener: requests of the local back end and of outside callers.
+"""Handles requests that name their service: of the local back end and of outside callers.
 
 A request is spooled whole within its service's limit, given its context, and answered with the
-whole answer of a back end or with a refusal or failure that says whether it ran.
+whole answer of a back end or with a refusal or failure that says whether it ran. Owns the places of
+callers within their class. Relies on the catalogue for routes and on the caller to have it
+answered.
 """
 
 import itertools
@@ -27,7 +29,7 @@
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue, Matched
-from finchshed.daemon.ingress.responses import malformed_response, response_of
+from finchshed.daemon.ingress.responses import malformed_by_service, response_by_service
 from finchshed.daemon.request import Request, end_to_end_headers
 from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest, Response
@@ -36,6 +38,8 @@
 from finchshed.runtime import clock
 
 ROOT_PREFIX_BYTES = 8
+"""Random bytes in the identities that a daemon gives root requests: no two daemons give the
+same."""
 
 _ACCOUNT = HEADER_ACCOUNT.encode("ascii")
 _CALLER = HEADER_CALLER.encode("ascii")
@@ -47,7 +51,7 @@
 _SESSION_AT = HEADER_SESSION_AT.encode("ascii")
 
 
-class Admitted(msgspec.Struct, frozen=True):
+class ServiceAdmitted(msgspec.Struct, frozen=True):
     """What is known of a request from its head.
 
     ``served`` is the request of the local back end that calls on, or None for a root request.
@@ -57,12 +61,12 @@
     served: ServedRequest | None
 
 
-class Front:
+class ServiceRequestHandler:
     """Answers HTTP requests (the listener's handler).
 
     Parameters
     ----------
-    why_not
+    not_ready_reason
         Returns the reason why no request may be taken now, or None.
     """
 
@@ -71,7 +75,7 @@
         caller: Caller,
         served: ServedRequests,
         rng: random.Random,
-        why_not: Callable[[], RefusalReason | None],
+        not_ready_reason: Callable[[], RefusalReason | None],
     ) -> None:
         self._caller = caller
         self._served = served
@@ -79,12 +83,12 @@
         self._root_prefix = secrets.token_hex(ROOT_PREFIX_BYTES)
         self._roots = itertools.count()
         self._fair = FairPositions(clock.now())
-        self._why_not = why_not
+        self._not_ready_reason = not_ready_reason
         self.catalogue = Catalogue()
 
-    def admit(self, request: InboundRequest) -> Admitted | Refused:
+    def admit(self, request: InboundRequest) -> ServiceAdmitted | Refused:
         """Judge a request by its head, before its body is read."""
-        reason = self._why_not()
+        reason = self._not_ready_reason()
         if reason is not None:
             return self.refusal(reason)
         service_name = request.header(_SERVICE)
@@ -98,16 +102,16 @@
             if issued_at(key) is None:
                 detail = "the idempotency key must be a UUID of version 7"
                 return self.refusal(RefusalReason.KEY_INVALID, detail)
-        return Admitted(matched, self._served.get(request.header(_ACCOUNT)))
+        return ServiceAdmitted(matched, self._served.get(request.header(_ACCOUNT)))
 
-    def max_body_bytes(self, admitted: Admitted) -> int:
+    def max_body_bytes(self, admitted: ServiceAdmitted) -> int:
         """Return the largest body taken for an admitted request."""
         return admitted.matched.service.max_body_bytes
 
     def handle(
         self,
         request: InboundRequest,
-        admitted: Admitted,
+        admitted: ServiceAdmitted,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
         """Answer a whole request; ``respond`` is called once. Return what gives it up."""
@@ -131,14 +135,14 @@
         )
 
         def answered(outcome: Outcome) -> None:
-            respond(response_of(outcome))
+            respond(response_by_service(outcome))
 
         account = "" if served is None else served.account
         return self._caller.call(message, account, _join_identity(request, served), answered)
 
     def refused(self, refused: Refused) -> Response:
         """Return the response that tells a refusal."""
-        return response_of(refused)
+        return response_by_service(refused)
 
     def refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
         """Return the refusal of a request for ``reason``."""
@@ -146,7 +150,7 @@
 
     def malformed(self, detail: str, status: int) -> Response:
         """Return the response to bytes that are no request, or no allowed one."""
-        return malformed_response(detail, status)
+        return malformed_by_service(detail, status)
 
     def _root_context(self, request: InboundRequest, matched: Matched) -> CallContext:
         # The account of a request that is over has nothing left to lend.
@@ -199,7 +203,7 @@
 
 
 def _deadline_of(request: InboundRequest, default_seconds: float) -> float:
-    """Return the seconds left as the caller told them, or ``default_seconds``."""
+    """Return the seconds left by the word of the caller, or ``default_seconds``."""
     value = request.first.get(_DEADLINE)
     if value is None:
         return default_seconds
--- a/src/finchshed/daemon/serving/work.py
+++ b/src/finchshed/daemon/serving/work.py
@@ -1,32 +1,22 @@
 """One call from another daemon, on its way through the daemon beside the back end."""
 
-import enum
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from finchshed.common.context import CallContext
 from finchshed.daemon.serving.accounts import ServedRequest
+from finchshed.daemon.serving.work_state import WorkState
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
 
 
-class WorkState(enum.Enum):
-    """How far a call has come."""
-
-    QUEUED = "queued"
-    ASKING_LEDGER = "asking_ledger"
-    AT_BACKEND = "at_backend"
-    RECORDING = "recording"
-    DONE = "done"
-
-
 @dataclass(slots=True)
 class Work:
     """A call in progress. Times are monotonic seconds; ``started`` is 0 until it was sent.
 
     ``context`` is what it is ranked by and what its own calls inherit. ``route`` is the prefix of
-    the route it falls under. ``opens_session`` tells that its session was admitted with it, and
-    ends if it is refused. ``abandoned`` tells that the caller has given up; what may not be
+    the route it falls under. ``opens_session``: its session was admitted with it, and
+    ends if it is refused. ``abandoned``: the caller has given up; what may not be
     repeated and was sent is nevertheless run to its end, so that a resend gets its answer.
     ``signature`` gives what is equal for all tries of the same work.
     """
