--- a/src/finchshed/configuration/difference.py
+++ b/src/finchshed/configuration/difference.py
@@ -1,4 +1,7 @@
-"""Difference between a configuration in force and a declared one."""
+"""Difference between a configuration in force and a declared one.
+
+Owns no state.
+"""
 
 from collections.abc import Mapping
 
--- a/src/finchshed/configuration/store.py
+++ b/src/finchshed/configuration/store.py
@@ -4,6 +4,9 @@
 at all; of changes made against one revision exactly one is accepted. Results are retained, so a
 resend under the same change identity gets the first result; past the retention a resend is a
 change against an old revision and gets a conflict, so it is never applied twice.
+
+Owns the resources, the revision and the results of earlier changes. Relies on the replicated log to
+apply each change once, in order.
 """
 
 import hashlib
--- a/src/finchshed/configuration/validation.py
+++ b/src/finchshed/configuration/validation.py
@@ -1,4 +1,7 @@
-"""Checks of a whole configuration: names that refer to each other, addresses, bounds."""
+"""Checks of a whole configuration: names that refer to each other, addresses, bounds.
+
+Owns no state; a change is refused as a whole, with every problem that was found.
+"""
 
 import collections
 import ipaddress
--- a/src/finchshed/consensus/events.py
+++ b/src/finchshed/consensus/events.py
@@ -1,4 +1,7 @@
-"""What a node of the replicated log is told."""
+"""What a node of the replicated log is told.
+
+Owns no state; :mod:`finchshed.consensus.node` says what follows from each.
+"""
 
 from typing import TypeAlias
 
--- a/src/finchshed/consensus/membership.py
+++ b/src/finchshed/consensus/membership.py
@@ -1,4 +1,7 @@
-"""The membership of the control group, and changes of it, as values."""
+"""The membership of the control group, and changes of it, as values.
+
+Owns no state; a membership is an entry of the log.
+"""
 
 import enum
 from typing import TypeAlias
--- a/src/finchshed/consensus/options.py
+++ b/src/finchshed/consensus/options.py
@@ -1,4 +1,8 @@
-"""Options of a node of the replicated log."""
+"""Options of a node of the replicated log.
+
+Owns no state. The settings of a control node give the values; docs/design/consensus.md has the
+figures.
+"""
 
 from typing import Annotated
 
--- a/src/finchshed/consensus/progress.py
+++ b/src/finchshed/consensus/progress.py
@@ -1,4 +1,7 @@
-"""What a leader knows about one follower."""
+"""What a leader knows about one follower.
+
+Owns the state of replication to that follower, for one term of the leader.
+"""
 
 import enum
 from collections import deque
--- a/src/finchshed/consensus/receiving.py
+++ b/src/finchshed/consensus/receiving.py
@@ -1,4 +1,7 @@
-"""Messages from other nodes, each handed to the module that deals with it."""
+"""Messages from other nodes, each handed to the module that deals with it.
+
+Owns no state; a message to another name or incarnation goes no further.
+"""
 
 from typing import TypeAlias
 
--- a/src/finchshed/consensus/requests.py
+++ b/src/finchshed/consensus/requests.py
@@ -1,4 +1,7 @@
-"""Requests of the host: proposals, transfer of leadership, snapshots, a full disk."""
+"""Requests of the host: proposals, transfer of leadership, snapshots, a full disk.
+
+Owns what waits for its outcome in the leader's state.
+"""
 
 from finchshed.consensus import replication, roles
 from finchshed.consensus.effects import RefusalCause
--- a/src/finchshed/consensus/roles.py
+++ b/src/finchshed/consensus/roles.py
@@ -1,4 +1,7 @@
-"""Changes of role, and applying what is committed."""
+"""Changes of role, and applying what is committed.
+
+Owns role, term and commit index in the node's state; each change of role goes through here.
+"""
 
 from finchshed.consensus.effects import (
     Apply,
--- a/src/finchshed/control/daemons/explanations.py
+++ b/src/finchshed/control/daemons/explanations.py
@@ -1,4 +1,7 @@
-"""Asks daemons for their recent decisions."""
+"""Asks daemons for their recent decisions.
+
+Owns the questions that wait for an answer. Relies on the daemon to answer in time.
+"""
 
 import asyncio
 
--- a/src/finchshed/control/daemons/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -1,4 +1,7 @@
-"""Takes daemons' ledger requests to the log that their key belongs to."""
+"""Takes daemons' ledger requests to the log that their key belongs to.
+
+Owns the connections to shards. Relies on :mod:`finchshed.ledger.epochs` for where a key belongs.
+"""
 
 import asyncio
 import random
--- a/src/finchshed/control/daemons/ledger_service.py
+++ b/src/finchshed/control/daemons/ledger_service.py
@@ -1,4 +1,7 @@
-"""Carries a daemon's ledger requests to the replicated log and the results back."""
+"""Carries a daemon's ledger requests to the replicated log and the results back.
+
+Owns the keys that are being freed after an undecided begin. Relies on the replicated log.
+"""
 
 import asyncio
 from collections.abc import Mapping
--- a/src/finchshed/control/daemons/platform_poller.py
+++ b/src/finchshed/control/daemons/platform_poller.py
@@ -1,4 +1,7 @@
-"""Reads the platform's list now and then and passes hints on to daemons."""
+"""Reads the platform's list now and then and passes hints on to daemons.
+
+Owns the reading of the list; a list that can't be read changes nothing.
+"""
 
 import asyncio
 from collections.abc import Callable
--- a/src/finchshed/control/operators/access.py
+++ b/src/finchshed/control/operators/access.py
@@ -1,4 +1,7 @@
-"""Who may call the operators' service: the holders of declared operators' tokens."""
+"""Who may call the operators' service: the holders of declared operators' tokens.
+
+Owns no state. Relies on the declared operators in the replicated state.
+"""
 
 import hashlib
 from typing import NoReturn
--- a/src/finchshed/control/operators/rpc_server.py
+++ b/src/finchshed/control/operators/rpc_server.py
@@ -1,4 +1,7 @@
-"""The gRPC server of a control node: operators' service, health and reflection."""
+"""The gRPC server of a control node: operators' service, health and reflection.
+
+Owns the listener. Relies on :mod:`finchshed.control.operators.service` for what is answered.
+"""
 
 import grpc
 from grpc_health.v1 import health, health_pb2, health_pb2_grpc
--- a/src/finchshed/control/raft/pending_outcomes.py
+++ b/src/finchshed/control/raft/pending_outcomes.py
@@ -1,4 +1,7 @@
-"""Proposals, reads and changes of members that wait for their outcome."""
+"""Proposals, reads and changes of members that wait for their outcome.
+
+Owns the futures of requests in progress at this node.
+"""
 
 import asyncio
 from typing import TypeAlias
--- a/src/finchshed/control/state/machine.py
+++ b/src/finchshed/control/state/machine.py
@@ -1,4 +1,7 @@
-"""The state every control node holds: configuration and ledger, driven by the replicated log."""
+"""The state every control node holds: configuration and ledger, driven by the replicated log.
+
+Owns that state. Relies on the log to apply each entry once, in order, on every control node.
+"""
 
 from collections.abc import Callable
 
--- a/src/finchshed/ctl/changes.py
+++ b/src/finchshed/ctl/changes.py
@@ -1,4 +1,7 @@
-"""Sub-commands that change the configuration: diff, apply, drain."""
+"""Sub-commands that change the configuration: diff, apply, drain.
+
+Owns no state. Relies on the control nodes, which apply a change once by its identity.
+"""
 
 import uuid
 from pathlib import Path
--- a/src/finchshed/ctl/status.py
+++ b/src/finchshed/ctl/status.py
@@ -1,4 +1,7 @@
-"""Sub-commands that show the daemons and the members of the control group: status, members."""
+"""Sub-commands that show the daemons and the members of the control group: status, members.
+
+Owns no state. Relies on the best informed of the control nodes that answer.
+"""
 
 from typing import cast
 
--- a/src/finchshed/distribution/delta_history.py
+++ b/src/finchshed/distribution/delta_history.py
@@ -1,4 +1,7 @@
-"""The latest deltas, kept to bring someone a few changes behind up to date. Pure."""
+"""The latest deltas, kept to bring someone a few changes behind up to date. Pure.
+
+Owns those deltas; its size is bounded in changes and in items.
+"""
 
 from collections import deque
 
--- a/src/finchshed/distribution/driver.py
+++ b/src/finchshed/distribution/driver.py
@@ -1,6 +1,7 @@
-"""Shell of the follower: joins the decisions, the connection to control and the data folder.
+"""Runs a daemon's follower: joins its decisions, the connection to control and the data folder.
 
-A daemon makes one, runs it, tells it what peers say, and is told what to act on.
+Owns all three. A daemon makes one, runs it, hands it what peers report, and is called with what to
+act on.
 """
 
 import asyncio
--- a/src/finchshed/distribution/ledger_requests.py
+++ b/src/finchshed/distribution/ledger_requests.py
@@ -1,4 +1,7 @@
-"""A daemon's ledger requests to control, sent again on the next connection until answered."""
+"""A daemon's ledger requests to control, sent again on the next connection until answered.
+
+Owns the requests in progress. Relies on the client for the connection in use.
+"""
 
 import asyncio
 from collections.abc import Callable
--- a/src/finchshed/distribution/peer_revisions.py
+++ b/src/finchshed/distribution/peer_revisions.py
@@ -1,4 +1,7 @@
-"""Revisions that other daemons reported, and which of them to ask for a configuration. Pure."""
+"""Revisions that other daemons reported, and which of them to ask for a configuration. Pure.
+
+Owns what was reported; nothing of it comes into force by itself.
+"""
 
 from collections.abc import Iterable
 
--- a/src/finchshed/ledger/results.py
+++ b/src/finchshed/ledger/results.py
@@ -1,4 +1,7 @@
-"""Answers of the ledger, as values."""
+"""Answers of the ledger, as values.
+
+Owns no state.
+"""
 
 import enum
 from typing import TypeAlias
--- a/src/finchshed/rpc/conversion.py
+++ b/src/finchshed/rpc/conversion.py
@@ -1,4 +1,7 @@
-"""Converts resources and results between the schema's messages and the typed values."""
+"""Converts resources and results between the schema's messages and the typed values.
+
+Owns no state; the only place where both forms of a resource are named.
+"""
 
 from collections.abc import Iterable
 
--- a/src/finchshed/settings/loader.py
+++ b/src/finchshed/settings/loader.py
@@ -1,4 +1,7 @@
-"""Loads a program's settings from a TOML file and flags, and reports every problem at once."""
+"""Loads a program's settings from a TOML file and flags, and reports every problem at once.
+
+Owns no state; a process starts only with settings that have no problem.
+"""
 
 import enum
 from collections.abc import Mapping
--- a/src/finchshed/storage/folder.py
+++ b/src/finchshed/storage/folder.py
@@ -1,4 +1,7 @@
-"""A folder of the real file system as a :class:`~finchshed.storage.disk.Disk`."""
+"""A folder of the real file system as a :class:`~finchshed.storage.disk.Disk`.
+
+Owns the folder and its lock: one process at a time. Relies on the file system for sync and rename.
+"""
 
 import errno
 import fcntl
--- a/src/finchshed/storage/journal.py
+++ b/src/finchshed/storage/journal.py
@@ -2,6 +2,9 @@
 
 One file is current at any time. Compaction writes a whole new file under the next number and
 renames it into place, so the current file is always the one with the highest number.
+
+Owns the current journal file. Relies on :mod:`finchshed.storage.framing` for telling a torn
+end from damage.
 """
 
 import msgspec
--- a/src/finchshed/storage/log_store.py
+++ b/src/finchshed/storage/log_store.py
@@ -1,4 +1,8 @@
-"""All durable state of one control node: vote, log entries, snapshot, disk incarnation."""
+"""All durable state of one control node: vote, log entries, snapshot, disk incarnation.
+
+Owns what a control node has promised: it is durable before a write returns. Relies on the journal,
+the snapshots and the incarnation, each a file of one :class:`~finchshed.storage.disk.Disk`.
+"""
 
 import enum
 import random
--- a/src/finchshed/storage/records.py
+++ b/src/finchshed/storage/records.py
@@ -1,4 +1,7 @@
-"""What a control node keeps on its disk, as typed records."""
+"""What a control node keeps on its disk, as typed records.
+
+Owns no state; what is written here stays readable by later versions.
+"""
 
 import enum
 from typing import TypeAlias
--- a/src/finchshed/storage/snapshots.py
+++ b/src/finchshed/storage/snapshots.py
@@ -1,4 +1,7 @@
-"""Snapshots as files: a header line, then lines that each hold a part of the data."""
+"""Snapshots as files: a header line, then lines that each hold a part of the data.
+
+Owns the form of those files. Relies on :mod:`finchshed.storage.disk` to replace a file whole.
+"""
 
 import msgspec
 
--- a/src/finchshed/tls/files.py
+++ b/src/finchshed/tls/files.py
@@ -1,4 +1,7 @@
-"""The files of a process's key and certificates, and what is wrong with them."""
+"""The files of a process's key and certificates, and what is wrong with them.
+
+Owns no state; a process starts only with files that fit together.
+"""
 
 import datetime
 import ssl
