--- a/src/finchshed/routing/link_hold.py
+++ b/src/finchshed/routing/link_hold.py
@@ -1,8 +1,8 @@
 """For how long no call is placed at an endpoint whose link broke.
 
-Counts the failures of its own; :mod:`finchshed.daemon.calling.peers` has a wait for dials besides.
-See "Two waits after a broken link" in docs/DECISIONS.md. No refusal comes of it while another
-endpoint takes the call; else the table refuses, ``no_backend``.
+Counts the failures of its own; :mod:`finchshed.daemon.calling.daemon_links` has a wait for dials
+besides. See "Two waits after a broken link" in docs/DECISIONS.md. No refusal comes of it while
+another endpoint takes the call; else the table refuses, ``no_backend``.
 """
 
 from finchshed.common.backoff import Backoff
