--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -102,13 +102,12 @@
         self._folder = open_log_folder(data_folder)
         opened = open_durable_state(self._folder, rng)
         self._journal = JournalWriter(opened.store)
-        initial = tuple(InitialMember(voter, where) for voter, where in voters.items())
         self.node = RaftNode(
             name,
             address,
             opened.stored,
             rng=rng,
-            initial_members=initial,
+            initial_members=tuple(InitialMember(*voter) for voter in voters.items()),
             now=clock.now(),
             options=options,
             may_form=may_form,
