--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -51,7 +51,7 @@
         self._tried.clear()
         return True
 
-    patch.setattr(CallerLogic, "_pay", pay)
+    patch.setattr(CallerLogic, "_pay_for_another", pay)
 
 
 def importance_is_ignored(patch: pytest.MonkeyPatch) -> None:
