--- a/src/finchshed/emulator/scheme.py
+++ b/src/finchshed/emulator/processes.py
@@ -1,4 +1,7 @@
-"""finchshed as the control scheme of a run: daemons, edges, and what operators do."""
+"""The processes of a run: daemons, edges, control, and what operators do to them.
+
+Owns which daemon stands beside which back end, and the course of a planned stop.
+"""
 
 from finchshed.configuration.resources import Endpoint, Policy
 from finchshed.emulator import acts
@@ -27,7 +30,7 @@
 """Time a stop leaves for late arrivals to come in."""
 
 
-class FinchshedScheme:
+class SimulatedProcesses:
     """Daemons beside every back end, an edge in each zone, and control."""
 
     def __init__(
--- a/src/finchshed/emulator/world.py
+++ b/src/finchshed/emulator/world.py
@@ -12,9 +12,9 @@
 from finchshed.emulator.deployment import Deployment
 from finchshed.emulator.faults import FaultInjector
 from finchshed.emulator.network import Network, Site
+from finchshed.emulator.processes import SimulatedProcesses
 from finchshed.emulator.recorder import Recorder
 from finchshed.emulator.run import FinishedRun, RunSpecification
-from finchshed.emulator.scheme import FinchshedScheme
 from finchshed.emulator.simulation import Simulation
 from finchshed.emulator.streams import Streams
 from finchshed.proof.history_file import SCHEMA_VERSION, Header
@@ -37,8 +37,8 @@
         recorder = Recorder(clock, _header_of(specification))
         self.simulation = Simulation(clock, network, streams, recorder)
         self.back_ends = self._make_back_ends()
-        self.scheme = FinchshedScheme(self.simulation, specification, self.back_ends)
-        self.faults = FaultInjector(self.simulation, self.back_ends, self.scheme)
+        self.processes = SimulatedProcesses(self.simulation, specification, self.back_ends)
+        self.faults = FaultInjector(self.simulation, self.back_ends, self.processes)
 
     def run(self) -> FinishedRun:
         """Run to the end and return what happened."""
@@ -46,7 +46,7 @@
         specification = self.specification
         simulation = self.simulation
         callers = OutsideCallers(
-            simulation, self.deployment, specification.client, self.scheme.edge_of
+            simulation, self.deployment, specification.client, self.processes.edge_of
         )
         for act in specification.acts:
             self.faults.schedule(act)
--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -22,7 +22,7 @@
 from finchshed.emulator.daemons.daemon import SimulatedDaemon
 from finchshed.emulator.daemons.link import DaemonLink
 from finchshed.emulator.daemons.outgoing import SimulatedOutgoingCall
-from finchshed.emulator.scheme import FinchshedScheme
+from finchshed.emulator.processes import SimulatedProcesses
 from finchshed.ledger.ledger import Ledger
 from finchshed.ledger.results import Granted
 from finchshed.routing.caller import CallerLogic
@@ -156,14 +156,14 @@
 def a_stop_does_not_wait(patch: pytest.MonkeyPatch) -> None:
     """Stop the process while it has work."""
     patch.setattr(SimulatedDaemon, "in_progress", property(lambda self: 0))
-    wait = FinchshedScheme._stop_when_idle
+    wait = SimulatedProcesses._stop_when_idle
 
     def stop_at_once(self: Any, daemon: Any, life: int, stop_after: float, seconds: float) -> None:
         back_end = self._back_ends[daemon.name]
         patch.setattr(type(back_end), "in_flight", property(lambda held: 0), raising=False)
         wait(self, daemon, life, 0.0, seconds)
 
-    patch.setattr(FinchshedScheme, "_stop_when_idle", stop_at_once)
+    patch.setattr(SimulatedProcesses, "_stop_when_idle", stop_at_once)
 
 
 def a_restart_trusts_any_control_node(patch: pytest.MonkeyPatch) -> None:
