--- a/src/finchshed/bench/consensus_group.py
+++ b/src/finchshed/bench/consensus_group.py
@@ -11,7 +11,7 @@
 
 from finchshed.configuration.changes import Change
 from finchshed.configuration.resources import Endpoint, Operator, Service
-from finchshed.consensus.driver import Driver
+from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import Effect, RaftRole
 from finchshed.consensus.events import Event, Propose, Received, Tick
 from finchshed.consensus.identity import NodeIdentity
@@ -84,7 +84,7 @@
 
 
 class MemoryNode:
-    """A production node with its driver; writes are durable at once and nothing is applied.
+    """A production node with its runner; writes are durable at once and nothing is applied.
 
     Attributes
     ----------
@@ -104,8 +104,8 @@
             initial_members=initial,
             now=0.0,
         )
-        self.driver = Driver(raft, self)
-        self.driver.start(0.0)
+        self.runner = EffectRunner(raft, self)
+        self.runner.start(0.0)
 
     def send(self, address: str, envelope: Envelope) -> None:
         """Encode a line, as the link does."""
@@ -126,10 +126,10 @@
 
     def handle(self, events: list[Event], now: float) -> None:
         """Take events; writes end at once."""
-        self.driver.handle(events, now)
-        while self.driver.has_writes:
-            self.driver.next_writes()
-            self.driver.written(WriteOutcome.DURABLE, now)
+        self.runner.handle(events, now)
+        while self.runner.has_writes:
+            self.runner.next_writes()
+            self.runner.written(WriteOutcome.DURABLE, now)
 
 
 class LeaderMeter:
@@ -160,7 +160,7 @@
                 node.handle([Tick()], self._now)
             self._exchange()
             for node in self._nodes.values():
-                if node.driver.node.role is RaftRole.LEADER:
+                if node.runner.node.role is RaftRole.LEADER:
                     return node
         raise RuntimeError("no leader in time")
 
--- a/src/finchshed/bench/consensus_restart.py
+++ b/src/finchshed/bench/consensus_restart.py
@@ -12,7 +12,7 @@
 
 from finchshed.bench.consensus_group import first_change, later_changes
 from finchshed.common.errors import InvariantError
-from finchshed.consensus.driver import Driver
+from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import Effect
 from finchshed.consensus.events import Event, Propose, Tick
 from finchshed.consensus.membership import InitialMember
@@ -78,8 +78,8 @@
             options=options,
         )
         self.now = 0.0
-        self.driver = Driver(raft, self)
-        self.driver.start(0.0)
+        self.runner = EffectRunner(raft, self)
+        self.runner.start(0.0)
 
     def send(self, _address: str, _envelope: Envelope) -> None:
         """Send nothing: there is no other node."""
@@ -101,17 +101,17 @@
 
     def handle(self, events: list[Event]) -> None:
         """Take events and write what they ask for."""
-        self.driver.handle(events, self.now)
-        while self.driver.has_writes:
-            outcome = self.store.write(self.driver.next_writes())
-            self.driver.written(outcome, self.now)
+        self.runner.handle(events, self.now)
+        while self.runner.has_writes:
+            outcome = self.store.write(self.runner.next_writes())
+            self.runner.written(outcome, self.now)
 
     def lead(self) -> None:
         """Wait, on the own clock, until the node leads and all that is stored is applied."""
         for _ in range(_MOST_TICKS):
             self.now += _TICK_SECONDS
             self.handle([Tick()])
-            raft = self.driver.node
+            raft = self.runner.node
             if raft.last_index and raft.commit_index == raft.last_index:
                 return
         raise InvariantError("the only voter does not lead")
--- a/src/finchshed/consensus/driver.py
+++ b/src/finchshed/consensus/effect_runner.py
@@ -1,9 +1,9 @@
 """Carries out the effects of a node, the same way in production and in simulation.
 
-The host owns sockets, the clock and the thread that writes. It calls :meth:`Driver.handle` with
-events, and runs one write at a time: :meth:`Driver.next_writes`, then
+The host owns sockets, the clock and the thread that writes. It calls :meth:`EffectRunner.handle`
+with events, and runs one write at a time: :meth:`EffectRunner.next_writes`, then
 :meth:`~finchshed.storage.log_store.LogStore.write` wherever blocking is allowed, then
-:meth:`Driver.written`. While a write runs, later ones gather and share the next sync.
+:meth:`EffectRunner.written`. While a write runs, later ones gather and share the next sync.
 """
 
 from collections.abc import Sequence
@@ -25,7 +25,7 @@
 
 
 class Host(Protocol):
-    """What a driver needs of its surroundings."""
+    """What a runner needs of its surroundings."""
 
     def send(self, address: str, envelope: Envelope) -> None:
         """Send a line; losing it is allowed."""
@@ -48,7 +48,7 @@
         ...
 
 
-class Driver:
+class EffectRunner:
     """Connects a node, its storage and its host."""
 
     def __init__(self, node: RaftNode, host: Host) -> None:
--- a/src/finchshed/consensus/effects.py
+++ b/src/finchshed/consensus/effects.py
@@ -1,6 +1,7 @@
 """What a node of the replicated log asks for. Effects are carried out in order.
 
-Relies on the host for all of it; :mod:`finchshed.consensus.driver` is the part that hosts share.
+Relies on the host for all of it;
+:mod:`finchshed.consensus.effect_runner` is the part that hosts share.
 """
 
 import enum
--- a/src/finchshed/consensus/node.py
+++ b/src/finchshed/consensus/node.py
@@ -1,7 +1,7 @@
 """The node of the replicated log: a state machine that takes events and returns effects.
 
 Owns the state of the node; each module of this package has one part of the rules. Relies on
-:mod:`finchshed.consensus.driver` to carry the effects out in order.
+:mod:`finchshed.consensus.effect_runner` to carry the effects out in order.
 """
 
 import random
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from finchshed.common.errors import InvariantError
-from finchshed.consensus.driver import Driver
+from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import (
     Committed,
     Effect,
@@ -113,7 +113,7 @@
             may_form=may_form,
             zone=zone,
         )
-        self._driver = Driver(self.node, self)
+        self._runner = EffectRunner(self.node, self)
         self._links: ControlNodeLinks | None = None
         self._events: list[Event] = []
         self._flush_scheduled = False
@@ -128,7 +128,7 @@
         """Bring the state machine to what the disk holds, and take part in the group."""
         self._links = links
         started = clock.now()
-        self._driver.start(clock.now())
+        self._runner.start(clock.now())
         self._after_step()
         elapsed = clock.now() - started
         logger.info("state at entry {} after {:.3f} s", self._machine.applied_index, elapsed)
@@ -201,7 +201,7 @@
         """Return after the role or known leader changed, or after the time."""
         await self._changes.wait_for_role(timeout_seconds)
 
-    # What the driver asks of its host.
+    # What the runner asks of its host.
 
     def send(self, address: str, envelope: Envelope) -> None:
         """Send a message to another node."""
@@ -269,14 +269,14 @@
 
     def _step(self, events: Sequence[Event]) -> None:
         try:
-            self._driver.handle(events, clock.now())
+            self._runner.handle(events, clock.now())
         except InvariantError as error:
             self._background.broken(error)
             return
         self._after_step()
 
     def _after_step(self) -> None:
-        if self._driver.has_writes:
+        if self._runner.has_writes:
             self._background.spawn(self._write())
         if self._timer is not None:
             self._timer.cancel()
@@ -288,11 +288,11 @@
             metrics.observe(self.node, self.journal_bytes)
 
     async def _write(self) -> None:
-        outcome = await self._journal.write(self._driver.next_writes())
+        outcome = await self._journal.write(self._runner.next_writes())
         if self._is_stopped:
             return
         try:
-            self._driver.written(outcome, clock.now())
+            self._runner.written(outcome, clock.now())
         except InvariantError as error:
             self._background.broken(error)
             return
--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -53,7 +53,7 @@
 from finchshed.daemon.signatures import Signatures
 from finchshed.directory.registrar import Registrar
 from finchshed.distribution.addresses import parse_control_address
-from finchshed.distribution.driver import FollowerDriver, FollowerListener
+from finchshed.distribution.follower_runner import FollowerListener, FollowerRunner
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.http.server import HttpServer
 from finchshed.http.spool import SpoolBudget
@@ -82,18 +82,18 @@
     names
         Names of the headers of requests by host.
     follower_listener
-        Acts on the configuration, once the driver runs.
+        Acts on the configuration, once the follower runs.
     not_ready_reason
         Returns the reason why no request may be taken now, or None.
     """
     state = _shared_state(settings, names)
-    driver = _driver(state, follower_listener)
-    quarantine = Quarantine(driver.client, state.crash_news_links.send)
-    serving = _serving_parts(state, driver, quarantine)
-    linked = _link_parts(state, driver, quarantine, serving)
-    backend_state = _backend_state_parts(state, driver, serving, linked)
-    ingress = _ingress_parts(state, driver, quarantine, linked, not_ready_reason)
-    return DaemonParts(state, driver, quarantine, serving, linked, backend_state, ingress)
+    follower_runner = _follower_runner(state, follower_listener)
+    quarantine = Quarantine(follower_runner.client, state.crash_news_links.send)
+    serving = _serving_parts(state, follower_runner, quarantine)
+    linked = _link_parts(state, follower_runner, quarantine, serving)
+    backend_state = _backend_state_parts(state, follower_runner, serving, linked)
+    ingress = _ingress_parts(state, follower_runner, quarantine, linked, not_ready_reason)
+    return DaemonParts(state, follower_runner, quarantine, serving, linked, backend_state, ingress)
 
 
 def _shared_state(settings: DaemonSettings, names: HeaderNames) -> SharedState:
@@ -120,7 +120,7 @@
     )
 
 
-def _driver(state: SharedState, listener: FollowerListener) -> FollowerDriver:
+def _follower_runner(state: SharedState, listener: FollowerListener) -> FollowerRunner:
     settings = state.settings
     identity = ClientIdentity(
         node=settings.node,
@@ -132,11 +132,11 @@
     addresses = [parse_control_address(text) for text in settings.control_addresses]
     folder = Path(settings.data_folder) if settings.data_folder else None
     connect = Connector(state.credentials, CertificateRole.CONTROL)
-    return FollowerDriver(identity, addresses, listener, state.rng, folder, connect=connect)
+    return FollowerRunner(identity, addresses, listener, state.rng, folder, connect=connect)
 
 
 def _serving_parts(
-    state: SharedState, driver: FollowerDriver, quarantine: Quarantine
+    state: SharedState, follower_runner: FollowerRunner, quarantine: Quarantine
 ) -> ServingParts | None:
     settings = state.settings
     if not settings.backend_address:
@@ -150,13 +150,13 @@
     callee = Callee(
         settings,
         backend=backend,
-        guarded=GuardedRuns(settings, ControlLedger(driver.client.ledger), state.rng),
+        guarded=GuardedRuns(settings, ControlLedger(follower_runner.client.ledger), state.rng),
         served=state.served,
         paths=state.paths,
         rng=state.rng,
         drain=state.drain,
         events=state.events,
-        revision=lambda: driver.follower.revision,
+        revision=lambda: follower_runner.follower.revision,
         names=state.names,
         signatures=state.signatures,
         quarantine=quarantine,
@@ -166,7 +166,7 @@
 
 def _link_parts(
     state: SharedState,
-    driver: FollowerDriver,
+    follower_runner: FollowerRunner,
     quarantine: Quarantine,
     serving: ServingParts | None,
 ) -> LinkParts:
@@ -174,7 +174,7 @@
     platform = PlatformHints(state.table)
     handler = LinkHandler(
         settings,
-        driver,
+        follower_runner,
         state.table,
         platform,
         quarantine,
@@ -202,7 +202,7 @@
 
 def _backend_state_parts(
     state: SharedState,
-    driver: FollowerDriver,
+    follower_runner: FollowerRunner,
     serving: ServingParts | None,
     linked: LinkParts,
 ) -> BackendStateParts:
@@ -214,13 +214,13 @@
         serving.backend, announcer.on_backend_draining, announcer.on_backend_returned
     )
     state.events.subscribe_answers(monitor.on_answer)
-    registered = _registered_backend(state, driver, serving, linked, announcer)
+    registered = _registered_backend(state, follower_runner, serving, linked, announcer)
     return BackendStateParts(announcer, monitor, registered)
 
 
 def _registered_backend(
     state: SharedState,
-    driver: FollowerDriver,
+    follower_runner: FollowerRunner,
     serving: ServingParts,
     linked: LinkParts,
     announcer: DrainAnnouncer,
@@ -242,7 +242,7 @@
         drain=state.drain,
         announcer=announcer,
         listener=linked.listener,
-        client=driver.client,
+        client=follower_runner.client,
         backend=serving.backend,
         events=state.events,
         names=state.names,
@@ -251,7 +251,7 @@
 
 def _ingress_parts(
     state: SharedState,
-    driver: FollowerDriver,
+    follower_runner: FollowerRunner,
     quarantine: Quarantine,
     linked: LinkParts,
     not_ready_reason: Callable[[], RefusalReason | None],
@@ -266,8 +266,10 @@
         quarantine=quarantine,
     )
     service_handler = ServiceRequestHandler(caller, state.served, state.rng, not_ready_reason)
-    lease_renewal = LeaseRenewal(driver.client)
-    quotas = QuotaGate(driver.client, state.identity.incarnation, state.started_ms, state.rng)
+    lease_renewal = LeaseRenewal(follower_runner.client)
+    quotas = QuotaGate(
+        follower_runner.client, state.identity.incarnation, state.started_ms, state.rng
+    )
     host_handler = HostRequestHandler(
         caller,
         state.served,
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -54,7 +54,7 @@
         self._drain = parts.state.drain
         self._links = parts.linked.links
         self._ingress = parts.ingress
-        client = parts.driver.client
+        client = parts.follower_runner.client
         client.on_hints = self._on_hints
         client.on_directory = self._on_directory
 
@@ -84,7 +84,7 @@
         """Follow the configuration and listen."""
         settings = self._settings
         parts = self._parts
-        self._spawn(parts.driver.run())
+        self._spawn(parts.follower_runner.run())
         self._spawn(self._keep_up())
         monitor = parts.backend_state.monitor
         if monitor is not None and self.registered_backend is None:
@@ -125,7 +125,7 @@
 
     def add_control_addresses(self, addresses: Iterable[str]) -> None:
         """Use control nodes that the settings name by now as well."""
-        self._parts.driver.client.add_addresses(addresses)
+        self._parts.follower_runner.client.add_addresses(addresses)
 
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
         """Act on ``current`` from now on."""
@@ -214,7 +214,7 @@
             self._parts.quarantine.tick()
             self._links.close_idle()
             self._links.reopen_lost()
-            if not self._parts.driver.client.is_connected:
+            if not self._parts.follower_runner.client.is_connected:
                 # Other daemons are the only source of configuration then.
                 self._links.ask_revisions()
             self._parts.linked.listener.close_silent(clock.now())
--- a/src/finchshed/daemon/link_handler.py
+++ b/src/finchshed/daemon/link_handler.py
@@ -14,7 +14,7 @@
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.serving.callee import Callee
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.distribution.driver import FollowerDriver
+from finchshed.distribution.follower_runner import FollowerRunner
 from finchshed.distribution.messages import Delta
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import (
@@ -42,7 +42,7 @@
     def __init__(
         self,
         settings: DaemonSettings,
-        driver: FollowerDriver,
+        follower_runner: FollowerRunner,
         table: RoutingTable,
         platform: PlatformHints,
         quarantine: Quarantine,
@@ -53,7 +53,7 @@
         rng: random.Random,
     ) -> None:
         self._settings = settings
-        self._driver = driver
+        self._follower_runner = follower_runner
         self._table = table
         self._platform = platform
         self._quarantine = quarantine
@@ -76,11 +76,11 @@
 
     def revision(self) -> int:
         """Return the revision in force."""
-        return self._driver.follower.revision
+        return self._follower_runner.follower.revision
 
     def delta_for(self, revision: int) -> Delta | None:
         """Return the configuration for a peer that holds ``revision``."""
-        return self._driver.follower.answer_fetch(revision)
+        return self._follower_runner.follower.answer_fetch(revision)
 
     def crash_news_received(self, news: CrashNews) -> None:
         """Merge what a peer reports of requests that crash back ends."""
@@ -113,12 +113,12 @@
     def accepted_revision_seen(self, link: AcceptedLink, revision: int) -> None:
         """Note the revision a calling daemon holds; fetch it if it is higher."""
         if link.peer is not None:
-            self._driver.on_peer_revision(link.peer.node, revision)
+            self._follower_runner.on_peer_revision(link.peer.node, revision)
 
     def accepted_delta_received(self, link: AcceptedLink, delta: Delta) -> None:
         """Offer the follower configuration from a calling daemon."""
         if link.peer is not None:
-            self._driver.on_peer_delta(link.peer.node, delta)
+            self._follower_runner.on_peer_delta(link.peer.node, delta)
 
     def peer_up(self, endpoint: str, incarnation: str) -> None:
         """Note that an endpoint can be called."""
@@ -140,8 +140,8 @@
 
     def peer_revision(self, peer: str, revision: int) -> None:
         """Note the revision an endpoint's daemon holds."""
-        self._driver.on_peer_revision(peer, revision)
+        self._follower_runner.on_peer_revision(peer, revision)
 
     def peer_delta(self, peer: str, delta: Delta) -> None:
         """Offer the follower configuration from an endpoint's daemon."""
-        self._driver.on_peer_delta(peer, delta)
+        self._follower_runner.on_peer_delta(peer, delta)
--- a/src/finchshed/daemon/parts.py
+++ b/src/finchshed/daemon/parts.py
@@ -26,7 +26,7 @@
 from finchshed.daemon.serving.callee import Callee
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import Signatures
-from finchshed.distribution.driver import FollowerDriver
+from finchshed.distribution.follower_runner import FollowerRunner
 from finchshed.http.server import HttpServer
 from finchshed.link.listener import LinkListener
 from finchshed.routing.table import RoutingTable
@@ -117,7 +117,7 @@
     """All parts of one daemon; ``serving`` is None on an edge."""
 
     state: SharedState
-    driver: FollowerDriver
+    follower_runner: FollowerRunner
     quarantine: Quarantine
     serving: ServingParts | None
     linked: LinkParts
--- a/src/finchshed/distribution/follower.py
+++ b/src/finchshed/distribution/follower.py
@@ -8,7 +8,7 @@
 *in force*. Recording first means that a daemon with a disk never comes back to less than it has
 acted on.
 
-Relies on :mod:`finchshed.distribution.driver`, which carries the effects out.
+Relies on :mod:`finchshed.distribution.follower_runner`, which carries the effects out.
 """
 
 from collections.abc import Sequence
--- a/src/finchshed/distribution/driver.py
+++ b/src/finchshed/distribution/follower_runner.py
@@ -57,7 +57,7 @@
         """Open links to these endpoints."""
 
 
-class FollowerDriver:
+class FollowerRunner:
     """Runs a follower.
 
     Parameters
--- a/src/finchshed/emulator/control/log_host.py
+++ b/src/finchshed/emulator/control/log_host.py
@@ -1,6 +1,6 @@
 """One life of a node of the replicated log in the emulator: disk, timers and messages.
 
-Counterpart of :mod:`finchshed.control.raft.host`. The node, its driver, its storage and its state
+Counterpart of :mod:`finchshed.control.raft.host`. The node, its runner, its storage and its state
 machine are the production classes; the disk forgets what was not synced.
 """
 
@@ -10,7 +10,7 @@
 from typing import Final, Protocol, TypeAlias
 
 from finchshed.common.errors import CorruptRecordError
-from finchshed.consensus.driver import Driver
+from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import (
     Committed,
     Effect,
@@ -93,7 +93,7 @@
             now=process.now,
             may_form=may_form,
         )
-        self._driver = Driver(self.node, self)
+        self._runner = EffectRunner(self.node, self)
         self._events: list[Event] = []
         self._last_applied: tuple[int, CommandResult | None] = (0, None)
         self._last_token = 0
@@ -109,7 +109,7 @@
 
     def start(self) -> None:
         """Bring the state machine to what the disk holds, and take part in the group."""
-        self._driver.start(self._process.now)
+        self._runner.start(self._process.now)
         self._after_step()
 
     def propose(self, command: Command, done: OnResult) -> None:
@@ -138,7 +138,7 @@
         if self._writing and self._rng.random() < CHANCE_OF_WRITE_BEFORE_CRASH:
             self._store.write(self._writing)
 
-    # What the driver asks of its host.
+    # What the runner asks of its host.
 
     def send(self, address: str, envelope: Envelope) -> None:
         """Send a message to another node."""
@@ -191,12 +191,12 @@
         self._step(events)
 
     def _step(self, events: list[Event]) -> None:
-        self._driver.handle(events, self._process.now)
+        self._runner.handle(events, self._process.now)
         self._after_step()
 
     def _after_step(self) -> None:
-        if self._driver.has_writes:
-            self._writing = self._driver.next_writes()
+        if self._runner.has_writes:
+            self._writing = self._runner.next_writes()
             seconds = SYNC_SECONDS * (0.5 + self._rng.random())
             self._process.call_later(seconds, self._write)
         due = self._process.now + self.node.next_delay()
@@ -219,7 +219,7 @@
         self._written(outcome)
 
     def _written(self, outcome: WriteOutcome) -> None:
-        self._driver.written(outcome, self._process.now)
+        self._runner.written(outcome, self._process.now)
         self._after_step()
 
 
--- a/src/finchshed/emulator/daemons/follower_shell.py
+++ b/src/finchshed/emulator/daemons/follower_shell.py
@@ -1,6 +1,6 @@
 """Joins an emulated daemon, its follower of the configuration and its connection to control.
 
-Counterpart of :mod:`finchshed.distribution.driver`. Every decision is the production
+Counterpart of :mod:`finchshed.distribution.follower_runner`. Every decision is the production
 :class:`~finchshed.distribution.follower.Follower`'s.
 """
 
--- a/src/finchshed/proof/consensus/node.py
+++ b/src/finchshed/proof/consensus/node.py
@@ -11,7 +11,7 @@
 import simpy
 
 from finchshed.common.errors import InvariantError, StorageError
-from finchshed.consensus.driver import Driver
+from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import Effect, RaftRole, RoleChanged
 from finchshed.consensus.events import (
     ChangeMembership,
@@ -46,7 +46,7 @@
 
 
 class SimulatedNode:
-    """One node; implements :class:`~finchshed.consensus.driver.Host`.
+    """One node; implements :class:`~finchshed.consensus.effect_runner.Host`.
 
     Attributes
     ----------
@@ -97,13 +97,13 @@
         self._inbox = Inbox(self._process, rng, self._step)
         self._last_result: tuple[int, ChangeResult | None] = (0, None)
         self._store: LogStore
-        self._driver: Driver
+        self._runner: EffectRunner
         network.attach(key, self.address, self._deliver)
 
     @property
     def raft(self) -> RaftNode:
         """The production node. Meaningful while running."""
-        return self._driver.node
+        return self._runner.node
 
     @property
     def is_running(self) -> bool:
@@ -139,10 +139,10 @@
             options=self._options,
             zone=self.zone,
         )
-        self._driver = Driver(raft, self)
+        self._runner = EffectRunner(raft, self)
         self._process.begin()
         self._observer.started(self)
-        self._guarded(lambda: self._driver.start(self._host_now()))
+        self._guarded(lambda: self._runner.start(self._host_now()))
 
     def crash(self, power_lost: bool) -> None:
         """Stop at once, perhaps in the middle of a write.
@@ -155,7 +155,7 @@
         self._doomed = None
         if not self.is_running:
             return
-        writes = self._driver.next_writes()
+        writes = self._runner.next_writes()
         if writes:
             self.disk.crash_after(self._rng.randrange(_MOST_OPERATIONS_OF_A_WRITE))
             try:
@@ -250,10 +250,10 @@
         self._step([Tick()])
 
     def _step(self, events: list[Event]) -> None:
-        self._guarded(lambda: self._driver.handle(events, self._host_now()))
+        self._guarded(lambda: self._runner.handle(events, self._host_now()))
 
     def _guarded(self, action: Callable[[], None]) -> None:
-        """Take a step of the driver; a broken invariant ends the process and the proof."""
+        """Take a step of the runner; a broken invariant ends the process and the proof."""
         try:
             action()
         except InvariantError as error:
@@ -264,8 +264,8 @@
         self._plan_next()
 
     def _plan_next(self) -> None:
-        if self._driver.has_writes:
-            self._driver.next_writes()
+        if self._runner.has_writes:
+            self._runner.next_writes()
             delay = write_seconds(self._rng, self.disk_slowness)
             self._process.later(delay, self._finish_write)
             if self._doomed is not None:
@@ -283,14 +283,14 @@
         self._process.later(delay, on_timer)
 
     def _finish_write(self) -> None:
-        outcome = self._store.write(self._driver.next_writes())
+        outcome = self._store.write(self._runner.next_writes())
         if outcome is WriteOutcome.DURABLE:
-            self._guarded(lambda: self._driver.written(outcome, self._host_now()))
+            self._guarded(lambda: self._runner.written(outcome, self._host_now()))
             return
         self._observer.count("disk_full")
         self._process.later(
             _DISK_RETRY_SECONDS,
-            lambda: self._guarded(lambda: self._driver.written(outcome, self._host_now())),
+            lambda: self._guarded(lambda: self._runner.written(outcome, self._host_now())),
         )
 
 
--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -6,7 +6,7 @@
 ``deadline``, ``cancelled`` and ``quarantined`` as refusals, ``deadline`` and ``aborted`` as
 failures; others are passed on.
 
-Its driver sends what the effects ask for and reports outcomes by attempt number. The last effect of
+Its runner sends what the effects ask for and reports outcomes by attempt number. The last effect of
 a call is always one :class:`~finchshed.routing.caller_effects.Finish`, at once when the call is
 given up on.
 """
--- a/src/finchshed/routing/caller_effects.py
+++ b/src/finchshed/routing/caller_effects.py
@@ -1,4 +1,4 @@
-"""What the state machine of a call asks its driver to do."""
+"""What the state machine of a call asks its runner to do."""
 
 from typing import TypeAlias
 
--- a/tests/architecture/decision_modules.py
+++ b/tests/architecture/decision_modules.py
@@ -26,10 +26,10 @@
 SHELLS = frozenset(
     {
         "finchshed.configuration.declarations",
-        "finchshed.consensus.driver",
+        "finchshed.consensus.effect_runner",
         "finchshed.distribution.client",
         "finchshed.distribution.control_dialer",
-        "finchshed.distribution.driver",
+        "finchshed.distribution.follower_runner",
         "finchshed.distribution.ledger_requests",
         "finchshed.distribution.quorum_reads",
         "finchshed.distribution.record",
--- a/tests/architecture/test_decision_modules.py
+++ b/tests/architecture/test_decision_modules.py
@@ -47,7 +47,7 @@
         "from uvloop import new_event_loop",
         "from aiohttp import web",
         "from finchshed.link.lines import LineProtocol",
-        "from finchshed.consensus.driver import RaftDriver",
+        "from finchshed.consensus.effect_runner import RaftDriver",
         "from finchshed import daemon",
         "def late():\n    import os",
         "from random import choice",
--- a/tests/control/test_daemon_view.py
+++ b/tests/control/test_daemon_view.py
@@ -8,8 +8,8 @@
 from finchshed.configuration.store import CommittedRevision
 from finchshed.control.daemons.daemon_view import configuration_for_daemons, delta_for_daemons
 from finchshed.distribution.addresses import ControlAddress
-from finchshed.distribution.driver import FollowerDriver
 from finchshed.distribution.effects import ServingBasis
+from finchshed.distribution.follower_runner import FollowerRunner
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.snapshot import Configuration, apply_delta
 from tests.control.group import Group
@@ -62,8 +62,8 @@
         revision = await asyncio.to_thread(group.bootstrap, Service(name="s1"))
         address = ControlAddress(group.nodes[0].distribution)
         identity = ClientIdentity("d", "1", "s1", "z")
-        driver = FollowerDriver(identity, [address], listener, random.Random(1))
-        running = asyncio.create_task(driver.run())
+        runner = FollowerRunner(identity, [address], listener, random.Random(1))
+        running = asyncio.create_task(runner.run())
         async with asyncio.timeout(20.0):
             while not listener.bases:  # noqa: ASYNC110 - set by another task
                 await asyncio.sleep(0.02)
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -1,4 +1,4 @@
-"""Hub server, client and driver over loopback."""
+"""Hub server, client and runner over loopback."""
 
 import asyncio
 import random
@@ -12,8 +12,8 @@
 from finchshed.distribution import client as client_module
 from finchshed.distribution import control_dialer
 from finchshed.distribution.addresses import ControlAddress
-from finchshed.distribution.driver import FollowerDriver
 from finchshed.distribution.effects import ServingBasis
+from finchshed.distribution.follower_runner import FollowerRunner
 from finchshed.distribution.hub import Hub
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.distribution.messages import (
@@ -77,8 +77,8 @@
         identity = ClientIdentity("n1", "1", "licence", "z1")
         self.bases: list[ServingBasis] = []
         self.revisions: list[int] = []
-        self.driver = FollowerDriver(identity, addresses, self, random.Random(1), folder)
-        self.task = asyncio.create_task(self.driver.run())
+        self.runner = FollowerRunner(identity, addresses, self, random.Random(1), folder)
+        self.task = asyncio.create_task(self.runner.run())
 
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
         self.revisions.append(current.revision)
@@ -131,9 +131,9 @@
     daemon = Daemon([address])
     await eventually(lambda: daemon.revisions == [1])
     await asyncio.sleep(1.0)
-    assert not daemon.driver.follower.may_serve
+    assert not daemon.runner.follower.may_serve
     node.has_quorum = True
-    await eventually(lambda: daemon.driver.follower.may_serve)
+    await eventually(lambda: daemon.runner.follower.may_serve)
     daemon.task.cancel()
 
 
@@ -143,7 +143,7 @@
     first, first_address = await start_node()
     second, second_address = await start_node()
     daemon = Daemon([first_address, second_address])
-    await eventually(lambda: daemon.driver.client.is_connected)
+    await eventually(lambda: daemon.runner.client.is_connected)
     at_first = first.hub.subscriber_count() == 1
     here, there = (first, second) if at_first else (second, first)
     here.server.note_contact(False)
@@ -179,7 +179,7 @@
     daemon = Daemon([home, away])
     await eventually(lambda: other.hub.subscriber_count() == 1)
     await asyncio.sleep(1.0)
-    assert daemon.driver.client.connections_made == 1
+    assert daemon.runner.client.connections_made == 1
     await own.server.start("127.0.0.1", own.port)
     await eventually(lambda: own.hub.subscriber_count() == 1)
     await eventually(lambda: other.hub.subscriber_count() == 0)
@@ -193,12 +193,12 @@
     node.server.commit(change(1))
     node.server.commit(change(2))
     daemon = Daemon([address], tmp_path)
-    await eventually(lambda: daemon.driver.follower.may_serve)
+    await eventually(lambda: daemon.runner.follower.may_serve)
     daemon.task.cancel()
     node.server.commit(change(3))
     again = Daemon([address], tmp_path)
-    assert again.driver.follower.held_revision == 2
-    await eventually(lambda: again.driver.follower.may_serve)
+    assert again.runner.follower.held_revision == 2
+    await eventually(lambda: again.runner.follower.may_serve)
     assert again.revisions == [2, 3]
     again.task.cancel()
 
@@ -208,7 +208,7 @@
 ) -> None:
     node, address = await start_node()
     daemon = Daemon([address])
-    client = daemon.driver.client
+    client = daemon.runner.client
     await eventually(lambda: client.is_connected)
     assert isinstance(await client.ledger.begin("k1", "a1", 10.0), LedgerGranted)
     node.answers_ledger = False
@@ -225,7 +225,7 @@
     node, address = await start_node()
     node.answers_ledger = False
     daemon = Daemon([address])
-    client = daemon.driver.client
+    client = daemon.runner.client
     await eventually(lambda: client.is_connected)
     assert isinstance(await client.ledger.begin("k", "a", 0.1), LedgerRefused)
     await eventually(lambda: isinstance(node.requests[-1], LedgerCancel))
