--- a/src/finchshed/emulator/deployment.py
+++ b/src/finchshed/emulator/deployment.py
@@ -59,7 +59,7 @@
     arrivals_per_second
         Demand on an ordinary day.
     deep_service
-        The service at the bottom of the call graphs, which the experiments slow down.
+        The service at the bottom of the call graphs, which disturbances slow down.
     """
 
     name: str
--- a/src/finchshed/emulator/faults.py
+++ b/src/finchshed/emulator/faults.py
@@ -21,10 +21,7 @@
 
 
 class Processes(Protocol):
-    """What acts on daemons, control nodes and operators need of the control scheme in the run.
-
-    Baselines have no daemons; there these acts do nothing.
-    """
+    """What acts on daemons, control nodes and operators need of the run's processes."""
 
     def crash_daemon(self, node: str, seconds: float) -> None:
         """Kill a daemon for ``seconds``."""
--- a/src/finchshed/emulator/plain_control.py
+++ b/src/finchshed/emulator/plain_control.py
@@ -1,6 +1,6 @@
 """Control without its failures: one state machine, reached over the network's usual delay.
 
-For experiments about overload, where the control nodes are not what is measured. It runs the
+For runs about overload, where the control nodes are not what is looked at. It runs the
 production state machine of the control nodes, so ledger and configuration behave as they do there.
 """
 
--- a/src/finchshed/emulator/request.py
+++ b/src/finchshed/emulator/request.py
@@ -41,7 +41,7 @@
 
 
 class Path(Protocol):
-    """What a caller sends through: a daemon, or a baseline's client."""
+    """What a caller sends through, as a back end or an outside caller sees a daemon."""
 
     def call(self, request: SimulatedRequest, done: Done) -> Cancel:
         """Send ``request``; ``done`` is called once. The result cancels the call."""
