--- a/src/finchshed/daemon/serving/gate_runner.py
+++ b/src/finchshed/daemon/serving/gate_runner.py
@@ -31,10 +31,10 @@
 def threshold_rule_of(settings: DaemonSettings) -> ThresholdRule:
     """Return which admission rule is in force at the gate.
 
-    It follows from how the back end is known: the threshold by demand was compared and is measured
-    where back ends register, and estimates demand from admitted fractions, which only calls by host
-    carry (docs/design/compared-policies.md); declared endpoints keep the queue's threshold that
-    they were measured with (docs/design/admission.md).
+    It follows from how the back end is known. The threshold by demand was compared and is measured
+    where back ends register, and estimates demand from admitted fractions, which calls further
+    down inherit only from requests by host (docs/design/compared-policies.md). Declared endpoints
+    keep the queue's threshold that they were measured with (docs/design/admission.md).
     """
     return ThresholdRule.BY_DEMAND if settings.registers_backend else ThresholdRule.BY_QUEUE
 
