--- a/src/finchshed/admission/gate.py
+++ b/src/finchshed/admission/gate.py
@@ -43,7 +43,7 @@
 """Weight of one decision in the measured fraction of refusals: about the last 50 decisions.
 Chosen, not measured."""
 
-ADMITTED_FRACTION_LEAST = 0.02
+RETRY_AFTER_ADMITTED_LEAST = 0.02
 """Admitted fraction that the time to come back is computed with at least: the overload told is 49
 at most. Chosen, not measured; it keeps a division by 0 away."""
 
@@ -253,7 +253,7 @@
     def _count_refusal(self, token: int, reason: RefusalReason) -> Refuse:
         """Count a refusal, and return it with the time to come back by the overload since."""
         self._refused_fraction = moving_average(self._refused_fraction, 1.0, REFUSED_WEIGHT)
-        admitted = max(ADMITTED_FRACTION_LEAST, 1.0 - self._refused_fraction)
+        admitted = max(RETRY_AFTER_ADMITTED_LEAST, 1.0 - self._refused_fraction)
         overload = self._refused_fraction / admitted
         return Refuse(token, reason, retry_after(overload, self._rng))
 
--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -53,6 +53,7 @@
 from finchshed.daemon.signatures import Signatures
 from finchshed.directory.registrar import Registrar
 from finchshed.distribution.addresses import parse_control_address
+from finchshed.distribution.client import ControlClient
 from finchshed.distribution.follower_runner import FollowerListener, FollowerRunner
 from finchshed.distribution.identity import ClientIdentity
 from finchshed.http.server import HttpServer
@@ -92,7 +93,8 @@
     serving = _serving_parts(state, follower_runner, quarantine)
     linked = _link_parts(state, follower_runner, quarantine, serving)
     backend_state = _backend_state_parts(state, follower_runner, serving, linked)
-    ingress = _ingress_parts(state, follower_runner, quarantine, linked, not_ready_reason)
+    client = follower_runner.client
+    ingress = _ingress_parts(state, client, quarantine, linked, not_ready_reason)
     return DaemonParts(state, follower_runner, quarantine, serving, linked, backend_state, ingress)
 
 
@@ -251,7 +253,7 @@
 
 def _ingress_parts(
     state: SharedState,
-    follower_runner: FollowerRunner,
+    client: ControlClient,
     quarantine: Quarantine,
     linked: LinkParts,
     not_ready_reason: Callable[[], RefusalReason | None],
@@ -266,10 +268,8 @@
         quarantine=quarantine,
     )
     service_handler = ServiceRequestHandler(caller, state.served, state.rng, not_ready_reason)
-    lease_renewal = LeaseRenewal(follower_runner.client)
-    quotas = QuotaGate(
-        follower_runner.client, state.identity.incarnation, state.started_ms, state.rng
-    )
+    lease_renewal = LeaseRenewal(client)
+    quotas = QuotaGate(client, state.identity.incarnation, state.started_ms, state.rng)
     host_handler = HostRequestHandler(
         caller,
         state.served,
