--- a/tests/forms/names.py
+++ b/tests/forms/names.py
@@ -6,6 +6,7 @@
 import contextlib
 import io
 import json
+import os
 import re
 import subprocess
 import sys
@@ -91,7 +92,11 @@
     Asked of a process of its own, since metrics are those of a process.
     """
     command = [sys.executable, "-m", "tests.forms.declared_metrics", program]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
+    paths = os.pathsep.join([str(ROOT / "src"), str(ROOT / "platform")])
+    environment = {**os.environ, "PYTHONPATH": paths}
+    ended = subprocess.run(
+        command, cwd=ROOT, env=environment, capture_output=True, text=True, check=True
+    )
     return ended.stdout
 
 
