--- a/src/finchshed/control/daemons/quota_service.py
+++ b/src/finchshed/control/daemons/quota_service.py
@@ -19,7 +19,7 @@
 from finchshed.control.raft.node_messages import ForwardedQuota, QuotaReply
 from finchshed.control.state.commands import NoteQuotaHolders
 from finchshed.control.state.machine import ControlStateMachine
-from finchshed.quota.division import QuotaDivision
+from finchshed.quota.allocator import QuotaAllocator
 from finchshed.quota.messages import QuotaAnswer, QuotaReport, QuotaRequest
 from finchshed.runtime import clock
 
@@ -48,7 +48,7 @@
         self._machine = machine
         self._log = log
         self._send_to_daemon = send_to_daemon
-        self._division: QuotaDivision | None = None
+        self._division: QuotaAllocator | None = None
         self._term = 0
         self._revision = -1
         self._has_limits = False
@@ -110,7 +110,7 @@
         if term is None:
             return
         if self._division is None or term != self._term:
-            self._division = QuotaDivision(clock.now(), self._machine.quota_holders)
+            self._division = QuotaAllocator(clock.now(), self._machine.quota_holders)
             self._revision = -1
             self._configure()
             logger.info("quotas are divided here, term {}", term)
@@ -119,9 +119,9 @@
         self._division.tick(clock.now())
         await self._note_holders(self._division)
 
-    async def _note_holders(self, division: QuotaDivision) -> None:
+    async def _note_holders(self, division: QuotaAllocator) -> None:
         """Have the log note the daemons that get shares from now on, and drop those long gone."""
-        added, removed = division.to_note(), division.gone(clock.now())
+        added, removed = division.unrecorded_daemons(), division.expired_daemons(clock.now())
         if not added and not removed:
             return
         try:
@@ -129,7 +129,7 @@
         except FinchshedError as error:
             logger.info("daemons that want shares of quotas could not be noted: {}", error)
             return
-        division.on_noted(added, removed)
+        division.on_recorded(added, removed)
         logger.info("shares of quotas: {} daemons more, {} less", len(added), len(removed))
 
     def _configure(self) -> None:
--- a/src/finchshed/daemon/ingress/quota_gate.py
+++ b/src/finchshed/daemon/ingress/quota_gate.py
@@ -14,7 +14,7 @@
 from finchshed.daemon import metrics
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.distribution.client import ControlClient
-from finchshed.quota.daemon_share import REPORT_SECONDS, DaemonShare, TokenDecision
+from finchshed.quota.daemon_share import REPORT_INTERVAL_SECONDS, DaemonShare, TokenDecision
 from finchshed.quota.messages import QuotaAnswer, QuotaAsk, QuotaShares, QuotaTokens
 from finchshed.retry.policy import RETRY_AFTER_SPREAD, retry_after
 from finchshed.runtime import clock
@@ -96,7 +96,7 @@
 
     def give_back(self, tenant: str) -> None:
         """Take back the token of a request that did not run."""
-        self._share.give_back(tenant, clock.now())
+        self._share.refund(tenant, clock.now())
 
     def _wait(self, tenant: str, on_decided: OnDecided) -> Callable[[], None]:
         asking = self._asking.setdefault(tenant, _Asking())
@@ -126,7 +126,7 @@
             self._share.on_shares(answer, now)
             return
         tenant = self._by_number.get(answer.number)
-        if tenant is not None and self._share.is_own(answer):
+        if tenant is not None and self._share.matches_incarnation(answer):
             self._on_tokens(tenant, self._asking[tenant], answer, now)
 
     def _on_tokens(self, tenant: str, asking: _Asking, answer: QuotaTokens, now: float) -> None:
@@ -138,22 +138,22 @@
             if asking.waiting:
                 asking.waiting.popleft()(None)
             else:
-                self._share.give_back(tenant, now)  # of a request that left meanwhile
+                self._share.refund(tenant, now)  # of a request that left meanwhile
         if answer.tokens >= asked.tokens and asking.waiting:
             self._ask(tenant, asking)
             return
         while asking.waiting:
             decided = asking.waiting.popleft()
-            has_own = self._share.take_own(tenant, now)
+            has_own = self._share.take_local(tenant, now)
             decided(None if has_own else self._above_limit(tenant))
 
     def _on_unanswered(self, tenant: str, asking: _Asking) -> None:
         self._end_question(asking)
         now = clock.now()
-        self._share.on_unanswered(now)
+        self._share.on_ask_timeout(now)
         while asking.waiting:
             decided = asking.waiting.popleft()
-            decided(None if self._share.take_own(tenant, now) else self._unconfirmed())
+            decided(None if self._share.take_local(tenant, now) else self._unconfirmed())
 
     def _end_question(self, asking: _Asking) -> QuotaAsk | None:
         """End the ask under way, and return it."""
@@ -170,11 +170,11 @@
         if report is not None:
             self._client.send_quota(report)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(REPORT_SECONDS, self._report)
+        self._timer = loop.call_later(REPORT_INTERVAL_SECONDS, self._report)
 
     def _above_limit(self, tenant: str) -> Refused:
         metrics.QUOTA_REFUSED.labels("above_limit").inc()
-        seconds = self._share.seconds_until_return(tenant, clock.now())
+        seconds = self._share.retry_after_seconds(tenant, clock.now())
         spread = seconds * (1.0 + RETRY_AFTER_SPREAD * self._rng.random())
         return Refused(RefusalReason.QUOTA_EXCEEDED, spread, f"tenant {tenant} is above its limit")
 
--- a/src/finchshed/quota/division.py
+++ b/src/finchshed/quota/allocator.py
@@ -25,9 +25,14 @@
 import msgspec
 
 from finchshed.configuration.resources import Policy, Tenant
-from finchshed.quota.lease import COUNTED_SECONDS, GONE_SECONDS, OVERLAP_SECONDS, SETTLE_SECONDS
+from finchshed.quota.incarnations import Incarnation, IncarnationTable
+from finchshed.quota.lease import (
+    DAEMON_EXPIRY_SECONDS,
+    LEADER_LEASE_SECONDS,
+    LEADER_OVERLAP_SECONDS,
+    SETTLE_SECONDS,
+)
 from finchshed.quota.limits import limit_of
-from finchshed.quota.lives import DaemonLives, Life
 from finchshed.quota.messages import (
     GrantedShare,
     HeldShare,
@@ -35,34 +40,34 @@
     QuotaReport,
     QuotaShares,
     QuotaTokens,
-    rounded_tokens,
+    round_tokens,
 )
 from finchshed.quota.tenant_pool import Holding, TenantPool
 
-LEAST_CAPACITY = 1.0
+CAPACITY_MIN = 1.0
 """A bucket holds at least this: a request takes a whole token.
 
 Where a tenant's stock isn't enough for a token at each daemon, some of them have one and the others
 none, which serves some of its requests while control is away."""
 
-LEAST_DEMAND = 0.05
+DEMAND_MIN = 0.05
 """Requests a second that a daemon with a bucket is counted with at least. Chosen, not
 measured."""
 
-RATE_OF_DEMAND = 2.0
+RATE_TO_DEMAND_MAX = 2.0
 """A share's rate is at most so many times the daemon's demand. Chosen, not measured.
 
 Without this and the two below the first daemons that report take the whole of a limit, and the
 others wait a second for them to give it up."""
 
-STOCK_SECONDS = 4.0
+CAPACITY_SECONDS_OF_DEMAND = 4.0
 """A share's tokens are at most for so many seconds of the daemon's demand, and a few more. Chosen,
 not measured."""
 
-STOCK_LEAST = 2.0
+CAPACITY_HEADROOM = 2.0
 """Those few more tokens. Chosen, not measured."""
 
-TOLERANCE = 0.25
+CHANGE_TOLERANCE = 0.25
 """A share is changed when it is off by more than this part of it.
 
 Of the limits, about 8 in 100 were tied up in changes where shares followed demand without it."""
@@ -71,7 +76,7 @@
 """Longest time, seconds, until a daemon is told to ask again. Chosen, not measured."""
 
 
-class QuotaDivision:
+class QuotaAllocator:
     """Divides the limits for as long as one node leads.
 
     Parameters
@@ -88,7 +93,7 @@
         self._unheard = set(self._noted)
         self._heard_at = dict.fromkeys(self._noted, now)
         self._tenants: dict[str, TenantPool] = {}
-        self._lives = DaemonLives(self._tenants)
+        self._lives = IncarnationTable(self._tenants)
 
     def configure(self, tenants: Iterable[Tenant], policy: Policy, now: float) -> None:
         """Take the limits of a configuration. Lower ones reach the daemons with their next report.
@@ -106,7 +111,7 @@
             if held is None:
                 self._tenants[name] = TenantPool(limit, now)
             elif held.limit != limit:
-                held.change(limit, now)
+                held.set_limit(limit, now)
 
     def on_report(self, daemon: str, report: QuotaReport, now: float) -> QuotaShares | None:
         """Take a daemon's report and return its shares from now on; None: nothing to be told.
@@ -131,8 +136,8 @@
         for name, holding in holdings.items():
             self._tenants[name].add(holding)
             self._tenants[name].resize_reserve(now, is_settled=self._is_settled(now))
-        ends_at = now + COUNTED_SECONDS
-        life = Life(report.started_ms, report.number, ends_at, holdings)
+        ends_at = now + LEADER_LEASE_SECONDS
+        life = Incarnation(report.started_ms, report.number, ends_at, holdings)
         self._lives.put(daemon, report.incarnation, life)
         if not report.shares:
             return None
@@ -155,16 +160,16 @@
         for tenant in self._tenants.values():
             tenant.resize_reserve(now, is_settled=is_settled)
 
-    def to_note(self) -> tuple[str, ...]:
+    def unrecorded_daemons(self) -> tuple[str, ...]:
         """Return daemons that reported and aren't noted: they get shares once they are."""
         return tuple(sorted(self._heard_at.keys() - self._noted))
 
-    def gone(self, now: float) -> tuple[str, ...]:
+    def expired_daemons(self, now: float) -> tuple[str, ...]:
         """Return noted daemons that have told nothing for long."""
-        since = now - GONE_SECONDS
+        since = now - DAEMON_EXPIRY_SECONDS
         return tuple(sorted(name for name in self._noted if self._heard_at[name] < since))
 
-    def on_noted(self, added: Iterable[str], removed: Iterable[str]) -> None:
+    def on_recorded(self, added: Iterable[str], removed: Iterable[str]) -> None:
         """Take note of what the replicated log holds now."""
         self._noted.update(added)
         for name in removed:
@@ -172,7 +177,7 @@
             self._unheard.discard(name)
             self._heard_at.pop(name, None)
 
-    def held(self, name: str) -> tuple[float, float]:
+    def held_total(self, name: str) -> tuple[float, float]:
         """Return the rate and the size of all shares of a tenant that may be in use."""
         tenant = self._tenants[name]
         return tenant.rate, tenant.capacity
@@ -182,32 +187,34 @@
         tenant = self._tenants[share.tenant]
         limit = tenant.limit
         tenant.reserve.put(share.returned, now)
-        demand = max(share.demand, LEAST_DEMAND)
+        demand = max(share.demand, DEMAND_MIN)
         part = demand / (tenant.demand + demand)
         rate_free = limit.daemon_rate - tenant.rate
-        capacity_free = limit.daemon_stock - tenant.capacity
+        capacity_free = limit.daemon_capacity - tenant.capacity
         if not may_grow:
             rate_free = capacity_free = 0.0
-        wanted_rate = min(part * limit.daemon_rate, RATE_OF_DEMAND * demand)
-        wanted_capacity = min(part * limit.daemon_stock, STOCK_SECONDS * demand + STOCK_LEAST)
-        wanted_capacity = max(LEAST_CAPACITY, wanted_capacity)
-        rate = rounded_tokens(_next(wanted_rate, share.rate, rate_free))
-        capacity = rounded_tokens(_next(wanted_capacity, share.capacity, capacity_free))
-        if capacity < LEAST_CAPACITY:
+        wanted_rate = min(part * limit.daemon_rate, RATE_TO_DEMAND_MAX * demand)
+        wanted_capacity = min(
+            part * limit.daemon_capacity, CAPACITY_SECONDS_OF_DEMAND * demand + CAPACITY_HEADROOM
+        )
+        wanted_capacity = max(CAPACITY_MIN, wanted_capacity)
+        rate = round_tokens(_next(wanted_rate, share.rate, rate_free))
+        capacity = round_tokens(_next(wanted_capacity, share.capacity, capacity_free))
+        if capacity < CAPACITY_MIN:
             rate = capacity = 0.0
-        tokens = tenant.tokens_for(capacity, share.level, now)
+        tokens = tenant.take_for_bucket(capacity, share.level, now)
         return GrantedShare(
-            share.tenant, rate, capacity, rounded_tokens(tokens), rounded_tokens(tenant.fill(now))
+            share.tenant, rate, capacity, round_tokens(tokens), round_tokens(tenant.fill(now))
         )
 
     def _on_heard(self, daemon: str, now: float) -> None:
         self._heard_at[daemon] = now
-        if now >= self._began_at + OVERLAP_SECONDS:
+        if now >= self._began_at + LEADER_OVERLAP_SECONDS:
             self._unheard.discard(daemon)
 
     def _is_settled(self, now: float) -> bool:
         """Return whether no share is in use that isn't counted here."""
-        if now < self._began_at + OVERLAP_SECONDS:
+        if now < self._began_at + LEADER_OVERLAP_SECONDS:
             return False
         return not self._unheard or now >= self._began_at + SETTLE_SECONDS
 
@@ -217,7 +224,7 @@
 
     A share that is about right stays: each change is counted twice until the daemon has told of it.
     """
-    if (1.0 - TOLERANCE) * held <= wanted <= (1.0 + TOLERANCE) * held:
+    if (1.0 - CHANGE_TOLERANCE) * held <= wanted <= (1.0 + CHANGE_TOLERANCE) * held:
         return held
     return wanted if wanted <= held else max(held, min(wanted, free))
 
@@ -234,5 +241,5 @@
     return Holding(
         rate=max(held.rate, granted.rate),
         capacity=max(held.capacity, granted.capacity),
-        demand=max(held.demand, LEAST_DEMAND),
+        demand=max(held.demand, DEMAND_MIN),
     )
--- a/src/finchshed/quota/bucket.py
+++ b/src/finchshed/quota/bucket.py
@@ -30,7 +30,7 @@
         self._level -= taken
         return taken
 
-    def take_part(self, wanted: float, now: float) -> float:
+    def take_fractional(self, wanted: float, now: float) -> float:
         """Take up to ``wanted`` tokens, parts of one too; return how many."""
         self._refill(now)
         taken = max(0.0, min(wanted, self._level))
--- a/src/finchshed/quota/daemon_share.py
+++ b/src/finchshed/quota/daemon_share.py
@@ -2,7 +2,7 @@
 
 A request takes a token from the daemon's bucket for its tenant. Where that is empty the daemon
 asks the leader's reserve, unless the reserve had too little not long ago. Buckets are
-filled by the daemon itself and used for :data:`~finchshed.quota.lease.SHARE_SECONDS` after the
+filled by the daemon itself and used for :data:`~finchshed.quota.lease.LEASE_SECONDS` after the
 report that was answered last, so they serve also while control can't be reached.
 
 Inputs: the limits in force, requests of each tenant, the leader's answers and the time in seconds.
@@ -19,7 +19,7 @@
 
 from finchshed.configuration.resources import Policy, Tenant
 from finchshed.quota.bucket import TokenBucket
-from finchshed.quota.lease import ANSWER_SECONDS, SHARE_SECONDS
+from finchshed.quota.lease import ANSWER_TIMEOUT_SECONDS, LEASE_SECONDS
 from finchshed.quota.limits import TenantLimit, limit_of
 from finchshed.quota.messages import (
     HeldShare,
@@ -27,42 +27,42 @@
     QuotaReport,
     QuotaShares,
     QuotaTokens,
-    rounded_tokens,
+    round_tokens,
 )
 
-REPORT_SECONDS = 0.5
+REPORT_INTERVAL_SECONDS = 0.5
 """Time between two reports: shares follow demand within about twice of it.
 
 At 1 s reports took 0.6 of the bytes, but 0.04 in place of 0.02 in 100 requests below a limit were
 refused in calm, and 0.9 in place of 0.3 near the limit, where each tenant sends to every daemon
 (model, one seed)."""
 
-DEMAND_SECONDS = 5.0
+DEMAND_AVERAGING_SECONDS = 5.0
 """Demand is the mean over about this time.
 
 Short enough for callers that move to other daemons, long enough that chance doesn't move the shares
 of small tenants. Over 2 s 8 in 100 of the limits were tied up in changes of shares
 (docs/design/quotas.md)."""
 
-FORGOTTEN_DEMAND = 0.02
+DEMAND_MIN = 0.02
 """A tenant that sends less than this many requests a second has no bucket at the daemon. Chosen,
 not measured."""
 
-DENIED_SECONDS = 0.25
+DENIED_BACKOFF_SECONDS = 0.25
 """The reserve is not asked again for this long once it had too little, and a spread.
 
 Without it every request above a limit would be a message: several times the limit of a tenant that
 sends too much. Chosen, not measured."""
 
-DENIED_SPREAD = 0.5
-"""Part of :data:`DENIED_SECONDS` that is added at random, so that daemons don't ask together again.
-Chosen, not measured."""
+DENIED_JITTER = 0.5
+"""Part of :data:`DENIED_BACKOFF_SECONDS` that is added at random, so that daemons don't ask
+together again. Chosen, not measured."""
 
-UNREACHED_SECONDS = 1.0
+UNREACHED_BACKOFF_SECONDS = 1.0
 """After an ask without an answer none is made for this long: requests would wait in vain. Chosen,
 not measured."""
 
-RETURN_SECONDS_MAX = 5.0
+RETRY_AFTER_SECONDS_MAX = 5.0
 """Longest time after which a caller above its limit is told to come back: a window of the limit.
 Chosen, not measured."""
 
@@ -135,7 +135,7 @@
                 del self._shares[name]
             elif limit != before:
                 rate = share.bucket.rate * min(1.0, limit.rate / before.rate)
-                capacity = share.bucket.capacity * min(1.0, limit.stock / before.stock)
+                capacity = share.bucket.capacity * min(1.0, limit.capacity / before.capacity)
                 share.bucket.resize(rate, capacity, now)
         self._limits = limits
 
@@ -149,37 +149,37 @@
         if share is None:
             share = self._shares[tenant] = _Share(TokenBucket(0.0, 0.0, now))
         share.requests += 1
-        if self.take_own(tenant, now):
+        if self.take_local(tenant, now):
             return TokenDecision.TAKEN
         if now < self._unreached_until:
             return TokenDecision.UNREACHED
         return TokenDecision.DENIED if now < share.denied_until else TokenDecision.ASK
 
-    def take_own(self, tenant: str, now: float) -> bool:
+    def take_local(self, tenant: str, now: float) -> bool:
         """Take a token of the daemon's own bucket, if it holds one."""
         share = self._shares.get(tenant)
         return share is not None and now < self._ends_at and share.bucket.take(1, now) == 1
 
-    def on_unanswered(self, now: float) -> None:
+    def on_ask_timeout(self, now: float) -> None:
         """Note that an ask was not answered."""
-        self._unreached_until = now + UNREACHED_SECONDS
+        self._unreached_until = now + UNREACHED_BACKOFF_SECONDS
 
-    def give_back(self, tenant: str, now: float) -> None:
+    def refund(self, tenant: str, now: float) -> None:
         """Put back the token of a request that did not run."""
         share = self._shares.get(tenant)
         if share is not None:
             share.bucket.put(1.0, now)
 
-    def seconds_until_return(self, tenant: str, now: float) -> float:
+    def retry_after_seconds(self, tenant: str, now: float) -> float:
         """Return when a request above the limit is to come back: once those before it have room."""
         share = self._shares.get(tenant)
         limit = self._limits.get(tenant)
         if share is None or limit is None:
-            return DENIED_SECONDS
+            return DENIED_BACKOFF_SECONDS
         rate = max(share.bucket.rate, limit.reserve_rate)
         share.next_return = max(share.next_return, now) + 1.0 / rate
-        share.next_return = min(share.next_return, now + RETURN_SECONDS_MAX)
-        return max(DENIED_SECONDS, share.next_return - now)
+        share.next_return = min(share.next_return, now + RETRY_AFTER_SECONDS_MAX)
+        return max(DENIED_BACKOFF_SECONDS, share.next_return - now)
 
     def next_report(self, now: float) -> QuotaReport | None:
         """Return the report to send the leader now: it waits for those of all daemons.
@@ -188,13 +188,13 @@
         """
         if now >= self._ends_at:
             self._drop_shares(now)
-        elapsed = REPORT_SECONDS if self._reported_at is None else now - self._reported_at
+        elapsed = REPORT_INTERVAL_SECONDS if self._reported_at is None else now - self._reported_at
         self._reported_at = now
         held = []
         for name, share in list(self._shares.items()):
             share.demand = _demand(share, elapsed)
             share.requests = 0
-            if share.demand < FORGOTTEN_DEMAND:
+            if share.demand < DEMAND_MIN:
                 del self._shares[name]
             else:
                 held.append(self._held(name, share, now))
@@ -209,7 +209,7 @@
         """Take the answer to the last report, in time; return whether it was that."""
         if answer.incarnation != self._incarnation or answer.number != self._report_number:
             return False
-        if now > self._report_sent_at + ANSWER_SECONDS:
+        if now > self._report_sent_at + ANSWER_TIMEOUT_SECONDS:
             return False
         for granted in answer.shares:
             share = self._shares.get(granted.tenant)
@@ -217,10 +217,10 @@
                 share.left_over += share.bucket.resize(granted.rate, granted.capacity, now)
                 share.bucket.put(granted.tokens, now)
                 share.fill = granted.fill
-        self._ends_at = self._report_sent_at + SHARE_SECONDS
+        self._ends_at = self._report_sent_at + LEASE_SECONDS
         return True
 
-    def is_own(self, answer: QuotaTokens) -> bool:
+    def matches_incarnation(self, answer: QuotaTokens) -> bool:
         """Return whether an answer is for this life of the daemon."""
         return answer.incarnation == self._incarnation
 
@@ -236,7 +236,7 @@
         """
         share = self._shares.get(ask.tenant)
         if share is not None and answer.tokens < ask.tokens:
-            share.denied_until = now + DENIED_SECONDS * (1.0 + DENIED_SPREAD * spread)
+            share.denied_until = now + DENIED_BACKOFF_SECONDS * (1.0 + DENIED_JITTER * spread)
 
     def rates(self) -> dict[str, tuple[float, float]]:
         """Return rate and size of each bucket, for metrics and tests."""
@@ -252,26 +252,26 @@
     def _held(self, name: str, share: _Share, now: float) -> HeldShare:
         bucket = share.bucket
         returned, share.left_over = share.left_over, 0.0
-        kept = max(share.fill * bucket.capacity, REPORT_SECONDS * share.demand)
+        kept = max(share.fill * bucket.capacity, REPORT_INTERVAL_SECONDS * share.demand)
         if share.fill < 1.0:
             # What comes in until the next report must fit in: nothing is lost at the brim then.
-            kept = min(kept, bucket.capacity - REPORT_SECONDS * bucket.rate)
+            kept = min(kept, bucket.capacity - REPORT_INTERVAL_SECONDS * bucket.rate)
         returned += bucket.remove_above(kept, now)
         level = bucket.level(now)
         return HeldShare(
             name,
-            rounded_tokens(share.demand),
+            round_tokens(share.demand),
             bucket.rate,
             bucket.capacity,
-            rounded_tokens(level),
-            rounded_tokens(returned),
+            round_tokens(level),
+            round_tokens(returned),
         )
 
 
 def _demand(share: _Share, elapsed: float) -> float:
     """Return the requests a second of late: a moving mean that begins with the first count."""
-    present = share.requests / max(elapsed, REPORT_SECONDS)
+    present = share.requests / max(elapsed, REPORT_INTERVAL_SECONDS)
     if not share.demand:
         return present
-    kept = math.exp(-elapsed / DEMAND_SECONDS)
+    kept = math.exp(-elapsed / DEMAND_AVERAGING_SECONDS)
     return kept * share.demand + (1.0 - kept) * present
--- a/src/finchshed/quota/lives.py
+++ b/src/finchshed/quota/incarnations.py
@@ -13,7 +13,7 @@
 from finchshed.quota.tenant_pool import Holding, TenantPool
 
 
-class Life(msgspec.Struct):
+class Incarnation(msgspec.Struct):
     """One life of a daemon that reported, and what it may hold."""
 
     started_ms: int
@@ -22,7 +22,7 @@
     holdings: dict[str, Holding]
 
 
-class DaemonLives:
+class IncarnationTable:
     """The lives that may hold shares.
 
     Parameters
@@ -33,13 +33,13 @@
 
     def __init__(self, tenants: Mapping[str, TenantPool]) -> None:
         self._tenants = tenants
-        self._lives: dict[str, dict[str, Life]] = {}
+        self._lives: dict[str, dict[str, Incarnation]] = {}
 
-    def get(self, daemon: str, incarnation: str) -> Life | None:
+    def get(self, daemon: str, incarnation: str) -> Incarnation | None:
         """Return what is counted of one life."""
         return self._lives.get(daemon, {}).get(incarnation)
 
-    def put(self, daemon: str, incarnation: str, life: Life) -> None:
+    def put(self, daemon: str, incarnation: str, life: Incarnation) -> None:
         """Count a life; its holdings are in the sums already."""
         self._lives.setdefault(daemon, {})[incarnation] = life
 
@@ -77,5 +77,5 @@
         for daemon, incarnation in ended:
             self.forget(daemon, incarnation)
 
-    def _all(self) -> Iterator[Life]:
+    def _all(self) -> Iterator[Incarnation]:
         return itertools.chain.from_iterable(lives.values() for lives in self._lives.values())
--- a/src/finchshed/quota/lease.py
+++ b/src/finchshed/quota/lease.py
@@ -5,26 +5,26 @@
 tests/quota/test_quotas_in_a_failing_world.py hold it.
 """
 
-SHARE_SECONDS = 4.6
+LEASE_SECONDS = 4.6
 """A daemon uses a share for this long after the report that it was granted for.
 
 Longer than a change of the leader takes, so that daemons are served meanwhile. Chosen, not
 measured."""
 
-ANSWER_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 """A daemon takes no answer that comes later than this after its report: what the report told of
 shares in use then still holds when the leader reads it. Chosen, not measured."""
 
-COUNTED_SECONDS = SHARE_SECONDS + ANSWER_SECONDS
+LEADER_LEASE_SECONDS = LEASE_SECONDS + ANSWER_TIMEOUT_SECONDS
 """The leader counts a share for this long after the last report that told of it."""
 
-OVERLAP_SECONDS = 1.0
+LEADER_OVERLAP_SECONDS = 1.0
 """The leader before may have granted until so long after the new one was chosen (see
 :mod:`finchshed.control.daemons.quota_service`)."""
 
-SETTLE_SECONDS = COUNTED_SECONDS + OVERLAP_SECONDS
+SETTLE_SECONDS = LEADER_LEASE_SECONDS + LEADER_OVERLAP_SECONDS
 """After this time none of the shares is left that were granted before a new leader."""
 
-GONE_SECONDS = 30.0
+DAEMON_EXPIRY_SECONDS = 30.0
 """A daemon that has told nothing for this long is no longer noted as one that may hold a share.
 With 6 s a day of troubles went on alike: 0.652 to 0.655 (docs/design/compared-policies.md)."""
--- a/src/finchshed/quota/limits.py
+++ b/src/finchshed/quota/limits.py
@@ -8,7 +8,7 @@
 
 from finchshed.configuration.resources import Policy, Tenant
 
-STOCK_SHARE = 0.95
+GRANTED_CAPACITY_SHARE = 0.95
 """Part of the tokens above the rate that are handed out.
 
 The rest covers a leader of the control group that grants for a moment beside its successor: it does
@@ -19,7 +19,7 @@
 """Part of a tenant's rate that refills the leader's reserve at least; the daemons' buckets get up
 to the rest. See ``docs/design/quotas.md`` for shares compared."""
 
-RESERVE_STOCK_SHARE = 0.3
+RESERVE_CAPACITY_SHARE = 0.3
 """Part of a tenant's tokens that the leader's reserve holds at least; the daemons hold up to the
 rest. Chosen with the rate's."""
 
@@ -40,7 +40,7 @@
     """
 
     rate: float
-    stock: float
+    capacity: float
 
     @property
     def daemon_rate(self) -> float:
@@ -48,9 +48,9 @@
         return self.rate - self.reserve_rate
 
     @property
-    def daemon_stock(self) -> float:
+    def daemon_capacity(self) -> float:
         """Tokens that the daemons' buckets together hold at most."""
-        return self.stock - self.reserve_stock
+        return self.capacity - self.reserve_capacity
 
     @property
     def reserve_rate(self) -> float:
@@ -58,9 +58,9 @@
         return self.rate * RESERVE_RATE_SHARE
 
     @property
-    def reserve_stock(self) -> float:
+    def reserve_capacity(self) -> float:
         """Tokens that the leader's reserve may hold, at least."""
-        return self.stock * RESERVE_STOCK_SHARE
+        return self.capacity * RESERVE_CAPACITY_SHARE
 
 
 def limit_of(tenant: Tenant, policy: Policy) -> TenantLimit | None:
@@ -74,4 +74,4 @@
         return None
     added = rate * policy.quota_window_seconds
     most = (added + tenant.burst_requests) * (1.0 + policy.quota_overshoot) + policy.quota_slack
-    return TenantLimit(rate, STOCK_SHARE * (most - added))
+    return TenantLimit(rate, GRANTED_CAPACITY_SHARE * (most - added))
--- a/src/finchshed/quota/messages.py
+++ b/src/finchshed/quota/messages.py
@@ -10,14 +10,14 @@
 MessageNumber: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
-DIGITS = 3
+TOKEN_DECIMALS = 3
 """Digits behind the point of what is sent: a report names each tenant that sends to the daemon, and
 whole floating-point numbers made up most of its bytes. Chosen, not measured."""
 
 
-def rounded_tokens(value: float) -> float:
+def round_tokens(value: float) -> float:
     """Return a number of tokens, or of them a second, as it is sent."""
-    return round(value, DIGITS)
+    return round(value, TOKEN_DECIMALS)
 
 
 class HeldShare(msgspec.Struct, frozen=True, array_like=True):
--- a/src/finchshed/quota/tenant_pool.py
+++ b/src/finchshed/quota/tenant_pool.py
@@ -5,7 +5,7 @@
 from finchshed.quota.bucket import TokenBucket
 from finchshed.quota.limits import TenantLimit
 
-LEVELLED_PART = 0.5
+REBALANCE_FRACTION = 0.5
 """Part of what a bucket holds less than others, for its size, that it is given with each report.
 Chosen, not measured; with levelled buckets 0.07 in 100 were refused in place of 1.5 where all
 tenants sent 1.5 times their usual (docs/design/quotas.md, successive versions)."""
@@ -27,9 +27,9 @@
         self.rate = 0.0
         self.capacity = 0.0
         self.demand = 0.0
-        self.reserve = TokenBucket(limit.reserve_rate, limit.reserve_stock, now)
+        self.reserve = TokenBucket(limit.reserve_rate, limit.reserve_capacity, now)
 
-    def change(self, limit: TenantLimit, now: float) -> None:
+    def set_limit(self, limit: TenantLimit, now: float) -> None:
         """Take another limit."""
         self.limit = limit
         self.resize_reserve(now, is_settled=False)
@@ -37,10 +37,10 @@
     def resize_reserve(self, now: float, *, is_settled: bool) -> None:
         """Give the reserve what no daemon holds, at least its own part."""
         limit = self.limit
-        rate, capacity = limit.reserve_rate, limit.reserve_stock
+        rate, capacity = limit.reserve_rate, limit.reserve_capacity
         if is_settled:
             rate = max(rate, limit.rate - self.rate)
-            capacity = max(capacity, limit.stock - self.capacity)
+            capacity = max(capacity, limit.capacity - self.capacity)
         self.reserve.resize(rate, capacity, now)
 
     def add(self, holding: Holding) -> None:
@@ -60,7 +60,7 @@
         capacity = self.reserve.capacity
         return self.reserve.level(now) / capacity if capacity > 0.0 else 0.0
 
-    def tokens_for(self, capacity: float, level: float, now: float) -> float:
+    def take_for_bucket(self, capacity: float, level: float, now: float) -> float:
         """Take tokens of the reserve for a bucket that is less full than it."""
         missing = self.fill(now) * capacity - level
-        return self.reserve.take_part(LEVELLED_PART * missing, now)
+        return self.reserve.take_fractional(REBALANCE_FRACTION * missing, now)
--- a/tests/quota/compare_ways.py
+++ b/tests/quota/compare_reserve_shares.py
@@ -1,4 +1,4 @@
-"""Prints how ways to divide quotas compare: ``python -m tests.quota.compare_ways [SEEDS]``.
+"""Compares reserve shares: ``python -m tests.quota.compare_reserve_shares [SEEDS]``.
 
 72 daemons, 78 tenants of unequal size, limits of 1.6 times the usual rate, 30 s.
 """
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from finchshed.quota import limits
-from tests.quota.quota_world import World
+from tests.quota.quota_simulation import QuotaSimulation
 
 TENANTS = 78
 DAEMONS = 72
@@ -22,28 +22,28 @@
     return rates, [max(3, min(DAEMONS, int(rate))) for rate in rates]
 
 
-def calm(world: World) -> None:
+def calm(world: QuotaSimulation) -> None:
     """Nothing happens."""
 
 
-def hot(world: World) -> None:
+def hot(world: QuotaSimulation) -> None:
     """Two tenants send many times their usual."""
     for name in ("t1", "t30"):
         world.clock.at(15.0, lambda name=name: world.factor.update({name: 7.5}))  # type: ignore[misc]
         world.clock.at(22.0, lambda name=name: world.factor.update({name: 1.0}))  # type: ignore[misc]
 
 
-def busy(world: World) -> None:
+def busy(world: QuotaSimulation) -> None:
     """All tenants send 1.5 times their usual."""
-    world.factor = dict.fromkeys(world.usual, 1.5)
+    world.factor = dict.fromkeys(world.usual_rates, 1.5)
 
 
-def without_control(world: World) -> None:
+def without_control(world: QuotaSimulation) -> None:
     """There is no leader for 3 s."""
     world.clock.at(20.0, lambda: world.change_leader(3.0))
 
 
-def restarts(world: World) -> None:
+def restarts(world: QuotaSimulation) -> None:
     """Half of the daemons start anew."""
 
     def restart() -> None:
@@ -53,17 +53,17 @@
     world.clock.at(20.0, restart)
 
 
-def play(disturb: Callable[[World], None], seed: int) -> tuple[float, float, float]:
+def play(disturb: Callable[[QuotaSimulation], None], seed: int) -> tuple[float, float, float]:
     """Return the share refused below the limit, the fullest window, and messages a second."""
-    world = World(seed, DAEMONS, *tenants())
+    world = QuotaSimulation(seed, DAEMONS, *tenants())
     disturb(world)
     world.clock.run(END)
     below = asked = 0
-    for name in world.usual:
-        lost, all_asked = world.refused_below(name, BEGIN, END)
+    for name in world.usual_rates:
+        lost, all_asked = world.refused_below_limit(name, BEGIN, END)
         below += lost
         asked += all_asked
-    fullest = max(world.excess(name, BEGIN) for name in world.usual)
+    fullest = max(world.peak_window_ratio(name, BEGIN) for name in world.usual_rates)
     return below / asked, fullest, world.messages / END
 
 
@@ -73,7 +73,7 @@
     ways = [(0.0, 0.0), (0.1, 0.2), (0.1, 0.4), (0.2, 0.5), (0.4, 0.6)]
     for rate_share, stock_share in ways:
         limits.RESERVE_RATE_SHARE = rate_share
-        limits.RESERVE_STOCK_SHARE = stock_share
+        limits.RESERVE_CAPACITY_SHARE = stock_share
         for disturb in (calm, hot, busy, without_control, restarts):
             results = [play(disturb, seed) for seed in range(seeds)]
             below = sum(result[0] for result in results) / seeds
--- a/tests/quota/quota_world.py
+++ b/tests/quota/quota_simulation.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 
 from finchshed.configuration.resources import Policy, Tenant
-from finchshed.quota.daemon_share import REPORT_SECONDS, DaemonShare, TokenDecision
-from finchshed.quota.division import QuotaDivision
+from finchshed.quota.allocator import QuotaAllocator
+from finchshed.quota.daemon_share import REPORT_INTERVAL_SECONDS, DaemonShare, TokenDecision
 from finchshed.quota.messages import QuotaAsk, QuotaReport, QuotaShares, QuotaTokens
 from tests.event_clock import Clock
 
@@ -36,15 +36,15 @@
 class Daemon:
     """A daemon with its shares; ``way`` is whom it sends to now."""
 
-    def __init__(self, world: "World", number: int) -> None:
+    def __init__(self, world: "QuotaSimulation", number: int) -> None:
         self.world = world
         self.name = f"d{number}"
         self.life = 0
         self.share = DaemonShare("0")
         self.frozen_until = 0.0
-        self.cut_until = 0.0
-        self.silent_until = 0.0
-        world.clock.at(world.rng.uniform(0.0, REPORT_SECONDS), self.report)
+        self.partitioned_until = 0.0
+        self.delayed_until = 0.0
+        world.clock.at(world.rng.uniform(0.0, REPORT_INTERVAL_SECONDS), self.report)
 
     def restart(self) -> None:
         """Begin another life, with nothing held."""
@@ -74,9 +74,9 @@
             report = self.share.next_report(clock.now)
             if report is not None:
                 self._send(report)
-        clock.at(clock.now + REPORT_SECONDS, self.report)
+        clock.at(clock.now + REPORT_INTERVAL_SECONDS, self.report)
 
-    def ask_for(self, tenant: str) -> None:
+    def send_request(self, tenant: str) -> None:
         """Take a request of a tenant."""
         world, now = self.world, self.world.clock.now
         if now < self.frozen_until:
@@ -114,37 +114,37 @@
         ask, _ = waited
         self.share.on_tokens(ask, answer, self.world.rng.random(), clock.now)
         counts = self.world.counts[ask.tenant]
-        has_token = bool(answer.tokens) or self.share.take_own(ask.tenant, clock.now)
+        has_token = bool(answer.tokens) or self.share.take_local(ask.tenant, clock.now)
         (counts.run if has_token else counts.refused).append(clock.now)
 
     def _give_up(self, ask: QuotaAsk, counts: Counts) -> None:
         now = self.world.clock.now
         if self.world.waiting.pop((self.name, self.life, ask.number), None) is None:
             return
-        self.share.on_unanswered(now)
-        has_token = self.share.take_own(ask.tenant, now)
+        self.share.on_ask_timeout(now)
+        has_token = self.share.take_local(ask.tenant, now)
         (counts.run if has_token else counts.unanswered).append(now)
 
     def _send(self, message: QuotaReport | QuotaAsk) -> None:
         world, life = self.world, self.life
         world.messages += 1
         now = world.clock.now
-        if now < self.cut_until:
+        if now < self.partitioned_until:
             return
         leader = world.leader_of(self)
         if leader is None:
             return
-        arrives = max(now, self.silent_until) + world.rng.expovariate(200.0)
+        arrives = max(now, self.delayed_until) + world.rng.expovariate(200.0)
         world.clock.at(arrives, lambda: leader.take(self, life, message))
 
 
 class Leader:
     """A leader of the control group; it may go on for a moment beside its successor."""
 
-    def __init__(self, world: "World") -> None:
+    def __init__(self, world: "QuotaSimulation") -> None:
         self.world = world
         self.ends_at = float("inf")
-        self.division = QuotaDivision(world.clock.now, world.noted)
+        self.division = QuotaAllocator(world.clock.now, world.recorded_daemons)
         self.configure()
         self.tick()
 
@@ -164,11 +164,14 @@
     def _note(self) -> None:
         """Have the log note what it is to note; it takes a moment and may be lost."""
         world = self.world
-        added, removed = self.division.to_note(), self.division.gone(world.clock.now)
+        added, removed = (
+            self.division.unrecorded_daemons(),
+            self.division.expired_daemons(world.clock.now),
+        )
         if (added or removed) and world.rng.random() < 0.9:
-            world.noted = (world.noted - set(removed)) | set(added)
+            world.recorded_daemons = (world.recorded_daemons - set(removed)) | set(added)
             later = world.clock.now + world.rng.expovariate(50.0)
-            world.clock.at(later, lambda: self.division.on_noted(added, removed))
+            world.clock.at(later, lambda: self.division.on_recorded(added, removed))
 
     def take(self, daemon: Daemon, life: int, message: QuotaReport | QuotaAsk) -> None:
         """Answer a daemon."""
@@ -181,14 +184,14 @@
             )
         else:
             answer = self.division.on_ask(message, clock.now)
-        if answer is None or clock.now < daemon.cut_until:
+        if answer is None or clock.now < daemon.partitioned_until:
             return
         taken = answer
-        arrives = max(clock.now, daemon.silent_until) + self.world.rng.expovariate(200.0)
+        arrives = max(clock.now, daemon.delayed_until) + self.world.rng.expovariate(200.0)
         clock.at(arrives, lambda: daemon.take(life, taken))
 
 
-class World:
+class QuotaSimulation:
     """Daemons and leaders under load, and faults drawn from a seed.
 
     Parameters
@@ -205,21 +208,21 @@
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.policy = Policy()
-        self.usual = dict(zip((f"t{n}" for n in range(len(rates))), rates, strict=True))
-        self.factor = dict.fromkeys(self.usual, 1.0)
-        self.tenants = [self._tenant(name, 1.6 * rate) for name, rate in self.usual.items()]
+        self.usual_rates = dict(zip((f"t{n}" for n in range(len(rates))), rates, strict=True))
+        self.factor = dict.fromkeys(self.usual_rates, 1.0)
+        self.tenants = [self._tenant(name, 1.6 * rate) for name, rate in self.usual_rates.items()]
         self.counts: dict[str, Counts] = defaultdict(Counts)
         self.waiting: dict[tuple[str, int, int], tuple[QuotaAsk, float]] = {}
         self.messages = 0
-        self.noted: set[str] = set()
+        self.recorded_daemons: set[str] = set()
         self.leaders: list[Leader] = [Leader(self)]
         self.daemons = [Daemon(self, number) for number in range(daemons)]
-        self.used_by = {
+        self.daemons_by_tenant = {
             name: self.rng.sample(self.daemons, min(count, daemons))
-            for name, count in zip(self.usual, spread, strict=True)
+            for name, count in zip(self.usual_rates, spread, strict=True)
         }
         self.configure()
-        for name in self.usual:
+        for name in self.usual_rates:
             self.clock.at(8.0, lambda name=name: self._arrive(name))  # type: ignore[misc]
 
     def configure(self) -> None:
@@ -255,7 +258,7 @@
         for leader in self.leaders:
             leader.ends_at = min(leader.ends_at, self.clock.now + overlap)
 
-    def excess(self, name: str, since: float) -> float:
+    def peak_window_ratio(self, name: str, since: float) -> float:
         """Return the largest window of a tenant as a part of what it may hold."""
         tenant = next(tenant for tenant in self.tenants if tenant.name == name)
         most = (
@@ -269,7 +272,7 @@
             largest = max(largest, last - first + 1)
         return largest / most
 
-    def refused_below(self, name: str, since: float, until: float) -> tuple[float, int]:
+    def refused_below_limit(self, name: str, since: float, until: float) -> tuple[float, int]:
         """Return the requests a central bucket takes beyond those that ran, and all requests."""
         tenant = next(tenant for tenant in self.tenants if tenant.name == name)
         counts = self.counts[name]
@@ -291,6 +294,6 @@
         return Tenant(name, requests_per_second=rate, burst_requests=rate)
 
     def _arrive(self, name: str) -> None:
-        self.rng.choice(self.used_by[name]).ask_for(name)
-        rate = self.usual[name] * self.factor[name]
+        self.rng.choice(self.daemons_by_tenant[name]).send_request(name)
+        rate = self.usual_rates[name] * self.factor[name]
         self.clock.at(self.clock.now + self.rng.expovariate(rate), lambda: self._arrive(name))
--- a/tests/quota/test_bucket.py
+++ b/tests/quota/test_bucket.py
@@ -33,9 +33,9 @@
     bucket.put(2.5, 0.0)
     assert bucket.remove_above(2.0, 0.0) == 0.5
     assert bucket.remove_above(2.0, 0.0) == 0.0
-    assert bucket.take_part(0.75, 0.0) == 0.75
-    assert bucket.take_part(-1.0, 0.0) == 0.0
-    assert bucket.take_part(9.0, 0.0) == 1.25
+    assert bucket.take_fractional(0.75, 0.0) == 0.75
+    assert bucket.take_fractional(-1.0, 0.0) == 0.0
+    assert bucket.take_fractional(9.0, 0.0) == 1.25
 
 
 def test_when_there_will_be_more() -> None:
--- a/tests/quota/test_daemon_share.py
+++ b/tests/quota/test_daemon_share.py
@@ -4,14 +4,14 @@
 
 from finchshed.configuration.resources import Policy, Tenant
 from finchshed.quota.daemon_share import (
-    DENIED_SECONDS,
-    REPORT_SECONDS,
-    RETURN_SECONDS_MAX,
-    UNREACHED_SECONDS,
+    DENIED_BACKOFF_SECONDS,
+    REPORT_INTERVAL_SECONDS,
+    RETRY_AFTER_SECONDS_MAX,
+    UNREACHED_BACKOFF_SECONDS,
     DaemonShare,
     TokenDecision,
 )
-from finchshed.quota.lease import ANSWER_SECONDS, SHARE_SECONDS
+from finchshed.quota.lease import ANSWER_TIMEOUT_SECONDS, LEASE_SECONDS
 from finchshed.quota.messages import GrantedShare, QuotaReport, QuotaShares, QuotaTokens
 
 TENANT = Tenant("t", requests_per_second=100.0, burst_requests=100.0)
@@ -50,16 +50,16 @@
     assert share.take("t", 1.0) is TokenDecision.TAKEN
     assert share.take("t", 1.0) is TokenDecision.TAKEN
     assert share.take("t", 1.0) is TokenDecision.ASK
-    assert share.take("t", 1.0 + SHARE_SECONDS - 0.01) is TokenDecision.TAKEN
-    assert share.take("t", 1.0 + SHARE_SECONDS) is TokenDecision.ASK
+    assert share.take("t", 1.0 + LEASE_SECONDS - 0.01) is TokenDecision.TAKEN
+    assert share.take("t", 1.0 + LEASE_SECONDS) is TokenDecision.ASK
 
 
 def test_a_bucket_whose_lease_ended_is_not_told_of_and_is_empty_afterwards() -> None:
     share = daemon()
     share.take("t", 1.0)
     assert granted(share, 1.0, 10.0, 5.0)
-    share.take("t", 1.0 + SHARE_SECONDS)
-    (held,) = told(share, 1.0 + SHARE_SECONDS).shares
+    share.take("t", 1.0 + LEASE_SECONDS)
+    (held,) = told(share, 1.0 + LEASE_SECONDS).shares
     assert (held.rate, held.capacity) == (0.0, 0.0)
 
 
@@ -72,7 +72,7 @@
     grant = (GrantedShare("t", 10.0, 5.0, 5.0),)
     assert not share.on_shares(QuotaShares("life", first, grant), 1.6)
     assert not share.on_shares(QuotaShares("former", second, grant), 1.6)
-    assert not share.on_shares(QuotaShares("life", second, grant), 1.51 + ANSWER_SECONDS)
+    assert not share.on_shares(QuotaShares("life", second, grant), 1.51 + ANSWER_TIMEOUT_SECONDS)
     assert share.take("t", 1.6) is TokenDecision.ASK
     assert share.on_shares(QuotaShares("life", second, grant), 1.6)
     assert share.take("t", 1.6) is TokenDecision.TAKEN
@@ -83,11 +83,11 @@
     share.take("t", 1.0)
     ask = share.next_ask("t", 3)
     share.on_tokens(ask, QuotaTokens("life", ask.number, 1, 0.4), 0.0, 1.0)
-    assert share.take("t", 1.0 + DENIED_SECONDS - 0.01) is TokenDecision.DENIED
-    assert share.take("t", 1.0 + DENIED_SECONDS) is TokenDecision.ASK
-    share.on_unanswered(2.0)
+    assert share.take("t", 1.0 + DENIED_BACKOFF_SECONDS - 0.01) is TokenDecision.DENIED
+    assert share.take("t", 1.0 + DENIED_BACKOFF_SECONDS) is TokenDecision.ASK
+    share.on_ask_timeout(2.0)
     assert share.take("t", 2.0) is TokenDecision.UNREACHED
-    assert share.take("t", 2.0 + UNREACHED_SECONDS) is TokenDecision.ASK
+    assert share.take("t", 2.0 + UNREACHED_BACKOFF_SECONDS) is TokenDecision.ASK
 
 
 def test_tokens_come_back_of_requests_that_did_not_run() -> None:
@@ -95,8 +95,8 @@
     share.take("t", 1.0)
     granted(share, 1.0, 0.0, 5.0, tokens=1.0)
     assert share.take("t", 1.0) is TokenDecision.TAKEN
-    share.give_back("t", 1.0)
-    share.give_back("unknown", 1.0)
+    share.refund("t", 1.0)
+    share.refund("unknown", 1.0)
     assert share.take("t", 1.0) is TokenDecision.TAKEN
 
 
@@ -114,7 +114,7 @@
     share = daemon()
     share.take("t", 0.1)
     assert told(share, 0.5).shares[0].demand > 0.0
-    reports = [told(share, 0.5 + REPORT_SECONDS * number) for number in range(1, 100)]
+    reports = [told(share, 0.5 + REPORT_INTERVAL_SECONDS * number) for number in range(1, 100)]
     assert reports[0].shares
     assert reports[-1].shares == ()
 
@@ -148,8 +148,8 @@
     share = daemon()
     share.take("t", 1.0)
     granted(share, 1.0, 40.0, 50.0)
-    waits = [share.seconds_until_return("t", 1.0) for _ in range(300)]
+    waits = [share.retry_after_seconds("t", 1.0) for _ in range(300)]
     assert waits == sorted(waits)
-    assert waits[0] == DENIED_SECONDS
+    assert waits[0] == DENIED_BACKOFF_SECONDS
     assert waits[39] == pytest.approx(1.0)
-    assert waits[-1] == RETURN_SECONDS_MAX
+    assert waits[-1] == RETRY_AFTER_SECONDS_MAX
--- a/tests/quota/test_division.py
+++ b/tests/quota/test_division.py
@@ -1,8 +1,8 @@
 """The leader's division of limits among daemons."""
 
 from finchshed.configuration.resources import Policy, Tenant
-from finchshed.quota.division import QuotaDivision
-from finchshed.quota.lease import COUNTED_SECONDS, GONE_SECONDS, SETTLE_SECONDS
+from finchshed.quota.allocator import QuotaAllocator
+from finchshed.quota.lease import DAEMON_EXPIRY_SECONDS, LEADER_LEASE_SECONDS, SETTLE_SECONDS
 from finchshed.quota.limits import limit_of
 from finchshed.quota.messages import GrantedShare, HeldShare, QuotaAsk, QuotaReport
 
@@ -12,15 +12,15 @@
 SETTLED = SETTLE_SECONDS + 0.1
 
 
-def division(tenant: Tenant = TENANT, now: float = 0.0) -> QuotaDivision:
-    made = QuotaDivision(now)
+def division(tenant: Tenant = TENANT, now: float = 0.0) -> QuotaAllocator:
+    made = QuotaAllocator(now)
     made.configure((tenant,), Policy(), now)
-    made.on_noted(("a", "b"), ())
+    made.on_recorded(("a", "b"), ())
     return made
 
 
 def report(
-    made: QuotaDivision,
+    made: QuotaAllocator,
     daemon: str,
     number: int,
     held: GrantedShare | HeldShare | None = None,
@@ -42,7 +42,7 @@
     assert LIMIT is not None
     assert LIMIT.rate == 100.0
     most_in_5_seconds = (100.0 * 5.0 + 100.0) * 1.1 + 20.0
-    assert LIMIT.stock + 5.0 * LIMIT.rate < most_in_5_seconds
+    assert LIMIT.capacity + 5.0 * LIMIT.rate < most_in_5_seconds
     assert limit_of(Tenant("free"), Policy()) is None
 
 
@@ -53,9 +53,9 @@
     for number in range(2, 12):
         first = report(made, "a", number, first, demand=90.0)
         second = report(made, "b", number, second, demand=30.0)
-        rate, capacity = made.held("t")
+        rate, capacity = made.held_total("t")
         assert rate <= LIMIT.daemon_rate + 1e-9
-        assert capacity <= LIMIT.daemon_stock + 1e-9
+        assert capacity <= LIMIT.daemon_capacity + 1e-9
     assert first.rate > 2.0 * second.rate > 0.0
 
 
@@ -63,65 +63,65 @@
     made = division()
     alone = report(made, "a", 1)
     alone = report(made, "a", 2, alone, demand=100.0)
-    held_before, _ = made.held("t")
+    held_before, _ = made.held_total("t")
     shrunk = report(made, "a", 3, alone, demand=5.0)
     assert shrunk.rate < alone.rate
-    assert made.held("t")[0] == held_before
+    assert made.held_total("t")[0] == held_before
     report(made, "a", 4, shrunk, demand=5.0)
-    assert made.held("t")[0] == shrunk.rate
+    assert made.held_total("t")[0] == shrunk.rate
 
 
 def test_a_daemon_that_falls_silent_keeps_its_share_until_that_must_have_ended() -> None:
     made = division()
     gone = report(made, "a", 1, demand=100.0)
-    report(made, "b", 1, now=SETTLED + COUNTED_SECONDS - 0.1)
-    assert made.held("t")[0] >= gone.rate
-    late = report(made, "b", 2, demand=100.0, now=SETTLED + COUNTED_SECONDS + 0.1)
+    report(made, "b", 1, now=SETTLED + LEADER_LEASE_SECONDS - 0.1)
+    assert made.held_total("t")[0] >= gone.rate
+    late = report(made, "b", 2, demand=100.0, now=SETTLED + LEADER_LEASE_SECONDS + 0.1)
     assert late.rate >= gone.rate
-    assert made.held("t")[0] == late.rate
+    assert made.held_total("t")[0] == late.rate
 
 
 def test_what_a_daemon_claims_without_being_counted_is_not_believed() -> None:
     assert LIMIT is not None
     made = division()
     report(made, "a", 1, demand=100.0)
-    claimed = HeldShare("t", 100.0, LIMIT.daemon_rate, LIMIT.daemon_stock)
+    claimed = HeldShare("t", 100.0, LIMIT.daemon_rate, LIMIT.daemon_capacity)
     granted = report(made, "b", 7, claimed)
-    assert made.held("t")[0] <= LIMIT.daemon_rate + 1e-9
+    assert made.held_total("t")[0] <= LIMIT.daemon_rate + 1e-9
     assert granted.rate < claimed.rate
 
 
 def test_a_new_leader_lets_shares_grow_once_all_that_may_hold_one_have_told() -> None:
-    made = QuotaDivision(0.0, ("a", "b"))
+    made = QuotaAllocator(0.0, ("a", "b"))
     made.configure((TENANT,), Policy(), 0.0)
     held = HeldShare("t", 50.0, 20.0, 30.0)
     assert report(made, "b", 1, now=0.5).rate == 0.0
     assert report(made, "a", 7, held, now=1.1).rate == 20.0
     assert report(made, "b", 2, now=1.2).rate > 0.0
-    assert made.held("t")[0] <= 80.0
+    assert made.held_total("t")[0] <= 80.0
 
 
 def test_a_daemon_gets_a_share_once_it_is_noted() -> None:
     made = division()
-    assert made.to_note() == ()
+    assert made.unrecorded_daemons() == ()
     assert report(made, "c", 1).rate == 0.0
-    assert made.to_note() == ("c",)
-    made.on_noted(("c",), ())
+    assert made.unrecorded_daemons() == ("c",)
+    made.on_recorded(("c",), ())
     assert report(made, "c", 2).rate > 0.0
-    assert made.to_note() == ()
+    assert made.unrecorded_daemons() == ()
 
 
 def test_a_daemon_that_is_silent_for_long_is_noted_no_more() -> None:
-    made = QuotaDivision(0.0, ("a", "b"))
-    made.on_report("a", QuotaReport("1", 1, ()), 0.5 * GONE_SECONDS)
-    assert made.gone(GONE_SECONDS - 0.1) == ()
-    assert made.gone(GONE_SECONDS + 0.1) == ("b",)
-    made.on_noted((), ("b",))
-    assert made.gone(GONE_SECONDS + 0.1) == ()
+    made = QuotaAllocator(0.0, ("a", "b"))
+    made.on_report("a", QuotaReport("1", 1, ()), 0.5 * DAEMON_EXPIRY_SECONDS)
+    assert made.expired_daemons(DAEMON_EXPIRY_SECONDS - 0.1) == ()
+    assert made.expired_daemons(DAEMON_EXPIRY_SECONDS + 0.1) == ("b",)
+    made.on_recorded((), ("b",))
+    assert made.expired_daemons(DAEMON_EXPIRY_SECONDS + 0.1) == ()
 
 
 def test_a_new_leader_takes_in_what_daemons_show_and_lets_none_grow_at_first() -> None:
-    made = QuotaDivision(0.0, ("a", "b", "gone"))
+    made = QuotaAllocator(0.0, ("a", "b", "gone"))
     made.configure((TENANT,), Policy(), 0.0)
     held = HeldShare("t", 50.0, 20.0, 30.0)
     assert report(made, "a", 7, held, now=1.5).rate == 20.0
@@ -140,7 +140,7 @@
     made = division()
     report(made, "a", 1, demand=100.0)
     assert made.on_report("a", QuotaReport("2", 1, (), started_ms=5), SETTLED) is None
-    assert made.held("t") == (0.0, 0.0)
+    assert made.held_total("t") == (0.0, 0.0)
 
 
 def test_a_late_line_of_a_former_life_frees_nothing_of_the_later_one() -> None:
@@ -149,10 +149,10 @@
     shares = (HeldShare("t", 100.0, 0.0, 0.0),)
     for number in (1, 2):
         made.on_report("a", QuotaReport("2", number, shares, started_ms=2), SETTLED)
-    held = made.held("t")
+    held = made.held_total("t")
     assert held[0] > 0.0
     made.on_report("a", late, SETTLED)
-    assert made.held("t") == held
+    assert made.held_total("t") == held
 
 
 def test_the_reserve_helps_out_and_tells_when_it_may_have_more() -> None:
