--- a/src/finchshed/bench/consensus_group.py
+++ b/src/finchshed/bench/consensus_group.py
@@ -13,7 +13,7 @@
 from finchshed.configuration.resources import Endpoint, Operator, Service
 from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import Effect, RaftRole
-from finchshed.consensus.events import Event, Propose, Received, Tick
+from finchshed.consensus.events import Event, MessageReceived, Propose, Tick
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import (
     InitialMember,
@@ -26,7 +26,7 @@
 from finchshed.consensus.node import RaftNode
 from finchshed.control.state.commands import ApplyChange, LogEntry, encode_entry
 from finchshed.storage.log_store import WriteOutcome
-from finchshed.storage.records import Entry, EntryKind, Stored, Vote
+from finchshed.storage.records import Entry, EntryKind, StoredState, Vote
 
 SERVICES = 52
 """Services of the design size (docs/CAPACITY.md)."""
@@ -93,7 +93,7 @@
     """
 
     def __init__(self, name: str, names: tuple[str, ...], seed: int) -> None:
-        stored = Stored(name, Vote(1), None, [founding_entry(names)])
+        stored = StoredState(name, Vote(1), None, [founding_entry(names)])
         initial = tuple(InitialMember(other, f"{other}:1") for other in names)
         self.outbox: list[tuple[str, bytes]] = []
         raft = RaftNode(
@@ -127,9 +127,9 @@
     def handle(self, events: list[Event], now: float) -> None:
         """Take events; writes end at once."""
         self.runner.handle(events, now)
-        while self.runner.has_writes:
-            self.runner.next_writes()
-            self.runner.written(WriteOutcome.DURABLE, now)
+        while self.runner.has_pending_writes:
+            self.runner.take_pending_writes()
+            self.runner.on_write_finished(WriteOutcome.DURABLE, now)
 
 
 class LeaderMeter:
@@ -174,7 +174,7 @@
 
     def _carry(self, node: MemoryNode, line: bytes) -> None:
         began = time.thread_time()
-        events: list[Event] = [Received(self._decoder.decode(line))]
+        events: list[Event] = [MessageReceived(self._decoder.decode(line))]
         node.handle(events, self._now)
         self._count(node, began)
 
--- a/src/finchshed/bench/consensus_restart.py
+++ b/src/finchshed/bench/consensus_restart.py
@@ -102,9 +102,9 @@
     def handle(self, events: list[Event]) -> None:
         """Take events and write what they ask for."""
         self.runner.handle(events, self.now)
-        while self.runner.has_writes:
-            outcome = self.store.write(self.runner.next_writes())
-            self.runner.written(outcome, self.now)
+        while self.runner.has_pending_writes:
+            outcome = self.store.write(self.runner.take_pending_writes())
+            self.runner.on_write_finished(outcome, self.now)
 
     def lead(self) -> None:
         """Wait, on the own clock, until the node leads and all that is stored is applied."""
--- a/src/finchshed/consensus/effect_runner.py
+++ b/src/finchshed/consensus/effect_runner.py
@@ -1,9 +1,10 @@
 """Carries out the effects of a node, the same way in production and in simulation.
 
 The host owns sockets, the clock and the thread that writes. It calls :meth:`EffectRunner.handle`
-with events, and runs one write at a time: :meth:`EffectRunner.next_writes`, then
+with events, and runs one write at a time: :meth:`EffectRunner.take_pending_writes`, then
 :meth:`~finchshed.storage.log_store.LogStore.write` wherever blocking is allowed, then
-:meth:`EffectRunner.written`. While a write runs, later ones gather and share the next sync.
+:meth:`EffectRunner.on_write_finished`. While a write runs, later ones gather and share the next
+sync.
 """
 
 from collections.abc import Sequence
@@ -15,9 +16,15 @@
     PersistWrite,
     RestoreSnapshot,
     SendEnvelope,
-    SnapshotWanted,
+    SnapshotRequested,
+)
+from finchshed.consensus.events import (
+    DiskFull,
+    DiskSpaceAvailable,
+    Event,
+    SnapshotTaken,
+    WritePersisted,
 )
-from finchshed.consensus.events import DiskFull, DiskHasRoom, Event, Persisted, SnapshotTaken
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
 from finchshed.storage.log_store import WriteOutcome
@@ -64,7 +71,7 @@
         return self._node
 
     @property
-    def has_writes(self) -> bool:
+    def has_pending_writes(self) -> bool:
         """Whether a write should be started: one is wanted and none is running."""
         return bool(self._queued) and not self._writing
 
@@ -76,13 +83,13 @@
         """Tell the node ``events`` and carry out what follows. ``now`` is in seconds."""
         self._carry_out(self._node.handle_all(events, now))
 
-    def next_writes(self) -> list[Write]:
+    def take_pending_writes(self) -> list[Write]:
         """Return what to write next; empty if nothing is to be written."""
         if not self._writing:
             self._writing, self._queued = self._queued, []
         return [persist.write for persist in self._writing]
 
-    def written(self, outcome: WriteOutcome, now: float) -> None:
+    def on_write_finished(self, outcome: WriteOutcome, now: float) -> None:
         """Take the outcome of the last writes. After ``DISK_FULL`` they are to be tried again.
 
         The host waits a while before the next try.
@@ -96,10 +103,10 @@
             return
         ticket = self._writing[-1].ticket
         self._writing = []
-        events: list[Event] = [Persisted(ticket)]
+        events: list[Event] = [WritePersisted(ticket)]
         if self._disk_full:
             self._disk_full = False
-            events.append(DiskHasRoom())
+            events.append(DiskSpaceAvailable())
         self.handle(events, now)
 
     def _carry_out(self, effects: list[Effect]) -> None:
@@ -113,7 +120,7 @@
                     self._host.apply(effect.index, effect.data)
                 case RestoreSnapshot():
                     self._host.restore(effect.index, effect.data)
-                case SnapshotWanted():
+                case SnapshotRequested():
                     self._take_snapshot(effect.index)
                 case _:
                     self._host.report(effect)
--- a/src/finchshed/consensus/effects.py
+++ b/src/finchshed/consensus/effects.py
@@ -45,7 +45,7 @@
 
 
 class PersistWrite(msgspec.Struct, frozen=True):
-    """Make ``write`` durable, after all earlier ones, then tell ``Persisted(ticket)``."""
+    """Make ``write`` durable, after all earlier ones, then tell ``WritePersisted(ticket)``."""
 
     ticket: int
     write: Write
@@ -66,7 +66,7 @@
     data: bytes
 
 
-class SnapshotWanted(msgspec.Struct, frozen=True):
+class SnapshotRequested(msgspec.Struct, frozen=True):
     """Answer with ``SnapshotTaken`` for the state after ``index``, or a later one, soon."""
 
     index: int
@@ -79,7 +79,7 @@
     index: int
 
 
-class Lost(msgspec.Struct, frozen=True):
+class CommitOutcomeUnknown(msgspec.Struct, frozen=True):
     """Leadership ended first; whether the proposal or change commits is unknown."""
 
     token: int
@@ -127,9 +127,9 @@
     | PersistWrite
     | Apply
     | RestoreSnapshot
-    | SnapshotWanted
+    | SnapshotRequested
     | Committed
-    | Lost
+    | CommitOutcomeUnknown
     | RequestRefused
     | ReadReady
     | ReadFailed
--- a/src/finchshed/consensus/events.py
+++ b/src/finchshed/consensus/events.py
@@ -16,13 +16,13 @@
     """Time has passed. Sent at the latest after :meth:`RaftNode.next_delay` seconds."""
 
 
-class Received(msgspec.Struct, frozen=True):
+class MessageReceived(msgspec.Struct, frozen=True):
     """A line came from another node."""
 
     envelope: Envelope
 
 
-class Persisted(msgspec.Struct, frozen=True):
+class WritePersisted(msgspec.Struct, frozen=True):
     """The write of this ticket, and all before it, are durable."""
 
     ticket: int
@@ -32,7 +32,7 @@
     """A write found no room. It will be tried again, in order, until there is room."""
 
 
-class DiskHasRoom(msgspec.Struct, frozen=True):
+class DiskSpaceAvailable(msgspec.Struct, frozen=True):
     """Writes go through again."""
 
 
@@ -71,10 +71,10 @@
 
 Event: TypeAlias = (
     Tick
-    | Received
-    | Persisted
+    | MessageReceived
+    | WritePersisted
     | DiskFull
-    | DiskHasRoom
+    | DiskSpaceAvailable
     | Propose
     | Read
     | ChangeMembership
--- a/src/finchshed/consensus/group_size.py
+++ b/src/finchshed/consensus/group_size.py
@@ -2,8 +2,8 @@
 
 A group is formed of few nodes that everybody knows. Where more failures must be borne than so many
 voters allow, the leader promotes standbys one after the other until
-:attr:`~finchshed.consensus.options.RaftOptions.wanted_voters` vote. Each promotion adds one voter,
-so every quorum before it shares a voter with every quorum after it.
+:attr:`~finchshed.consensus.options.RaftOptions.target_voter_count` vote. Each promotion adds one
+voter, so every quorum before it shares a voter with every quorum after it.
 
 What a smaller group commits stands on too few disks, and two of its machines can hold it up. So its
 leader takes no command while it grows, for
@@ -20,7 +20,7 @@
 
 def is_short(state: NodeState) -> bool:
     """Whether fewer nodes vote than the declared tolerance asks for."""
-    return len(state.membership.voters) < state.options.wanted_voters
+    return len(state.membership.voters) < state.options.target_voter_count
 
 
 def waits_for_growth(state: NodeState) -> bool:
@@ -38,7 +38,7 @@
     """
     membership = state.membership
     standbys = [member for member in ready if not member.promote]
-    if not standbys or membership.votes_planned >= state.options.wanted_voters:
+    if not standbys or membership.votes_planned >= state.options.target_voter_count:
         return None
     if any(member.promote for member in membership.members):
         return None
--- a/src/finchshed/consensus/node.py
+++ b/src/finchshed/consensus/node.py
@@ -30,15 +30,15 @@
 from finchshed.consensus.events import (
     ChangeMembership,
     DiskFull,
-    DiskHasRoom,
+    DiskSpaceAvailable,
     Event,
-    Persisted,
+    MessageReceived,
     Propose,
     Read,
-    Received,
     SnapshotTaken,
     Tick,
     TransferLeadership,
+    WritePersisted,
 )
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.log import RaftLog
@@ -46,7 +46,7 @@
 from finchshed.consensus.options import RaftOptions
 from finchshed.consensus.state import LeaderState, NodeState
 from finchshed.consensus.write_buffer import WriteBuffer
-from finchshed.storage.records import Stored
+from finchshed.storage.records import StoredState
 
 _REQUEST_BITS = 48
 """Requests are numbered from a random start of so many bits, so that a late answer to an earlier
@@ -93,7 +93,7 @@
         self,
         name: str,
         address: str,
-        stored: Stored,
+        stored: StoredState,
         *,
         rng: random.Random,
         initial_members: tuple[InitialMember, ...],
@@ -237,11 +237,11 @@
     def _dispatch(self, event: Event) -> None:
         state = self._state
         match event:
-            case Received():
+            case MessageReceived():
                 receiving.receive(state, event.envelope)
             case Tick():
                 self._tick()
-            case Persisted():
+            case WritePersisted():
                 if state.persisted(event.ticket) and state.leading is not None:
                     replication.update_commit(state, state.leading)
             case Propose():
@@ -256,7 +256,7 @@
                 requests.keep_snapshot(state, event)
             case DiskFull():
                 requests.stop_for_full_disk(state)
-            case DiskHasRoom():
+            case DiskSpaceAvailable():
                 state.disk_full = False
 
     def _tick(self) -> None:
--- a/src/finchshed/consensus/options.py
+++ b/src/finchshed/consensus/options.py
@@ -84,7 +84,7 @@
     transfer_timeout_seconds: Positive = 2.0
 
     @property
-    def wanted_voters(self) -> int:
+    def target_voter_count(self) -> int:
         """Least number of voters of which a majority outlives the tolerated failures."""
         return 2 * self.tolerated_failures + 1
 
--- a/src/finchshed/consensus/roles.py
+++ b/src/finchshed/consensus/roles.py
@@ -5,15 +5,15 @@
 
 from finchshed.consensus.effects import (
     Apply,
+    CommitOutcomeUnknown,
     Committed,
-    Lost,
     MembershipChanged,
     RaftRole,
     ReadFailed,
     ReadReady,
     RefusalCause,
     RequestRefused,
-    SnapshotWanted,
+    SnapshotRequested,
 )
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import decode_membership
@@ -67,7 +67,7 @@
     """Ask the application for a snapshot, after all else in this step."""
     if state.snapshot_wanted:
         state.snapshot_wanted = False
-        state.effects.append(SnapshotWanted(state.commit_index))
+        state.effects.append(SnapshotRequested(state.commit_index))
 
 
 def _apply(state: NodeState, entry: Entry) -> None:
@@ -108,7 +108,7 @@
         return
     state.leading = None
     for token in leading.proposals.values():
-        state.effects.append(Lost(token))
+        state.effects.append(CommitOutcomeUnknown(token))
     for read in leading.reads:
         if read.requester is None:
             state.effects.append(ReadFailed(read.token))
--- a/src/finchshed/control/daemons/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -29,7 +29,7 @@
     LedgerRequest,
     LedgerUnknown,
 )
-from finchshed.ledger.epochs import CONFIRMED_SECONDS, OWN, ShardAddresses
+from finchshed.ledger.epochs import CONFIRMATION_VALIDITY_SECONDS, CONTROL_GROUP, ShardAddresses
 from finchshed.ledger.keys import issued_at
 from finchshed.ledger.ledger import MAX_CLOCK_LEAD_SECONDS
 from finchshed.ledger.results import LedgerRefusalReason
@@ -163,7 +163,7 @@
     async def _answer(self, request: LedgerRequest) -> LedgerAnswer:
         reply: LedgerAnswer = LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
         for _ in range(MOVED_TRIES):
-            if self._machine.epochs.group_of(request.key) == OWN:
+            if self._machine.epochs.group_of(request.key) == CONTROL_GROUP:
                 reply = await self._own.answer(request)
                 if not _is_moved(reply):
                     return reply
@@ -172,7 +172,7 @@
                 continue
             await self._confirm()
             group = self._machine.epochs.group_of(request.key)
-            if group != OWN:
+            if group != CONTROL_GROUP:
                 refusal = self._refusal(request)
                 return refusal or await self._ask(self._shard(group), request)
         return reply
@@ -198,12 +198,12 @@
         Half-way it is asked for again in the background, so that no request waits for it as long
         as there is a majority.
         """
-        if self._age() >= CONFIRMED_SECONDS / 2:
+        if self._age() >= CONFIRMATION_VALIDITY_SECONDS / 2:
             self._start_confirming()
-        while self._age() >= CONFIRMED_SECONDS:
+        while self._age() >= CONFIRMATION_VALIDITY_SECONDS:
             confirming = self._start_confirming()
             await asyncio.shield(confirming)
-            if self._age() >= CONFIRMED_SECONDS and confirming.done():
+            if self._age() >= CONFIRMATION_VALIDITY_SECONDS and confirming.done():
                 raise ControlUnavailableError(NO_QUORUM)
 
     def _age(self) -> float:
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -19,9 +19,9 @@
 from finchshed.common.errors import InvariantError
 from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import (
+    CommitOutcomeUnknown,
     Committed,
     Effect,
-    Lost,
     MembershipChanged,
     RaftRole,
     ReadFailed,
@@ -33,9 +33,9 @@
 from finchshed.consensus.events import (
     ChangeMembership,
     Event,
+    MessageReceived,
     Propose,
     Read,
-    Received,
     Tick,
     TransferLeadership,
 )
@@ -195,7 +195,7 @@
 
     def receive(self, envelope: Envelope) -> None:
         """Handle a message of another node."""
-        self._post(Received(envelope))
+        self._post(MessageReceived(envelope))
 
     async def wait_for_role_change(self, timeout_seconds: float) -> None:
         """Return after the role or known leader changed, or after the time."""
@@ -232,7 +232,7 @@
                 self._pending.resolve(effect.token, self._result_of(effect.index))
             case ReadReady():
                 self._pending.resolve(effect.token, None)
-            case Lost():
+            case CommitOutcomeUnknown():
                 self._pending.fail(effect.token, UndecidedError("leadership ended"))
             case RequestRefused():
                 self._pending.fail(effect.token, NotTakenError(effect.cause))
@@ -276,7 +276,7 @@
         self._after_step()
 
     def _after_step(self) -> None:
-        if self._runner.has_writes:
+        if self._runner.has_pending_writes:
             self._background.spawn(self._write())
         if self._timer is not None:
             self._timer.cancel()
@@ -288,11 +288,11 @@
             metrics.observe(self.node, self.journal_bytes)
 
     async def _write(self) -> None:
-        outcome = await self._journal.write(self._runner.next_writes())
+        outcome = await self._journal.write(self._runner.take_pending_writes())
         if self._is_stopped:
             return
         try:
-            self._runner.written(outcome, clock.now())
+            self._runner.on_write_finished(outcome, clock.now())
         except InvariantError as error:
             self._background.broken(error)
             return
--- a/src/finchshed/control/raft/storage.py
+++ b/src/finchshed/control/raft/storage.py
@@ -8,7 +8,7 @@
 from finchshed.common.errors import CorruptRecordError
 from finchshed.observability.instruments import Counter
 from finchshed.storage.folder import DataFolder
-from finchshed.storage.log_store import OpenedStore, discard_damaged, open_store
+from finchshed.storage.log_store import OpenedStore, open_store, set_aside_damaged_files
 
 LOG_FOLDER = "log"
 
@@ -40,5 +40,5 @@
     except CorruptRecordError as error:
         logger.error("durable state is damaged, set aside: {}", error)
         DAMAGED.inc()
-        discard_damaged(folder)
+        set_aside_damaged_files(folder)
         return open_store(folder, rng)
--- a/src/finchshed/control/state/commands.py
+++ b/src/finchshed/control/state/commands.py
@@ -10,9 +10,9 @@
     Completed,
     Granted,
     LedgerRefusal,
-    Noted,
     NotHolder,
     OutcomeUnknown,
+    Recorded,
 )
 
 
@@ -78,7 +78,7 @@
     | Completed
     | OutcomeUnknown
     | LedgerRefusal
-    | Noted
+    | Recorded
     | NotHolder
 )
 
--- a/src/finchshed/control/state/machine.py
+++ b/src/finchshed/control/state/machine.py
@@ -24,9 +24,9 @@
     NoteQuotaHolders,
     decode_entry,
 )
-from finchshed.ledger.epochs import OWN, EpochsSnapshot, LedgerEpochs
+from finchshed.ledger.epochs import CONTROL_GROUP, EpochsSnapshot, LedgerEpochs
 from finchshed.ledger.ledger import Ledger, LedgerLimits, LedgerSnapshot
-from finchshed.ledger.results import LedgerRefusal, LedgerRefusalReason, Noted
+from finchshed.ledger.results import LedgerRefusal, LedgerRefusalReason, Recorded
 
 POLICY_KEY = ResourceKey(kind="policy", name="default")
 
@@ -121,14 +121,14 @@
         if isinstance(command, NoteQuotaHolders):
             kept = self.quota_holders.difference(command.removed)
             self.quota_holders = kept.union(command.added)
-            return Noted()
+            return Recorded()
         return self._apply_to_ledger(command)
 
     def _apply_to_ledger(
         self, command: BeginRequest | CancelRequest | CompleteRequest
     ) -> CommandResult:
         self.epochs.forget(self.ledger.oldest_issued)
-        if self.epochs.group_of(command.key) != OWN:
+        if self.epochs.group_of(command.key) != CONTROL_GROUP:
             return LedgerRefusal(LedgerRefusalReason.MOVED)
         self.epochs.is_used = True
         if isinstance(command, BeginRequest):
@@ -169,7 +169,7 @@
             outcome="asked for",
         )
         self.audit.add_unless_repeated(entry)
-        return Noted()
+        return Recorded()
 
 
 def _subject_of(change: Change) -> str:
--- a/src/finchshed/ctl/restore.py
+++ b/src/finchshed/ctl/restore.py
@@ -32,7 +32,7 @@
 from finchshed.storage.folder import DataFolder
 from finchshed.storage.incarnation import INCARNATION_NAME
 from finchshed.storage.log_store import DAMAGED_PREFIX, open_store
-from finchshed.storage.records import EntryKind, Snapshot, Stored, Vote, Write
+from finchshed.storage.records import EntryKind, Snapshot, StoredState, Vote, Write
 
 CONNECT_SECONDS = 1.0
 
@@ -145,7 +145,7 @@
     return _replay(str(path), stored)
 
 
-def _replay(text: str, stored: Stored) -> _Source:
+def _replay(text: str, stored: StoredState) -> _Source:
     """Apply every entry that is left: one that wasn't committed was refused to nobody."""
     machine = ControlStateMachine()
     membership = Membership()
--- a/src/finchshed/emulator/control/log_host.py
+++ b/src/finchshed/emulator/control/log_host.py
@@ -12,15 +12,22 @@
 from finchshed.common.errors import CorruptRecordError
 from finchshed.consensus.effect_runner import EffectRunner
 from finchshed.consensus.effects import (
+    CommitOutcomeUnknown,
     Committed,
     Effect,
-    Lost,
     RaftRole,
     ReadFailed,
     ReadReady,
     RequestRefused,
 )
-from finchshed.consensus.events import Event, Propose, Read, Received, Tick, TransferLeadership
+from finchshed.consensus.events import (
+    Event,
+    MessageReceived,
+    Propose,
+    Read,
+    Tick,
+    TransferLeadership,
+)
 from finchshed.consensus.membership import InitialMember
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
@@ -28,9 +35,14 @@
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.plain_control import EPOCH_UNIX_SECONDS
-from finchshed.storage.log_store import OpenedStore, WriteOutcome, discard_damaged, open_store
+from finchshed.storage.log_store import (
+    OpenedStore,
+    WriteOutcome,
+    open_store,
+    set_aside_damaged_files,
+)
 from finchshed.storage.records import Write
-from finchshed.storage.simulated import SimulatedDisk
+from finchshed.storage.simulated_disk import SimulatedDisk
 
 SYNC_SECONDS: Final = 0.002
 """Mean time of a write with its sync."""
@@ -127,7 +139,7 @@
 
     def receive(self, envelope: Envelope) -> None:
         """Take a message of another node."""
-        self._take(Received(envelope))
+        self._take(MessageReceived(envelope))
 
     def transfer_leadership(self) -> None:
         """Hand leadership over to the best voter."""
@@ -162,7 +174,7 @@
             case Committed():
                 index, result = self._last_applied
                 self._resolve(effect.token, result if index == effect.index else None)
-            case Lost() | RequestRefused():
+            case CommitOutcomeUnknown() | RequestRefused():
                 self._resolve(effect.token, None)
                 self._resolve_read(effect.token, False)
             case ReadReady():
@@ -195,8 +207,8 @@
         self._after_step()
 
     def _after_step(self) -> None:
-        if self._runner.has_writes:
-            self._writing = self._runner.next_writes()
+        if self._runner.has_pending_writes:
+            self._writing = self._runner.take_pending_writes()
             seconds = SYNC_SECONDS * (0.5 + self._rng.random())
             self._process.call_later(seconds, self._write)
         due = self._process.now + self.node.next_delay()
@@ -219,7 +231,7 @@
         self._written(outcome)
 
     def _written(self, outcome: WriteOutcome) -> None:
-        self._runner.written(outcome, self._process.now)
+        self._runner.on_write_finished(outcome, self._process.now)
         self._after_step()
 
 
@@ -227,5 +239,5 @@
     try:
         return open_store(disk, rng)
     except CorruptRecordError:
-        discard_damaged(disk)
+        set_aside_damaged_files(disk)
         return open_store(disk, rng)
--- a/src/finchshed/emulator/control/node.py
+++ b/src/finchshed/emulator/control/node.py
@@ -20,7 +20,7 @@
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.network import Site
 from finchshed.emulator.simulation import Simulation
-from finchshed.storage.simulated import SimulatedDisk
+from finchshed.storage.simulated_disk import SimulatedDisk
 
 REQUEST_SECONDS: Final = 5.0
 """Longest time for one request over all its tries, as in the settings of a control node."""
--- a/src/finchshed/ledger/epochs.py
+++ b/src/finchshed/ledger/epochs.py
@@ -12,8 +12,8 @@
   the own log, which knows.
 - From shards: :data:`MOVE_SECONDS`, since a control node that lags sends keys straight to shards.
   It does so only for keys that aren't from the future by its clock, and only if a majority
-  confirmed its state within :data:`CONFIRMED_SECONDS`. With clocks of control nodes at most
-  ``CLOCK_LEAD_SECONDS`` apart, whoever is given a key of the new epoch knows the epoch.
+  confirmed its state within :data:`CONFIRMATION_VALIDITY_SECONDS`. With clocks of control nodes at
+  most ``CLOCK_LEAD_SECONDS`` apart, whoever is given a key of the new epoch knows the epoch.
 - Where no key was ever begun: at once.
 """
 
@@ -28,14 +28,14 @@
 """Lead of an epoch that follows shards; above the clock lead and the time of a confirmation
 together (see above). Chosen, not measured."""
 
-CONFIRMED_SECONDS = 30.0
+CONFIRMATION_VALIDITY_SECONDS = 30.0
 """A control node sends keys to shards for this long after a majority confirmed its state. Chosen,
 not measured."""
 
 ShardAddresses = tuple[str, ...]
 """Distribution addresses of one shard's group; empty: the control group itself."""
 
-OWN: ShardAddresses = ()
+CONTROL_GROUP: ShardAddresses = ()
 
 
 class LedgerEpoch(msgspec.Struct, frozen=True, array_like=True):
@@ -90,10 +90,10 @@
         """Return the group that ``key`` belongs to; a key without a time belongs to the own one."""
         issued = issued_at(key)
         if issued is None:
-            return OWN
+            return CONTROL_GROUP
         begun = [epoch for epoch in self._epochs if epoch.start <= issued]
         shards = begun[-1].shards if begun else self._epochs[0].shards
-        return shards[shard_number(key, len(shards))] if shards else OWN
+        return shards[shard_number(key, len(shards))] if shards else CONTROL_GROUP
 
     def groups(self) -> set[ShardAddresses]:
         """Return every group that a key may belong to."""
--- a/src/finchshed/ledger/ledger.py
+++ b/src/finchshed/ledger/ledger.py
@@ -24,9 +24,9 @@
     LedgerRefusal,
     LedgerRefusalReason,
     LedgerResult,
-    Noted,
     NotHolder,
     OutcomeUnknown,
+    Recorded,
 )
 
 MAX_CLOCK_LEAD_SECONDS = 60.0
@@ -172,24 +172,24 @@
             # It can't be kept, and a begin that comes late enough would be granted.
             return LedgerRefusal(refusal)
         if refusal is not None or issued is None:
-            return Noted()
+            return Recorded()
         entry = self._entries.get(key)
         if entry is None:
             if self._is_full():
                 return LedgerRefusal(LedgerRefusalReason.FULL)
             entry = self._insert(key, issued)
         if attempt in entry.cancelled:
-            return Noted()
+            return Recorded()
         holds = entry.state is KeyState.BEGUN and entry.attempt == attempt
         if entry.state is not KeyState.FREE and not holds:
             if entry.attempt == attempt:
                 return NotHolder()
             self._remember_cancelled(entry, attempt)
-            return Noted()
+            return Recorded()
         self._remember_cancelled(entry, attempt)
         self._set_state(entry, KeyState.FREE)
         entry.attempt = ""
-        return Noted()
+        return Recorded()
 
     def complete(self, key: str, attempt: str, answer: Answered | None) -> LedgerResult:
         """Record the whole answer of ``attempt``; resends of the request get it from now on.
@@ -200,14 +200,14 @@
         if entry is None or entry.state is KeyState.FREE or entry.attempt != attempt:
             return NotHolder()
         if entry.state is KeyState.COMPLETED:
-            return Noted()
+            return Recorded()
         self._set_state(entry, KeyState.COMPLETED)
         size = answer_bytes(answer)
         fits = answer is not None and size <= self._limits.max_answer_bytes
         if fits and self._total_answer_bytes + size <= self._limits.max_total_answer_bytes:
             entry.answer = answer
             self._total_answer_bytes += size
-        return Noted()
+        return Recorded()
 
     def snapshot(self) -> LedgerSnapshot:
         """Return everything held; the value shares its entries with the ledger."""
--- a/src/finchshed/ledger/results.py
+++ b/src/finchshed/ledger/results.py
@@ -43,7 +43,7 @@
     reason: LedgerRefusalReason
 
 
-class Noted(msgspec.Struct, frozen=True, tag="noted"):
+class Recorded(msgspec.Struct, frozen=True, tag="noted"):
     """A cancel or complete is recorded, or had been before."""
 
 
@@ -51,4 +51,6 @@
     """A cancel or complete came from an attempt that doesn't hold the key; nothing changed."""
 
 
-LedgerResult: TypeAlias = Granted | Completed | OutcomeUnknown | LedgerRefusal | Noted | NotHolder
+LedgerResult: TypeAlias = (
+    Granted | Completed | OutcomeUnknown | LedgerRefusal | Recorded | NotHolder
+)
--- a/src/finchshed/proof/consensus/group.py
+++ b/src/finchshed/proof/consensus/group.py
@@ -11,7 +11,7 @@
 from finchshed.proof.consensus.node import SimulatedNode, address_of
 from finchshed.proof.consensus.observer import Observer
 from finchshed.proof.consensus.scheduler import Process, Scheduler
-from finchshed.storage.simulated import SimulatedDisk
+from finchshed.storage.simulated_disk import SimulatedDisk
 
 UNLIMITED_BYTES = 1 << 40
 
@@ -135,7 +135,7 @@
         leader = self.leader()
         if leader is None or leader.raft.log.membership_index > leader.raft.commit_index:
             return False
-        if len(leader.raft.membership.voters) < self.options.wanted_voters:
+        if len(leader.raft.membership.voters) < self.options.target_voter_count:
             return False
         statuses = {status.member.identity: status for status in leader.raft.member_statuses()}
         for member in leader.raft.membership.members:
--- a/src/finchshed/proof/consensus/node.py
+++ b/src/finchshed/proof/consensus/node.py
@@ -16,9 +16,9 @@
 from finchshed.consensus.events import (
     ChangeMembership,
     Event,
+    MessageReceived,
     Propose,
     Read,
-    Received,
     Tick,
     TransferLeadership,
 )
@@ -35,7 +35,7 @@
 from finchshed.proof.consensus.scheduler import Scheduler
 from finchshed.proof.consensus.simulated_disk import open_with_damage, write_seconds
 from finchshed.storage.log_store import LogStore, WriteOutcome
-from finchshed.storage.simulated import SimulatedDisk
+from finchshed.storage.simulated_disk import SimulatedDisk
 
 _DISK_RETRY_SECONDS = 0.5
 """Wait before a full disk is tried again; chosen, not measured."""
@@ -155,7 +155,7 @@
         self._doomed = None
         if not self.is_running:
             return
-        writes = self._runner.next_writes()
+        writes = self._runner.take_pending_writes()
         if writes:
             self.disk.crash_after(self._rng.randrange(_MOST_OPERATIONS_OF_A_WRITE))
             try:
@@ -244,7 +244,7 @@
 
     def _deliver(self, envelope: Envelope) -> None:
         if self.is_running:
-            self._inbox.add(Received(envelope))
+            self._inbox.add(MessageReceived(envelope))
 
     def _tick(self) -> None:
         self._step([Tick()])
@@ -264,8 +264,8 @@
         self._plan_next()
 
     def _plan_next(self) -> None:
-        if self._runner.has_writes:
-            self._runner.next_writes()
+        if self._runner.has_pending_writes:
+            self._runner.take_pending_writes()
             delay = write_seconds(self._rng, self.disk_slowness)
             self._process.later(delay, self._finish_write)
             if self._doomed is not None:
@@ -283,14 +283,16 @@
         self._process.later(delay, on_timer)
 
     def _finish_write(self) -> None:
-        outcome = self._store.write(self._runner.next_writes())
+        outcome = self._store.write(self._runner.take_pending_writes())
         if outcome is WriteOutcome.DURABLE:
-            self._guarded(lambda: self._runner.written(outcome, self._host_now()))
+            self._guarded(lambda: self._runner.on_write_finished(outcome, self._host_now()))
             return
         self._observer.count("disk_full")
         self._process.later(
             _DISK_RETRY_SECONDS,
-            lambda: self._guarded(lambda: self._runner.written(outcome, self._host_now())),
+            lambda: self._guarded(
+                lambda: self._runner.on_write_finished(outcome, self._host_now())
+            ),
         )
 
 
--- a/src/finchshed/proof/consensus/requests.py
+++ b/src/finchshed/proof/consensus/requests.py
@@ -6,9 +6,9 @@
 import simpy
 
 from finchshed.consensus.effects import (
+    CommitOutcomeUnknown,
     Committed,
     Effect,
-    Lost,
     ReadFailed,
     ReadReady,
     RefusalCause,
@@ -67,7 +67,7 @@
                 self._answer(effect.token, result if index == effect.index else None)
             case ReadReady():
                 self._answer(effect.token, register.read())
-            case Lost():
+            case CommitOutcomeUnknown():
                 self._answer(effect.token, Undecided())
             case RequestRefused():
                 leader = effect.leader.name if effect.leader else ""
--- a/src/finchshed/proof/consensus/simulated_disk.py
+++ b/src/finchshed/proof/consensus/simulated_disk.py
@@ -4,8 +4,8 @@
 
 from finchshed.common.errors import CorruptRecordError
 from finchshed.proof.consensus.observer import Observer
-from finchshed.storage.log_store import OpenedStore, discard_damaged, open_store
-from finchshed.storage.simulated import SimulatedDisk
+from finchshed.storage.log_store import OpenedStore, open_store, set_aside_damaged_files
+from finchshed.storage.simulated_disk import SimulatedDisk
 
 _WRITE_SECONDS = (0.0003, 0.004)
 """Shortest and longest ordinary write; chosen, not measured."""
@@ -36,5 +36,5 @@
         return open_store(disk, rng)
     except CorruptRecordError:
         observer.count("damage_found")
-        discard_damaged(disk)
+        set_aside_damaged_files(disk)
         return open_store(disk, rng)
--- a/src/finchshed/storage/disk.py
+++ b/src/finchshed/storage/disk.py
@@ -4,7 +4,8 @@
 whatever has not been synced: contents of a file last once :meth:`Disk.sync` returns, names of
 files last once :meth:`Disk.sync_folder` returns.
 
-Owns no state; :mod:`finchshed.storage.folder` and :mod:`finchshed.storage.simulated` hold files.
+Owns no state; :mod:`finchshed.storage.folder` and :mod:`finchshed.storage.simulated_disk` hold
+files.
 """
 
 from typing import Protocol
--- a/src/finchshed/storage/log_store.py
+++ b/src/finchshed/storage/log_store.py
@@ -23,7 +23,7 @@
     Head,
     JournalRecord,
     Snapshot,
-    Stored,
+    StoredState,
     Truncate,
     Vote,
     Write,
@@ -51,7 +51,7 @@
     """A store and what was found in it."""
 
     store: "LogStore"
-    stored: Stored
+    stored: StoredState
 
 
 class LogStore:
@@ -127,7 +127,7 @@
     ------
     CorruptRecordError
         Synced data is damaged or missing. The node must not go on with it: see
-        :func:`discard_damaged`.
+        :func:`set_aside_damaged_files`.
     """
     remove_temporary_files(disk)
     incarnation = read_incarnation(disk)
@@ -144,11 +144,11 @@
         snapshot = load_snapshot(disk, head.snapshot_index, head.snapshot_term)
     _remove_other_snapshots(disk, snapshot_name(head.snapshot_index, head.snapshot_term))
     vote, entries = _replay(head, records)
-    stored = Stored(incarnation, vote, snapshot, entries, opened.torn_bytes)
+    stored = StoredState(incarnation, vote, snapshot, entries, opened.torn_bytes)
     return OpenedStore(LogStore(disk, opened.journal), stored)
 
 
-def discard_damaged(disk: Disk) -> None:
+def set_aside_damaged_files(disk: Disk) -> None:
     """Set everything aside on a disk that was found damaged, under names that are never opened.
 
     The next start finds no state, takes a new incarnation and joins its group as a learner. What
@@ -170,11 +170,11 @@
     if incarnation is not None:
         # An identity without its journal: the journal was lost, or its making was cut short.
         # Either way a new identity is safe, since it has promised nothing.
-        discard_damaged(disk)
+        set_aside_damaged_files(disk)
     fresh = new_incarnation(rng)
     write_incarnation(disk, fresh)
     journal = create_journal(disk, [_NO_SNAPSHOT])
-    return OpenedStore(LogStore(disk, journal), Stored(fresh, Vote(), None, []))
+    return OpenedStore(LogStore(disk, journal), StoredState(fresh, Vote(), None, []))
 
 
 def _records_of(write: Write) -> list[JournalRecord]:
--- a/src/finchshed/storage/records.py
+++ b/src/finchshed/storage/records.py
@@ -78,7 +78,7 @@
     snapshot: Snapshot | None = None
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredState(msgspec.Struct, frozen=True):
     """What a restart finds on the disk.
 
     Attributes
--- a/tests/consensus/broken_variants.py
+++ b/tests/consensus/broken_variants.py
@@ -29,7 +29,7 @@
 from finchshed.storage.framing import Tail
 from finchshed.storage.journal import Journal, encode_records
 from finchshed.storage.records import Vote as StoredVote
-from finchshed.storage.simulated import SimulatedDisk
+from finchshed.storage.simulated_disk import SimulatedDisk
 from tests.consensus.campaign_here import run_here
 
 
--- a/tests/consensus/test_formation_right.py
+++ b/tests/consensus/test_formation_right.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from finchshed.consensus.events import Received, Tick
+from finchshed.consensus.events import MessageReceived, Tick
 from finchshed.consensus.membership import InitialMember
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
-from finchshed.storage.records import Stored, Vote
+from finchshed.storage.records import StoredState, Vote
 
 NAMES = ("a", "b", "c")
 VOTERS = tuple(InitialMember(name, f"{name}:1") for name in NAMES)
@@ -20,7 +20,7 @@
         f"{name}:1": RaftNode(
             name,
             f"{name}:1",
-            Stored(f"disk of {name}", Vote(0), None, ()),
+            StoredState(f"disk of {name}", Vote(0), None, ()),
             rng=random.Random(name),
             initial_members=VOTERS,
             now=0.0,
@@ -34,7 +34,7 @@
         for node in nodes.values():
             waiting += _sent(node.handle(Tick(), now))
         for address, envelope in waiting:
-            nodes[address].handle(Received(envelope), now)
+            nodes[address].handle(MessageReceived(envelope), now)
     return any(node.membership.members for node in nodes.values())
 
 
--- a/tests/consensus/test_node.py
+++ b/tests/consensus/test_node.py
@@ -4,14 +4,14 @@
 
 from finchshed.consensus.events import Tick
 from finchshed.consensus.node import RaftNode
-from finchshed.storage.records import Stored, Vote
+from finchshed.storage.records import StoredState, Vote
 
 
 def test_a_node_that_may_not_stand_rests_between_ticks() -> None:
     node = RaftNode(
         "spare",
         "spare:1",
-        Stored("1", Vote(), None, []),
+        StoredState("1", Vote(), None, []),
         rng=random.Random(1),
         initial_members=(),
         now=0.0,
--- a/tests/control/test_ledger_router.py
+++ b/tests/control/test_ledger_router.py
@@ -31,7 +31,11 @@
     LedgerUnknown,
 )
 from finchshed.distribution.status import InForceReport
-from finchshed.ledger.epochs import CLOCK_LEAD_SECONDS, CONFIRMED_SECONDS, ShardAddresses
+from finchshed.ledger.epochs import (
+    CLOCK_LEAD_SECONDS,
+    CONFIRMATION_VALIDITY_SECONDS,
+    ShardAddresses,
+)
 from finchshed.ledger.keys import new_key
 
 NOW = 1_800_000_000.0
@@ -148,13 +152,13 @@
     await world.apply("first", 0, SHARDS)
     await world.begin(made_at(NOW, 1))
     barriers = world.log.barriers
-    world.now = CONFIRMED_SECONDS / 2 - 1.0
+    world.now = CONFIRMATION_VALIDITY_SECONDS / 2 - 1.0
     await world.begin(made_at(NOW, 2))
     assert world.log.barriers == barriers
     world.log.has_quorum = False
-    world.now = CONFIRMED_SECONDS - 1.0
+    world.now = CONFIRMATION_VALIDITY_SECONDS - 1.0
     assert await world.begin(made_at(NOW, 3)) == LedgerGranted(7)
-    world.now = CONFIRMED_SECONDS
+    world.now = CONFIRMATION_VALIDITY_SECONDS
     refused = await world.begin(made_at(NOW, 4))
     assert isinstance(refused, LedgerRefused)
     assert sum(len(shard.begun) for shard in world.shards.values()) == 3
@@ -167,11 +171,11 @@
     await world.apply("first", 0, SHARDS)
     await world.begin(made_at(NOW, 1))
     barriers = world.log.barriers
-    world.now = CONFIRMED_SECONDS / 2
+    world.now = CONFIRMATION_VALIDITY_SECONDS / 2
     await world.begin(made_at(NOW, 2))
     await asyncio.sleep(0)
     assert world.log.barriers == barriers + 1
-    world.now = CONFIRMED_SECONDS + 1.0
+    world.now = CONFIRMATION_VALIDITY_SECONDS + 1.0
     world.log.has_quorum = False
     assert await world.begin(made_at(NOW, 3)) == LedgerGranted(7)
 
@@ -209,7 +213,7 @@
     first = set(world.shards.values())
     world.log.here.epochs = type(world.log.here.epochs)()
     world.log.here.epochs.declare((("10.0.0.3:1",),), NOW)
-    world.now = 2 * CONFIRMED_SECONDS
+    world.now = 2 * CONFIRMATION_VALIDITY_SECONDS
     assert await world.begin(made_at(NOW, 99)) == LedgerGranted(7)
     assert all(shard.is_closed for shard in first)
     world.router.close()
--- a/tests/ledger/test_epochs.py
+++ b/tests/ledger/test_epochs.py
@@ -6,9 +6,9 @@
 
 from finchshed.ledger.epochs import (
     CLOCK_LEAD_SECONDS,
-    CONFIRMED_SECONDS,
+    CONFIRMATION_VALIDITY_SECONDS,
+    CONTROL_GROUP,
     MOVE_SECONDS,
-    OWN,
     EpochsSnapshot,
     LedgerEpochs,
 )
@@ -41,9 +41,9 @@
 def test_keys_the_own_ledger_may_have_begun_stay_there() -> None:
     epochs = used()
     epochs.declare(ONE, START)
-    assert epochs.group_of(made_at(START + CLOCK_LEAD_SECONDS - 0.01)) == OWN
+    assert epochs.group_of(made_at(START + CLOCK_LEAD_SECONDS - 0.01)) == CONTROL_GROUP
     assert epochs.group_of(made_at(START + CLOCK_LEAD_SECONDS)) == ONE[0]
-    assert epochs.group_of("no key") == OWN
+    assert epochs.group_of("no key") == CONTROL_GROUP
 
 
 def test_declaring_the_same_again_begins_nothing() -> None:
@@ -81,17 +81,17 @@
 @settings(max_examples=1_000, deadline=None, derandomize=True)
 @example(  # every bound at its worst
     history=[(1.0, ONE), (1_000.0, OTHER)],
-    since_last_change=CONFIRMED_SECONDS - 0.1,
+    since_last_change=CONFIRMATION_VALIDITY_SECONDS - 0.1,
     key_ahead=CLOCK_LEAD_SECONDS,
-    lag=CONFIRMED_SECONDS,
+    lag=CONFIRMATION_VALIDITY_SECONDS,
     skew=CLOCK_LEAD_SECONDS,
     restart=False,
 )
 @given(
     history=histories,
-    since_last_change=st.floats(0.0, 2 * CONFIRMED_SECONDS),
+    since_last_change=st.floats(0.0, 2 * CONFIRMATION_VALIDITY_SECONDS),
     key_ahead=st.floats(-600.0, CLOCK_LEAD_SECONDS),
-    lag=st.floats(0.0, CONFIRMED_SECONDS),
+    lag=st.floats(0.0, CONFIRMATION_VALIDITY_SECONDS),
     skew=st.floats(-CLOCK_LEAD_SECONDS, CLOCK_LEAD_SECONDS),
     restart=st.booleans(),
 )
@@ -118,5 +118,5 @@
         lagging.restore(msgspec.json.decode(data, type=EpochsSnapshot))
     key = made_at(asked_at + skew + key_ahead)
     there = lagging.group_of(key)
-    if there != OWN:  # the own log decides with its own, full knowledge
+    if there != CONTROL_GROUP:  # the own log decides with its own, full knowledge
         assert there == up_to_date.group_of(key)
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -10,9 +10,9 @@
     Granted,
     LedgerRefusal,
     LedgerRefusalReason,
-    Noted,
     NotHolder,
     OutcomeUnknown,
+    Recorded,
 )
 
 NOW = 1_800_000_000.0
@@ -83,7 +83,7 @@
 def test_after_completion_every_attempt_gets_the_same_whole_answer() -> None:
     ledger, key = ledger_at(), key_made()
     ledger.begin(key, "a")
-    assert ledger.complete(key, "a", ANSWER) == Noted()
+    assert ledger.complete(key, "a", ANSWER) == Recorded()
     for again in (ledger, restarted(ledger)):
         assert again.begin(key, "a") == Completed(ANSWER)
         assert again.begin(key, "b") == Completed(ANSWER)
@@ -93,14 +93,14 @@
     ledger, key = ledger_at(), key_made()
     ledger.begin(key, "a")
     ledger.complete(key, "a", ANSWER)
-    assert ledger.complete(key, "a", Answered(500, (), b"")) == Noted()
+    assert ledger.complete(key, "a", Answered(500, (), b"")) == Recorded()
     assert ledger.begin(key, "b") == Completed(ANSWER)
 
 
 def test_a_cancelled_attempt_frees_the_key_and_is_never_granted_again() -> None:
     ledger, key = ledger_at(), key_made()
     ledger.begin(key, "a")
-    assert ledger.cancel(key, "a") == Noted()
+    assert ledger.cancel(key, "a") == Recorded()
     cancelled = refused(LedgerRefusalReason.ATTEMPT_CANCELLED)
     assert ledger.begin(key, "a") == cancelled
     assert restarted(ledger).begin(key, "a") == cancelled
@@ -109,7 +109,7 @@
 
 def test_a_cancel_that_overtakes_its_begin_wins() -> None:
     ledger, key = ledger_at(), key_made()
-    assert ledger.cancel(key, "a") == Noted()
+    assert ledger.cancel(key, "a") == Recorded()
     assert ledger.begin(key, "a") == refused(LedgerRefusalReason.ATTEMPT_CANCELLED)
     assert ledger.begin(key, "b") == Granted()
 
@@ -189,7 +189,7 @@
     ledger = ledger_at(limits=LedgerLimits(max_answer_bytes=10))
     key = key_made()
     ledger.begin(key, "a")
-    assert ledger.complete(key, "a", Answered(200, (), b"x" * 11)) == Noted()
+    assert ledger.complete(key, "a", Answered(200, (), b"x" * 11)) == Recorded()
     assert ledger.begin(key, "b") == OutcomeUnknown()
     assert ledger.begin(key, "a") == OutcomeUnknown()
 
--- a/tests/ledger/test_ledger_stateful.py
+++ b/tests/ledger/test_ledger_stateful.py
@@ -27,7 +27,7 @@
     LedgerRefusal,
     LedgerRefusalReason,
     LedgerResult,
-    Noted,
+    Recorded,
 )
 
 START = 1_800_000_000.0
@@ -88,7 +88,7 @@
     def give_up(self, key: str, attempt: str) -> None:
         if self.sent.get(key) != attempt:
             self.given_up.add((key, attempt))
-            if self.both("cancel", key, attempt) == Noted():
+            if self.both("cancel", key, attempt) == Recorded():
                 self.cancelled.add((key, attempt))
 
     @rule(key=keys, size=st.integers(0, 60))
--- a/tests/storage/test_log_store.py
+++ b/tests/storage/test_log_store.py
@@ -9,11 +9,11 @@
 from finchshed.storage.log_store import (
     LogStore,
     WriteOutcome,
-    discard_damaged,
     open_store,
+    set_aside_damaged_files,
 )
-from finchshed.storage.records import Entry, Snapshot, Stored, Vote, Write
-from finchshed.storage.simulated import SimulatedDisk
+from finchshed.storage.records import Entry, Snapshot, StoredState, Vote, Write
+from finchshed.storage.simulated_disk import SimulatedDisk
 
 
 def entries(first: int, last: int, term: int = 1) -> tuple[Entry, ...]:
@@ -25,7 +25,7 @@
     return disk, open_store(disk, random.Random(seed)).store
 
 
-def reopened(disk: SimulatedDisk) -> Stored:
+def reopened(disk: SimulatedDisk) -> StoredState:
     return open_store(disk, random.Random(99)).stored
 
 
@@ -136,7 +136,7 @@
     disk, store = fresh()
     store.write([Write(entries=entries(1, 2))])
     before = reopened(disk).incarnation
-    discard_damaged(disk)
+    set_aside_damaged_files(disk)
     stored = reopened(disk)
     assert stored.incarnation != before
     assert stored.entries == []
