--- a/src/finchshed/consensus/clock.py
+++ b/src/finchshed/consensus/clock.py
@@ -1,22 +1,22 @@
-"""A node's own time, which neither steps nor runs away.
+"""Node-local clock that tolerates steps of the host clock.
 
-Owns that time; due times of a node are counted on it, so a host may give any clock.
+All timers of a node are measured on this clock, so a host may supply any time source.
 """
 
 
 class SteadyClock:
-    """Adds up the time that passes between calls, within bounds.
+    """Accumulates elapsed host time, with each increment clamped to ``[0, max_step]``.
 
-    A step backwards of the host's clock counts as no time, a long one forwards (a step, or the
-    process was frozen) as ``max_step`` seconds. So a node that was frozen first reads what
-    arrived meanwhile before it takes its leader for dead. Safety never rests on any clock.
+    A backward step of the host clock counts as zero. A forward jump (a clock step or a suspended
+    process) counts as at most ``max_step`` seconds, so a resumed node processes the messages that
+    arrived during the pause before its election timer expires. Safety does not depend on clocks.
 
     Parameters
     ----------
     now
-        The host's time at the start, in seconds.
+        Initial host time in seconds.
     max_step
-        Most that one advance counts, in seconds.
+        Upper bound of one increment in seconds.
     """
 
     def __init__(self, now: float, max_step: float) -> None:
@@ -26,11 +26,11 @@
 
     @property
     def host_now(self) -> float:
-        """The host's time at the last advance, in seconds."""
+        """Host time of the last :meth:`advance`, in seconds."""
         return self._host_now
 
     def advance(self, host_now: float) -> None:
-        """Take the host's time."""
+        """Advance to host time ``host_now``, in seconds."""
         passed = host_now - self._host_now
         self._host_now = host_now
         self.now += min(max(passed, 0.0), self._max_step)
--- a/src/finchshed/consensus/effect_runner.py
+++ b/src/finchshed/consensus/effect_runner.py
@@ -1,10 +1,10 @@
-"""Carries out the effects of a node, the same way in production and in simulation.
+"""Executes the effects of a node; shared by production and simulation.
 
-The host owns sockets, the clock and the thread that writes. It calls :meth:`EffectRunner.handle`
-with events, and runs one write at a time: :meth:`EffectRunner.take_pending_writes`, then
-:meth:`~finchshed.storage.log_store.LogStore.write` wherever blocking is allowed, then
-:meth:`EffectRunner.on_write_finished`. While a write runs, later ones gather and share the next
-sync.
+The host owns sockets, the clock and the writer thread. It passes events to
+:meth:`EffectRunner.handle` and runs one write at a time: :meth:`EffectRunner.take_pending_writes`,
+then :meth:`~finchshed.storage.log_store.LogStore.write` where blocking is allowed, then
+:meth:`EffectRunner.on_write_finished`. Writes requested while one is running are batched into the
+next sync.
 """
 
 from collections.abc import Sequence
@@ -32,10 +32,10 @@
 
 
 class Host(Protocol):
-    """What a runner needs of its surroundings."""
+    """Callbacks that a host provides to its :class:`EffectRunner`."""
 
     def send(self, address: str, envelope: Envelope) -> None:
-        """Send a line; losing it is allowed."""
+        """Send a message to ``address``; delivery is best effort."""
         ...
 
     def apply(self, index: int, data: bytes) -> None:
@@ -43,20 +43,20 @@
         ...
 
     def restore(self, index: int, data: bytes) -> None:
-        """Replace the application's state by a snapshot's."""
+        """Replace the application state with that of a snapshot."""
         ...
 
     def snapshot(self) -> bytes:
-        """Return the application's state after the last applied command."""
+        """Return the application state after the last applied command."""
         ...
 
     def report(self, effect: Effect) -> None:
-        """Take any other effect: results of proposals and reads, changes of role."""
+        """Handle any other effect: results of proposals and reads, role changes."""
         ...
 
 
 class EffectRunner:
-    """Connects a node, its storage and its host."""
+    """Connects a node to its storage and its host."""
 
     def __init__(self, node: RaftNode, host: Host) -> None:
         self._node = node
@@ -67,32 +67,32 @@
 
     @property
     def node(self) -> RaftNode:
-        """The node."""
+        """The node whose effects are executed."""
         return self._node
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether a write should be started: one is wanted and none is running."""
+        """Whether writes are queued and none is running."""
         return bool(self._queued) and not self._writing
 
     def start(self, now: float) -> None:
-        """Bring the application to the state found on the disk."""
+        """Start the node and restore the application from the stored snapshot."""
         self._carry_out(self._node.start(now))
 
     def handle(self, events: Sequence[Event], now: float) -> None:
-        """Tell the node ``events`` and carry out what follows. ``now`` is in seconds."""
+        """Pass ``events`` to the node and execute the effects. ``now`` is in seconds."""
         self._carry_out(self._node.handle_all(events, now))
 
     def take_pending_writes(self) -> list[Write]:
-        """Return what to write next; empty if nothing is to be written."""
+        """Return the next batch to write, or the running batch if it has not finished."""
         if not self._writing:
             self._writing, self._queued = self._queued, []
         return [persist.write for persist in self._writing]
 
     def on_write_finished(self, outcome: WriteOutcome, now: float) -> None:
-        """Take the outcome of the last writes. After ``DISK_FULL`` they are to be tried again.
+        """Handle the outcome of the last batch.
 
-        The host waits a while before the next try.
+        After ``DISK_FULL`` the batch is queued again; the host delays the retry.
         """
         if outcome is WriteOutcome.DISK_FULL:
             self._queued = [*self._writing, *self._queued]
--- a/src/finchshed/consensus/effects.py
+++ b/src/finchshed/consensus/effects.py
@@ -1,7 +1,6 @@
-"""What a node of the replicated log asks for. Effects are carried out in order.
+"""Effects returned by a node, to be executed in order.
 
-Relies on the host for all of it;
-:mod:`finchshed.consensus.effect_runner` is the part that hosts share.
+:mod:`finchshed.consensus.effect_runner` dispatches them to the host.
 """
 
 import enum
@@ -16,7 +15,7 @@
 
 
 class RaftRole(enum.StrEnum):
-    """What a node is at present."""
+    """Role of a node in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -25,7 +24,7 @@
 
 
 class RefusalCause(enum.StrEnum):
-    """Why a proposal, read or change was not taken. It has had no effect."""
+    """Why a proposal, read or membership change was rejected without taking effect."""
 
     NOT_LEADER = "not_leader"
     BUSY = "busy"
@@ -38,21 +37,21 @@
 
 
 class SendEnvelope(msgspec.Struct, frozen=True):
-    """Send a line to an address. It may be lost, repeated or reordered."""
+    """Send a message to an address. It may be lost, duplicated or reordered."""
 
     address: str
     envelope: Envelope
 
 
 class PersistWrite(msgspec.Struct, frozen=True):
-    """Make ``write`` durable, after all earlier ones, then tell ``WritePersisted(ticket)``."""
+    """Make ``write`` durable after all earlier writes, then report ``WritePersisted(ticket)``."""
 
     ticket: int
     write: Write
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """A committed command, for the application to apply."""
+    """Apply a committed command to the application."""
 
     index: int
     term: int
@@ -60,33 +59,33 @@
 
 
 class RestoreSnapshot(msgspec.Struct, frozen=True):
-    """Replace the application's state by that of a snapshot."""
+    """Replace the application state with that of a snapshot."""
 
     index: int
     data: bytes
 
 
 class SnapshotRequested(msgspec.Struct, frozen=True):
-    """Answer with ``SnapshotTaken`` for the state after ``index``, or a later one, soon."""
+    """Take a snapshot of the state at ``index`` or later and report it as ``SnapshotTaken``."""
 
     index: int
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The proposal or change is committed as entry ``index``, and applied."""
+    """The proposal or membership change was committed at ``index`` and applied."""
 
     token: int
     index: int
 
 
 class CommitOutcomeUnknown(msgspec.Struct, frozen=True):
-    """Leadership ended first; whether the proposal or change commits is unknown."""
+    """Leadership ended before the proposal or change was committed; it may still commit."""
 
     token: int
 
 
 class RequestRefused(msgspec.Struct, frozen=True):
-    """The proposal, read or change had no effect. ``leader`` may be another node to ask."""
+    """The proposal, read or change had no effect. ``leader`` is the current leader, if known."""
 
     token: int
     cause: RefusalCause
@@ -95,14 +94,14 @@
 
 
 class ReadReady(msgspec.Struct, frozen=True):
-    """The application, as it is now, may answer the read; ``index`` has been applied."""
+    """The read may be served from the current application state; ``index`` is applied."""
 
     token: int
     index: int
 
 
 class ReadFailed(msgspec.Struct, frozen=True):
-    """No quorum confirmed the read in time."""
+    """The read was not confirmed before its deadline or before leadership ended."""
 
     token: int
 
@@ -116,7 +115,7 @@
 
 
 class MembershipChanged(msgspec.Struct, frozen=True):
-    """The membership of entry ``index`` is committed."""
+    """The membership set by entry ``index`` is committed."""
 
     index: int
     membership: Membership
--- a/src/finchshed/consensus/election.py
+++ b/src/finchshed/consensus/election.py
@@ -1,8 +1,8 @@
-"""Elections, with pre-vote and with respect for a leader that is there.
+"""Leader election with pre-vote.
 
-One vote in a term, for a candidate whose log is as complete (Raft, section 5.4.1); a pre-vote
-before a term is raised; none while a leader is heard. Owns role, vote and ballots in the node's
-state.
+A node grants at most one vote per term, only to a candidate whose log is at least as up to date
+(Raft, section 5.4.1), and none while it hears from a live leader. A candidate wins a pre-vote
+before it increments the term.
 """
 
 from finchshed.consensus.effects import RaftRole
@@ -21,21 +21,22 @@
 
 
 def may_campaign(state: NodeState) -> bool:
-    """Whether this node could lead: a voter whose disk takes writes.
+    """Whether this node may stand for election: a voter whose disk accepts writes.
 
-    A node whose own removal is not committed yet still stands: it may be the only one whose log
-    others can accept (section 4.2.2 of the Raft dissertation). It doesn't vote for itself.
+    A voter whose removal is not yet committed is eligible, because it may hold the only log that
+    is sufficiently up to date (section 4.2.2 of the Raft dissertation). Its own vote is not
+    counted.
     """
-    is_candidate = state.identity in state.counted_voters or (
+    is_eligible = state.identity in state.counted_voters or (
         state.log.membership_index > state.commit_index
         and state.identity in state.log.previous_membership.counted_voters
     )
-    return is_candidate and not state.disk_full
+    return is_eligible and not state.disk_full
 
 
 def start_pre_vote(state: NodeState) -> None:
-    """Ask whether an election could be won, before disturbing anybody with a new term."""
-    state.ballots = {state.identity}
+    """Ask the other voters whether an election could be won, without incrementing the term."""
+    state.votes_received = {state.identity}
     state.change_role(RaftRole.PRE_CANDIDATE, None)
     reset_election_timer(state)
     if _has_majority(state):
@@ -47,9 +48,9 @@
 
 
 def start_election(state: NodeState, transfer: bool = False) -> None:
-    """Stand for leader in a new term."""
+    """Become a candidate in a new term and request votes."""
     state.set_vote(Vote(state.term + 1, str(state.identity)))
-    state.ballots = {state.identity}
+    state.votes_received = {state.identity}
     state.change_role(RaftRole.CANDIDATE, None)
     reset_election_timer(state)
     if _has_majority(state):
@@ -60,11 +61,11 @@
         state.send_when_durable(voter, request)
 
 
-def on_pre_vote(state: NodeState, sender: NodeIdentity, message: PreVoteRequest) -> None:
-    """Say whether a vote would be given."""
+def on_pre_vote_request(state: NodeState, sender: NodeIdentity, message: PreVoteRequest) -> None:
+    """Reply whether a vote would be granted."""
     granted = (
         message.term > state.term
-        and not _hears_a_leader(state)
+        and not _has_live_leader(state)
         and _is_up_to_date(state, message.last_index, message.last_term)
     )
     term = message.term if granted else state.term
@@ -72,22 +73,22 @@
 
 
 def on_pre_vote_reply(state: NodeState, sender: NodeIdentity, message: PreVoteReply) -> None:
-    """Count an answer."""
+    """Count a pre-vote; start the election once a majority granted one."""
     if not message.granted:
         if message.term > state.term:
             become_follower(state, message.term, None)
         return
     if state.role is not RaftRole.PRE_CANDIDATE or message.term != state.term + 1:
         return
-    state.ballots.add(sender)
+    state.votes_received.add(sender)
     if _has_majority(state) and may_campaign(state):
         start_election(state)
 
 
-def on_vote(state: NodeState, sender: NodeIdentity, message: VoteRequest) -> None:
-    """Vote, at most once in a term, for a candidate whose log is as complete as this one."""
+def on_vote_request(state: NodeState, sender: NodeIdentity, message: VoteRequest) -> None:
+    """Grant at most one vote per term, to a candidate whose log is at least as up to date."""
     if message.term > state.term:
-        if _hears_a_leader(state) and not message.transfer:
+        if _has_live_leader(state) and not message.transfer:
             return
         become_follower(state, message.term, None)
     granted = (
@@ -102,33 +103,33 @@
 
 
 def on_vote_reply(state: NodeState, sender: NodeIdentity, message: VoteReply) -> None:
-    """Count a vote."""
+    """Count a vote; become leader once a majority granted one."""
     if message.term > state.term:
         become_follower(state, message.term, None)
         return
     if state.role is not RaftRole.CANDIDATE or message.term < state.term or not message.granted:
         return
-    state.ballots.add(sender)
+    state.votes_received.add(sender)
     if _has_majority(state) and may_campaign(state):
         _become_leader(state)
 
 
 def on_timeout_now(state: NodeState, message: TimeoutNow) -> None:
-    """Stand for leader at once: the leader hands over to this node."""
+    """Start an election at once, because the leader transfers leadership to this node."""
     if message.term == state.term and may_campaign(state) and state.role is RaftRole.FOLLOWER:
         start_election(state, transfer=True)
 
 
 def _become_leader(state: NodeState) -> None:
     state.change_role(RaftRole.LEADER, state.identity)
-    state.ballots.clear()
-    leading = LeaderState(term_start_index=state.log.last_index + 1)
-    leading.quorum_check_due = state.now + state.options.election_timeout_min_seconds
-    state.leading = leading
-    track_members(state, leading)
-    # Earlier entries can be committed only through one of the own term.
+    state.votes_received.clear()
+    leader_state = LeaderState(term_start_index=state.log.last_index + 1)
+    leader_state.quorum_check_due = state.now + state.options.election_timeout_min_seconds
+    state.leader_state = leader_state
+    track_members(state, leader_state)
+    # Entries of earlier terms are committed only through an entry of the current term.
     state.append(Entry(state.log.last_index + 1, state.term, EntryKind.NO_OP))
-    send_heartbeats(state, leading)
+    send_heartbeats(state, leader_state)
 
 
 def _other_voters(state: NodeState) -> list[NodeIdentity]:
@@ -136,15 +137,15 @@
 
 
 def _has_majority(state: NodeState) -> bool:
-    granted = sum(voter in state.ballots for voter in state.counted_voters)
+    granted = sum(voter in state.votes_received for voter in state.counted_voters)
     return granted >= state.quorum
 
 
-def _hears_a_leader(state: NodeState) -> bool:
+def _has_live_leader(state: NodeState) -> bool:
     if state.role is RaftRole.LEADER:
         return True
     since = state.now - state.options.election_timeout_min_seconds
-    return state.leader is not None and state.leader_heard > since
+    return state.leader is not None and state.leader_last_heard > since
 
 
 def _is_up_to_date(state: NodeState, last_index: int, last_term: int) -> bool:
--- a/src/finchshed/consensus/events.py
+++ b/src/finchshed/consensus/events.py
@@ -1,7 +1,4 @@
-"""What a node of the replicated log is told.
-
-Owns no state; :mod:`finchshed.consensus.node` says what follows from each.
-"""
+"""Input events of a node, handled by :mod:`finchshed.consensus.node`."""
 
 from typing import TypeAlias
 
@@ -13,57 +10,57 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time has passed. Sent at the latest after :meth:`RaftNode.next_delay` seconds."""
+    """Run timers. Due no later than :meth:`RaftNode.next_delay` seconds after the last event."""
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """A line came from another node."""
+    """A message arrived from another node."""
 
     envelope: Envelope
 
 
 class WritePersisted(msgspec.Struct, frozen=True):
-    """The write of this ticket, and all before it, are durable."""
+    """The write with this ticket and all earlier writes are durable."""
 
     ticket: int
 
 
 class DiskFull(msgspec.Struct, frozen=True):
-    """A write found no room. It will be tried again, in order, until there is room."""
+    """A write failed because the disk is full. The host retries it, in order, until it succeeds."""
 
 
 class DiskSpaceAvailable(msgspec.Struct, frozen=True):
-    """Writes go through again."""
+    """Writes succeed again after :class:`DiskFull`."""
 
 
 class Propose(msgspec.Struct, frozen=True):
-    """Append ``data`` to the log. ``token`` names the proposal in later effects."""
+    """Append ``data`` to the log. ``token`` identifies the proposal in later effects."""
 
     token: int
     data: bytes
 
 
 class Read(msgspec.Struct, frozen=True):
-    """Ask for an index at which a local read is linearizable."""
+    """Request permission for a linearizable read of the local application state."""
 
     token: int
 
 
 class ChangeMembership(msgspec.Struct, frozen=True):
-    """Change the members of the group. Repeating a change that is in force is harmless."""
+    """Change the group membership. Repeating a change that is in effect is harmless."""
 
     token: int
     change: MembershipChange
 
 
 class TransferLeadership(msgspec.Struct, frozen=True):
-    """Hand leadership over before a planned stop; ``target`` None: the best voter."""
+    """Transfer leadership before a planned stop. None picks the most caught-up voter."""
 
     target: NodeIdentity | None = None
 
 
 class SnapshotTaken(msgspec.Struct, frozen=True):
-    """The application's state after the entry ``index``."""
+    """The application state after entry ``index``."""
 
     index: int
     data: bytes
--- a/src/finchshed/consensus/following.py
+++ b/src/finchshed/consensus/follower.py
@@ -1,7 +1,6 @@
-"""The follower's side of replication: entries, heartbeats, snapshots in pieces.
+"""Follower side of replication: append requests, heartbeats and chunked snapshots.
 
-Entries are taken only where the one before them agrees; an answer is held until they are durable.
-Owns the snapshot that comes in. Relies on :mod:`finchshed.consensus.roles` for terms.
+Entries are accepted only if the preceding entry matches, and acknowledged once they are durable.
 """
 
 from finchshed.common.errors import InvariantError
@@ -21,78 +20,78 @@
 from finchshed.storage.records import Entry, Snapshot
 
 
-def hear_leader(state: NodeState, sender: NodeIdentity, term: int) -> bool:
-    """Take ``sender`` for the leader of ``term``; False if it is not any more."""
+def accept_leader(state: NodeState, sender: NodeIdentity, term: int) -> bool:
+    """Follow ``sender`` as the leader of ``term``; return False if the term is stale."""
     if term < state.term:
         return False
     if term > state.term or state.role is not RaftRole.FOLLOWER or state.leader != sender:
         become_follower(state, term, sender)
-    state.leader_heard = state.now
+    state.leader_last_heard = state.now
     reset_election_timer(state)
     return True
 
 
 def on_append(state: NodeState, sender: NodeIdentity, message: Append) -> None:
-    """Take entries from the leader."""
-    if not hear_leader(state, sender, message.term):
+    """Append entries from the leader, or reject them if the preceding entry does not match."""
+    if not accept_leader(state, sender, message.term):
         _reject(state, sender, message, state.log.last_index + 1)
         return
     if state.disk_full and state.unsaved_entries >= state.options.max_unsaved_entries:
         return
     previous = message.previous_index
     if previous < state.log.base_index:
-        # Everything up to the base is committed, so it equals the leader's.
-        message = _without_prefix(state, message)
+        # Compacted entries are committed, so they match the leader's log.
+        message = _skip_compacted_entries(state, message)
         previous = message.previous_index
     if state.log.term_at(previous) != message.previous_term:
-        _reject(state, sender, message, _next_to_try(state, previous))
+        _reject(state, sender, message, _conflict_next_index(state, previous))
         return
     for entry in message.entries:
-        _take(state, entry)
+        _append_or_replace(state, entry)
     match_index = previous + len(message.entries)
     state.send_when_durable(sender, AppendAccepted(state.term, match_index))
     advance_commit(state, max(state.commit_index, min(message.commit, match_index)))
 
 
 def on_heartbeat(state: NodeState, sender: NodeIdentity, message: LeaderHeartbeat) -> None:
-    """Answer the leader, and learn how far the log is committed."""
-    if not hear_leader(state, sender, message.term):
+    """Acknowledge the leader and advance the commit index."""
+    if not accept_leader(state, sender, message.term):
         state.send_when_term_durable(sender, LeaderHeartbeatReply(state.term, message.round))
         return
     if message.commit > state.log.last_index:
         raise InvariantError(
-            f"the leader counts on entry {message.commit}, this disk ends at {state.log.last_index}"
+            f"leader commit index {message.commit} exceeds last log index {state.log.last_index}"
         )
     state.send_when_term_durable(sender, LeaderHeartbeatReply(state.term, message.round))
     advance_commit(state, max(state.commit_index, message.commit))
 
 
 def on_snapshot_piece(state: NodeState, sender: NodeIdentity, message: SnapshotPiece) -> None:
-    """Gather a snapshot, and take it once it is whole."""
-    if not hear_leader(state, sender, message.term):
+    """Collect a chunked snapshot and install it once complete."""
+    if not accept_leader(state, sender, message.term):
         rejected = AppendRejected(state.term, message.snapshot_index, state.log.last_index + 1)
         state.send_when_durable(sender, rejected)
         return
     if message.snapshot_index <= state.commit_index:
-        state.incoming = None
+        state.incoming_snapshot = None
         state.send_when_durable(sender, AppendAccepted(state.term, state.commit_index))
         return
-    incoming = _incoming_for(state, message)
+    incoming = _incoming_snapshot_for(state, message)
     if message.offset == len(incoming.buffer):
         incoming.buffer += message.data
     if len(incoming.buffer) < message.total_bytes:
         reply = SnapshotPieceReply(state.term, message.snapshot_index, len(incoming.buffer))
         state.send(sender, reply)
         return
-    state.incoming = None
+    state.incoming_snapshot = None
     data = bytes(incoming.buffer)
     snapshot = Snapshot(message.snapshot_index, message.snapshot_term, message.membership, data)
-    _install(state, snapshot)
+    _install_snapshot(state, snapshot)
     state.send_when_durable(sender, AppendAccepted(state.term, snapshot.index))
 
 
-def _incoming_for(state: NodeState, message: SnapshotPiece) -> IncomingSnapshot:
-    incoming = state.incoming
+def _incoming_snapshot_for(state: NodeState, message: SnapshotPiece) -> IncomingSnapshot:
+    incoming = state.incoming_snapshot
     same = (
         incoming is not None
         and incoming.index == message.snapshot_index
@@ -100,11 +99,11 @@
     )
     if incoming is None or not same:
         incoming = IncomingSnapshot(message.snapshot_index, message.snapshot_term)
-        state.incoming = incoming
+        state.incoming_snapshot = incoming
     return incoming
 
 
-def _install(state: NodeState, snapshot: Snapshot) -> None:
+def _install_snapshot(state: NodeState, snapshot: Snapshot) -> None:
     kept: tuple[Entry, ...] = ()
     if state.log.term_at(snapshot.index) == snapshot.term:
         kept = state.log.entries_after(snapshot.index)
@@ -120,8 +119,8 @@
     advance_commit(state, snapshot.index)
 
 
-def _take(state: NodeState, entry: Entry) -> None:
-    """Add an entry unless it is there; one of another term there is replaced."""
+def _append_or_replace(state: NodeState, entry: Entry) -> None:
+    """Append an entry, truncating first if the log holds an entry of another term there."""
     held_term = state.log.term_at(entry.index)
     if held_term == entry.term:
         return
@@ -130,15 +129,15 @@
     state.append(entry)
 
 
-def _without_prefix(state: NodeState, message: Append) -> Append:
+def _skip_compacted_entries(state: NodeState, message: Append) -> Append:
     base = state.log.base_index
     entries = tuple(entry for entry in message.entries if entry.index > base)
     base_term = state.log.term_at(base) or 0
     return Append(message.term, base, base_term, entries, message.commit)
 
 
-def _next_to_try(state: NodeState, previous: int) -> int:
-    """Return where the leader should look next: before the whole term that disagrees."""
+def _conflict_next_index(state: NodeState, previous: int) -> int:
+    """Return the next index for the leader to try, skipping the whole conflicting term."""
     if previous > state.log.last_index:
         return state.log.last_index + 1
     index = previous
--- a/src/finchshed/consensus/group_size.py
+++ b/src/finchshed/consensus/group_size.py
@@ -1,14 +1,12 @@
-"""How many voters the group has, and has to have.
+"""Growth of the group to the number of voters that its fault tolerance requires.
 
-A group is formed of few nodes that everybody knows. Where more failures must be borne than so many
-voters allow, the leader promotes standbys one after the other until
-:attr:`~finchshed.consensus.options.RaftOptions.target_voter_count` vote. Each promotion adds one
-voter, so every quorum before it shares a voter with every quorum after it.
+A group is formed from a few well-known nodes. The leader then promotes standbys one at a time until
+there are :attr:`~finchshed.consensus.options.RaftOptions.target_voter_count` voters. Each promotion
+adds a single voter, so every quorum before it intersects every quorum after it.
 
-What a smaller group commits stands on too few disks, and two of its machines can hold it up. So its
-leader takes no command while it grows, for
-:attr:`~finchshed.consensus.options.RaftOptions.size_patience_seconds` after its own start: a
-deployment may have fewer machines than its tolerance asks for, and must be served all the same.
+An undersized group does not tolerate the required number of failures, so its leader accepts no
+commands for up to :attr:`~finchshed.consensus.options.RaftOptions.growth_timeout_seconds` after its
+start. After that it serves anyway, as the deployment may not have enough machines.
 """
 
 from collections.abc import Sequence
@@ -18,29 +16,31 @@
 from finchshed.consensus.state import LeaderState, NodeState
 
 
-def is_short(state: NodeState) -> bool:
-    """Whether fewer nodes vote than the declared tolerance asks for."""
+def is_undersized(state: NodeState) -> bool:
+    """Whether the group has fewer voters than the required fault tolerance needs."""
     return len(state.membership.voters) < state.options.target_voter_count
 
 
-def waits_for_growth(state: NodeState) -> bool:
-    """Whether commands must wait until more nodes vote."""
-    return is_short(state) and state.now < state.options.size_patience_seconds
+def is_growth_pending(state: NodeState) -> bool:
+    """Whether commands are refused until the group has more voters."""
+    return is_undersized(state) and state.now < state.options.growth_timeout_seconds
 
 
-def grown(state: NodeState, leading: LeaderState, ready: Sequence[Member]) -> Membership | None:
-    """Return the membership in which one more standby is to vote, if the group is short of one.
+def with_next_voter(
+    state: NodeState, leader_state: LeaderState, ready: Sequence[Member]
+) -> Membership | None:
+    """Return the membership with one more standby marked for promotion, or None if not needed.
 
     Parameters
     ----------
     ready
-        Learners that answer and have caught up.
+        Responsive learners that have caught up.
     """
     membership = state.membership
     standbys = [member for member in ready if not member.promote]
-    if not standbys or membership.votes_planned >= state.options.target_voter_count:
+    if not standbys or membership.planned_voter_count >= state.options.target_voter_count:
         return None
     if any(member.promote for member in membership.members):
         return None
-    chosen = best_standby(membership, leading, standbys)
+    chosen = best_standby(membership, leader_state, standbys)
     return membership.with_member(as_learner(chosen, promote=True))
--- a/src/finchshed/consensus/identity.py
+++ b/src/finchshed/consensus/identity.py
@@ -1,19 +1,19 @@
-"""Who a member of the control group is."""
+"""Identity of a member of the control group."""
 
 import msgspec
 
 
 class NodeIdentity(msgspec.Struct, frozen=True, order=True):
-    """A node's name together with the incarnation of its disk.
+    """A node name and the incarnation of its disk.
 
-    Votes and acknowledgements are promises kept on a disk, so they belong to the disk: a node
-    that lost its disk comes back as somebody else, who promised nothing. An empty incarnation
-    addresses whoever has the name now.
+    Votes and acknowledgements are only valid while the disk that stores them exists, so a node
+    that lost its disk returns as a new identity. As a receiver, an empty incarnation means
+    whichever incarnation currently has the name.
     """
 
     name: str
     incarnation: str
 
     def __str__(self) -> str:
-        """Return the identity as one word, as stored in a vote."""
+        """Return ``name#incarnation``, the form stored in a vote."""
         return f"{self.name}#{self.incarnation}"
--- a/src/finchshed/consensus/log.py
+++ b/src/finchshed/consensus/log.py
@@ -1,7 +1,6 @@
-"""The part of the replicated log held in memory.
+"""In-memory part of the replicated log.
 
-Owns the entries after the last snapshot, and the memberships among them. Relies on the write buffer
-for what of it is durable.
+:class:`~finchshed.consensus.write_buffer.WriteBuffer` tracks which entries are durable.
 """
 
 from finchshed.common.errors import InvariantError
@@ -10,14 +9,14 @@
 
 
 class RaftLog:
-    """Entries after a base, and the memberships they set.
+    """Entries after a base index, and the memberships they set.
 
     Parameters
     ----------
     snapshot
-        What the entries build on; None for an empty log that starts at index 1.
+        Snapshot that precedes the entries; None for a log that starts at index 1.
     entries
-        Entries that follow it.
+        Entries after the snapshot.
     """
 
     def __init__(self, snapshot: Snapshot | None, entries: list[Entry]) -> None:
@@ -32,7 +31,7 @@
 
     @property
     def base_index(self) -> int:
-        """Index of the last entry that is no longer held."""
+        """Index of the last compacted entry."""
         return self._base_index
 
     @property
@@ -47,7 +46,7 @@
 
     @property
     def membership(self) -> Membership:
-        """The latest membership, committed or not: a change counts once it is in the log."""
+        """The latest membership, committed or not; a change takes effect when appended."""
         return self._memberships[-1][1]
 
     @property
@@ -57,19 +56,19 @@
 
     @property
     def previous_membership(self) -> Membership:
-        """The membership before the latest, if it is held, else the latest.
+        """The membership before the latest if still held, otherwise the latest.
 
-        Of the two one is the committed one, also while the commit index isn't known, as after a
-        start: a change is made only once the change before it is committed.
+        One of the two is committed, even while the commit index is unknown after a start, because
+        a change is appended only after the previous change is committed.
         """
         return self._memberships[max(0, len(self._memberships) - 2)][1]
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership after an entry."""
+        """Return the membership in effect at ``index``."""
         return next(m for at, m in reversed(self._memberships) if at <= index)
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None if it isn't held."""
+        """Return the term of an entry, or None if it is not in memory."""
         if index == self._base_index:
             return self._base_term
         position = index - self._base_index - 1
@@ -78,11 +77,11 @@
         return None
 
     def entry(self, index: int) -> Entry:
-        """Return a held entry."""
+        """Return an entry that is in memory."""
         return self._entries[index - self._base_index - 1]
 
     def slice(self, first: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from ``first`` on within both limits, but at least one if there is one."""
+        """Return entries from ``first`` on within both limits; at least one if any exists."""
         start = first - self._base_index - 1
         chosen: list[Entry] = []
         size = 0
@@ -98,31 +97,33 @@
         return tuple(self._entries[max(0, index - self._base_index) :])
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry.
+        """Append the next entry.
 
         Raises
         ------
         InvariantError
-            The entry doesn't follow the last one.
+            The entry's index is not the next one.
         """
         if entry.index != self.last_index + 1:
-            raise InvariantError(f"entry {entry.index} can't follow {self.last_index}")
+            raise InvariantError(f"cannot append entry {entry.index} after entry {self.last_index}")
         self._entries.append(entry)
         if entry.kind is EntryKind.MEMBERSHIP:
             self._memberships.append((entry.index, decode_membership(entry.data)))
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries from ``index`` on, and the memberships they set."""
+        """Remove entries from ``index`` on, and the memberships they set."""
         del self._entries[index - self._base_index - 1 :]
         self._memberships = [item for item in self._memberships if item[0] < index]
 
     def compact(self, index: int) -> None:
-        """Let go of entries up to ``index``."""
+        """Discard entries up to and including ``index``."""
         if index <= self._base_index:
             return
         term = self.term_at(index)
         if term is None:
-            raise InvariantError(f"can't compact to {index}: entry not held")
+            raise InvariantError(
+                f"cannot compact to index {index}: last log index is {self.last_index}"
+            )
         membership = self.membership_at(index)
         del self._entries[: index - self._base_index]
         self._base_index = index
@@ -132,7 +133,7 @@
         self._memberships = [(at, membership), *later]
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Drop everything and start after a snapshot."""
+        """Discard all entries and start after ``snapshot``."""
         self._entries = []
         self._base_index = snapshot.index
         self._base_term = snapshot.term
--- a/src/finchshed/consensus/messages.py
+++ b/src/finchshed/consensus/messages.py
@@ -1,7 +1,7 @@
 """Messages between nodes of the replicated log.
 
-Each travels in an :class:`Envelope`, one JSON line. A node drops an envelope that is addressed to
-another incarnation of its name.
+Each message is sent in an :class:`Envelope`, encoded as one JSON line. A node drops envelopes
+addressed to another incarnation of its name.
 """
 
 from typing import TypeAlias
@@ -13,7 +13,7 @@
 
 
 class PreVoteRequest(msgspec.Struct, frozen=True, tag="pre_vote"):
-    """Would you vote for me in ``term``? Nobody's term changes by asking."""
+    """Asks whether a vote would be granted in ``term``; changes no node's term."""
 
     term: int
     last_index: int
@@ -21,14 +21,14 @@
 
 
 class PreVoteReply(msgspec.Struct, frozen=True, tag="pre_vote_reply"):
-    """Answer. ``term`` is the term asked for if granted, else the answerer's own term."""
+    """``term`` is the requested term if granted, otherwise the sender's current term."""
 
     term: int
     granted: bool
 
 
 class VoteRequest(msgspec.Struct, frozen=True, omit_defaults=True, tag="vote"):
-    """Vote for me in ``term``. ``transfer``: the leader itself asked for the election."""
+    """Requests a vote in ``term``. ``transfer`` marks an election requested by the leader."""
 
     term: int
     last_index: int
@@ -37,14 +37,14 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, tag="vote_reply"):
-    """Answer, sent once the vote is durable."""
+    """Sent once the vote is durable."""
 
     term: int
     granted: bool
 
 
 class Append(msgspec.Struct, frozen=True, tag="append"):
-    """Entries that follow the entry ``previous_index`` of ``previous_term``."""
+    """Entries after entry ``previous_index`` of term ``previous_term``."""
 
     term: int
     previous_index: int
@@ -54,14 +54,14 @@
 
 
 class AppendAccepted(msgspec.Struct, frozen=True, tag="append_accepted"):
-    """All entries up to ``match_index`` equal the leader's and are durable here."""
+    """Entries up to ``match_index`` match the leader's log and are durable on the sender."""
 
     term: int
     match_index: int
 
 
 class AppendRejected(msgspec.Struct, frozen=True, tag="append_rejected"):
-    """The entry before ``previous_index + 1`` is not here; try from ``next_index``."""
+    """No matching entry at ``previous_index``; the leader should retry from ``next_index``."""
 
     term: int
     previous_index: int
@@ -69,9 +69,9 @@
 
 
 class LeaderHeartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
-    """The leader is there. ``commit`` is within what the receiver is known to hold.
+    """Leader heartbeat. ``commit`` never exceeds the receiver's known match index.
 
-    ``round`` grows with each confirmation of leadership that reads wait for.
+    ``round`` increases with each leadership confirmation requested by reads or changes.
     """
 
     term: int
@@ -80,14 +80,14 @@
 
 
 class LeaderHeartbeatReply(msgspec.Struct, frozen=True, tag="heartbeat_reply"):
-    """At the time of ``round`` the sender knew no later term."""
+    """The sender knew no later term when it received heartbeat ``round``."""
 
     term: int
     round: int
 
 
 class SnapshotPiece(msgspec.Struct, frozen=True, tag="snapshot_piece"):
-    """A piece of a snapshot of ``total_bytes``, starting at ``offset``."""
+    """A chunk of a snapshot of ``total_bytes``, starting at ``offset``."""
 
     term: int
     snapshot_index: int
@@ -99,7 +99,7 @@
 
 
 class SnapshotPieceReply(msgspec.Struct, frozen=True, tag="snapshot_piece_reply"):
-    """Pieces up to ``next_offset`` are held; the next one is wanted."""
+    """Bytes before ``next_offset`` have been received; requests the next chunk."""
 
     term: int
     snapshot_index: int
@@ -107,14 +107,14 @@
 
 
 class ReadIndex(msgspec.Struct, frozen=True, tag="read_index"):
-    """A follower asks for an index at which a read is linearizable."""
+    """A follower requests an index at which a read is linearizable."""
 
     term: int
     request: int
 
 
 class ReadIndexReply(msgspec.Struct, frozen=True, tag="read_index_reply"):
-    """Leadership was confirmed after the request came: read at ``index`` or later."""
+    """Leadership was confirmed after the request; reads at ``index`` or later are linearizable."""
 
     term: int
     request: int
@@ -122,17 +122,17 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag="timeout_now"):
-    """The leader hands over: start an election at once."""
+    """Leadership transfer: the receiver starts an election at once."""
 
     term: int
 
 
-class MemberGreeting(msgspec.Struct, frozen=True, tag="hello"):
-    """A node that is no member greets the group, naming where it can be reached.
+class NodeAnnouncement(msgspec.Struct, frozen=True, tag="hello"):
+    """Announces a node that is not a member, with its address.
 
-    ``identity`` is repeated because a follower passes the greeting on to its leader. ``answers``
-    is the incarnation of the receiver's last greeting, if the sender has heard one. ``zone`` is
-    that of the greeting node.
+    ``identity`` is repeated because a follower forwards the message to its leader. ``answers`` is
+    the incarnation in the receiver's latest announcement to the sender, if any. ``zone`` is the
+    zone of the announced node.
     """
 
     identity: NodeIdentity
@@ -157,15 +157,15 @@
     | ReadIndex
     | ReadIndexReply
     | TimeoutNow
-    | MemberGreeting
+    | NodeAnnouncement
 )
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """One line between two nodes.
+    """A message with its sender and receiver.
 
-    ``address`` is where the sender is reached: a newcomer, or a node that was away while members
-    changed, knows no membership that names it.
+    ``address`` is the sender's address, for receivers whose known membership does not contain the
+    sender: new nodes, and nodes that missed membership changes.
     """
 
     sender: NodeIdentity
--- a/src/finchshed/consensus/node.py
+++ b/src/finchshed/consensus/node.py
@@ -1,7 +1,6 @@
-"""The node of the replicated log: a state machine that takes events and returns effects.
+"""Raft node: a state machine that takes events and returns effects.
 
-Owns the state of the node; each module of this package has one part of the rules. Relies on
-:mod:`finchshed.consensus.effect_runner` to carry the effects out in order.
+The protocol rules are in the other modules of this package, as functions on the node's state.
 """
 
 import random
@@ -13,8 +12,8 @@
     election,
     formation,
     membership_changes,
+    message_dispatch,
     read_index,
-    receiving,
     repair,
     replication,
     requests,
@@ -48,17 +47,15 @@
 from finchshed.consensus.write_buffer import WriteBuffer
 from finchshed.storage.records import StoredState
 
-_REQUEST_BITS = 48
-"""Requests are numbered from a random start of so many bits, so that a late answer to an earlier
-life of this node fits none. Chosen, not measured."""
+_REQUEST_ID_BITS = 48
+"""Size of the random initial request ID; keeps replies to an earlier process from matching."""
 
 _MIN_DELAY_SECONDS = 0.001
-"""Shortest time until the next tick, so that a due time just reached is past. Chosen, not
-measured."""
+"""Minimum delay until the next tick, so that a timer due now has expired by then."""
 
 
-class MemberProgress(msgspec.Struct, frozen=True):
-    """What a leader knows of a member. ``silent_seconds`` is the time since its last answer."""
+class MemberStatus(msgspec.Struct, frozen=True):
+    """A leader's view of a member. ``silent_seconds`` is the time since its last reply."""
 
     member: Member
     match_index: int
@@ -66,27 +63,27 @@
 
 
 class RaftNode:
-    """One node. It does no I/O, reads no clock and has no randomness of its own.
+    """A Raft node. It does no I/O, reads no clock and takes all randomness from ``rng``.
 
     Parameters
     ----------
     name, address
-        This node's name and the ``host:port`` where others reach it.
+        Name of this node and its ``host:port`` for consensus messages.
     stored
-        What its disk held at the start.
+        State found on its disk at start.
     rng
         Source of randomness; must differ between starts.
     initial_members
-        Voters with which the group is formed at its very first start. A node that joins a group
-        later gives the same list, to know whom to greet.
+        Voters of the group when it is first formed. A node that joins later passes the same list,
+        to know where to announce itself.
     now
-        The host's time in seconds. Any clock will do: steps are harmless.
+        Host time in seconds. Clock steps are tolerated.
     options
-        Times and sizes.
+        Timeouts and limits.
     may_form
-        Whether the node may form the group; one that starts anew on an empty disk later may not.
+        Whether the node may form the group; False for a node that restarts on an empty disk.
     zone
-        Zone of this machine, told to the group; empty: unknown.
+        Zone of this machine; empty if unknown.
     """
 
     def __init__(
@@ -118,18 +115,17 @@
             writes=WriteBuffer(log.last_index),
             may_form=may_form,
             zone=zone,
-            # Answers to requests of an earlier start must not be taken for answers to new ones.
-            next_request=rng.getrandbits(_REQUEST_BITS),
+            next_request=rng.getrandbits(_REQUEST_ID_BITS),
         )
 
     @property
     def identity(self) -> NodeIdentity:
-        """Who the node is."""
+        """Name and disk incarnation of this node."""
         return self._state.identity
 
     @property
     def role(self) -> RaftRole:
-        """What this node is at present."""
+        """Current role of this node."""
         return self._state.role
 
     @property
@@ -139,12 +135,12 @@
 
     @property
     def leader(self) -> NodeIdentity | None:
-        """The leader, as far as known."""
+        """The current leader, or None if unknown."""
         return self._state.leader
 
     @property
     def leader_address(self) -> str:
-        """Where the leader is reached, or nothing if it is unknown."""
+        """Address of the leader, empty if unknown."""
         leader = self._state.leader
         return "" if leader is None else self._state.address_of(leader)
 
@@ -155,7 +151,7 @@
 
     @property
     def commit_index(self) -> int:
-        """Index of the last entry known to be committed. It has been applied."""
+        """Index of the last entry known to be committed; it has been applied."""
         return self._state.commit_index
 
     @property
@@ -170,30 +166,30 @@
 
     @property
     def disk_full(self) -> bool:
-        """Whether writes are waiting for room."""
+        """Whether writes are blocked by a full disk."""
         return self._state.disk_full
 
     @property
     def last_now(self) -> float:
-        """The host's time at the last event, in seconds."""
+        """Host time of the last event, in seconds."""
         return self._state.clock.host_now
 
-    def member_statuses(self) -> list[MemberProgress]:
-        """Return what is known of each member; empty unless this node leads."""
-        leading = self._state.leading
-        if leading is None:
+    def member_statuses(self) -> list[MemberStatus]:
+        """Return the status of each member; empty unless this node is the leader."""
+        leader_state = self._state.leader_state
+        if leader_state is None:
             return []
-        return [self._status_of(leading, member) for member in self.membership.members]
+        return [self._status_of(leader_state, member) for member in self.membership.members]
 
     def next_delay(self) -> float:
-        """Return after how many seconds, at the latest, a :class:`Tick` is due."""
+        """Return the maximum delay in seconds until the next :class:`Tick`."""
         state = self._state
         interval = state.options.heartbeat_interval_seconds
-        due = state.election_due if state.leading is None else state.leading.heartbeat_due
+        due = state.election_due if state.leader_state is None else state.leader_state.heartbeat_due
         return min(max(due - state.now, _MIN_DELAY_SECONDS), interval)
 
     def start(self, now: float) -> list[Effect]:
-        """Begin; the effects bring the application to the state on the disk."""
+        """Start the node; the returned effects restore the application from the stored snapshot."""
         state = self._state
         state.clock.advance(now)
         roles.set_first_election_timer(state)
@@ -204,20 +200,20 @@
         return self._take_effects()
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event at the host's time ``now`` in seconds."""
+        """Handle one event at host time ``now`` in seconds."""
         return self.handle_all((event,), now)
 
     def handle_all(self, events: Sequence[Event], now: float) -> list[Effect]:
-        """Take several events at once: what they append is sent and written together."""
+        """Handle several events in one step, which batches the entries they append."""
         state = self._state
         state.clock.advance(now)
         for event in events:
             self._dispatch(event)
-        leading = state.leading
-        if leading is not None:
-            self._lead(leading)
+        leader_state = state.leader_state
+        if leader_state is not None:
+            self._advance_leader(leader_state)
         state.flush_writes()
-        roles.report_wanted_snapshot(state)
+        roles.request_due_snapshot(state)
         return self._take_effects()
 
     def _take_effects(self) -> list[Effect]:
@@ -225,71 +221,71 @@
         self._state.effects = []
         return effects
 
-    def _lead(self, leading: LeaderState) -> None:
+    def _advance_leader(self, leader_state: LeaderState) -> None:
         state = self._state
-        replication.track_members(state, leading)
-        read_index.finish_reads(state, leading)
-        read_index.start_round(state, leading)
-        read_index.finish_reads(state, leading)
-        membership_changes.finish_pending_change(state, leading)
-        replication.send_entries(state, leading)
+        replication.track_members(state, leader_state)
+        read_index.complete_confirmed_reads(state, leader_state)
+        read_index.start_confirmation_round(state, leader_state)
+        read_index.complete_confirmed_reads(state, leader_state)
+        membership_changes.finish_pending_change(state, leader_state)
+        replication.send_entries(state, leader_state)
 
     def _dispatch(self, event: Event) -> None:
         state = self._state
         match event:
             case MessageReceived():
-                receiving.receive(state, event.envelope)
+                message_dispatch.dispatch_message(state, event.envelope)
             case Tick():
                 self._tick()
             case WritePersisted():
-                if state.persisted(event.ticket) and state.leading is not None:
-                    replication.update_commit(state, state.leading)
+                if state.on_write_persisted(event.ticket) and state.leader_state is not None:
+                    replication.update_commit_index(state, state.leader_state)
             case Propose():
                 requests.propose(state, event)
             case Read():
                 read_index.on_read(state, event.token)
             case ChangeMembership():
-                membership_changes.on_change(state, event.token, event.change)
+                membership_changes.on_membership_change(state, event.token, event.change)
             case TransferLeadership():
                 requests.transfer_leadership(state, event.target)
             case SnapshotTaken():
-                requests.keep_snapshot(state, event)
+                requests.store_snapshot(state, event)
             case DiskFull():
-                requests.stop_for_full_disk(state)
+                requests.on_disk_full(state)
             case DiskSpaceAvailable():
                 state.disk_full = False
 
     def _tick(self) -> None:
         state = self._state
         read_index.expire_reads(state)
-        formation.greet(state)
+        formation.announce_self(state)
         formation.form_group(state)
-        leading = state.leading
-        if leading is not None:
-            self._tick_leader(leading)
+        leader_state = state.leader_state
+        if leader_state is not None:
+            self._tick_leader(leader_state)
         elif state.now >= state.election_due:
             if election.may_campaign(state):
                 election.start_pre_vote(state)
             else:
-                # Also takes a new time for the next look, or every tick from now on would be due.
+                # Resets the election timer; otherwise every following tick would be due at once.
                 roles.become_follower(state, state.term, None)
 
-    def _tick_leader(self, leading: LeaderState) -> None:
+    def _tick_leader(self, leader_state: LeaderState) -> None:
         state = self._state
-        if state.now >= leading.quorum_check_due:
-            leading.quorum_check_due = state.now + state.options.heartbeat_interval_seconds
-            if not replication.has_quorum_contact(state, leading):
+        if state.now >= leader_state.quorum_check_due:
+            leader_state.quorum_check_due = state.now + state.options.heartbeat_interval_seconds
+            if not replication.has_quorum_contact(state, leader_state):
                 roles.become_follower(state, state.term, None)
                 return
-        if leading.transfer is not None and state.now >= leading.transfer.deadline:
-            leading.transfer = None
-        if state.now >= leading.heartbeat_due:
-            replication.send_heartbeats(state, leading)
-        repair.repair(state, leading)
-
-    def _status_of(self, leading: LeaderState, member: Member) -> MemberProgress:
-        progress = leading.progress.get(member.identity)
+        if leader_state.transfer is not None and state.now >= leader_state.transfer.deadline:
+            leader_state.transfer = None
+        if state.now >= leader_state.heartbeat_due:
+            replication.send_heartbeats(state, leader_state)
+        repair.repair(state, leader_state)
+
+    def _status_of(self, leader_state: LeaderState, member: Member) -> MemberStatus:
+        progress = leader_state.progress.get(member.identity)
         if progress is None:
-            return MemberProgress(member, self._state.persisted_index, 0.0)
+            return MemberStatus(member, self._state.persisted_index, 0.0)
         silent = self._state.now - progress.last_heard
-        return MemberProgress(member, progress.match_index, silent)
+        return MemberStatus(member, progress.match_index, silent)
--- a/src/finchshed/consensus/options.py
+++ b/src/finchshed/consensus/options.py
@@ -1,7 +1,6 @@
 """Options of a node of the replicated log.
 
-Owns no state. The settings of a control node give the values; docs/design/consensus.md has the
-figures.
+Derived from the settings of a control node; docs/design/consensus.md explains the defaults.
 """
 
 from typing import Annotated
@@ -14,51 +13,50 @@
 
 
 class RaftOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Times in seconds, sizes in bytes.
+    """Timeouts in seconds, sizes in bytes.
 
     Attributes
     ----------
     heartbeat_interval_seconds
-        Time between heartbeats of a leader.
+        Interval between heartbeats of the leader.
     election_timeout_min_seconds, election_timeout_max_seconds
-        A follower that hears no leader for a random time between these asks for votes. The
-        minimum is also the window of check-quorum: a leader that hears no quorum for that long
-        steps down, and a voter that heard a leader within it refuses to elect another.
+        Range of the random election timeout. The minimum is also the check-quorum window: a leader
+        that hears from no quorum within it steps down, and a voter that heard from a leader within
+        it grants no vote to another node.
     max_append_entries, max_append_bytes
-        Most that one message carries.
+        Limits of one append message.
     max_in_flight_appends
-        Messages with entries sent to one follower and not yet answered.
+        Maximum number of unacknowledged append messages per follower.
     snapshot_piece_bytes
-        Size of the pieces in which a snapshot is sent.
+        Chunk size of snapshot transfers.
     snapshot_every_entries, snapshot_every_bytes
-        A snapshot is asked for after this many applied entries or bytes of them.
+        A snapshot is requested after this many applied entries, or bytes of them.
     trailing_entries
-        Entries kept in memory before a snapshot, for followers that are a little behind.
+        Entries kept in memory before a snapshot, for followers that lag slightly.
     max_unsaved_entries
-        Entries that a node whose disk has no room takes into memory only, so that it goes on
-        applying what is committed. It acknowledges none of them.
+        Entries that a node with a full disk keeps in memory without acknowledging them, so that it
+        can continue to apply committed entries.
     max_pending_proposals
-        Proposals not yet committed; more are refused.
+        Maximum number of uncommitted proposals; further ones are refused.
     read_timeout_seconds
-        A read that is not confirmed by then fails.
-    hello_interval_seconds
-        Time between the greetings of a node that is not yet a member.
+        Time after which an unconfirmed read fails.
+    announcement_interval_seconds
+        Interval between announcements of a node that is not a member.
     promotion_lag_entries
-        A learner this close to the leader's log counts as caught up.
+        Maximum lag behind the leader's log at which a learner counts as caught up.
     standby_after_seconds
-        A voter silent for longer is replaced by a standby that has caught up; infinite: never.
+        Silence after which a voter is replaced by a caught-up standby; infinite disables it.
     admits_standbys
-        Whether the leader takes in any node that greets it, as a standby.
+        Whether the leader adds any node that announces itself as a standby.
     tolerated_failures
-        Machines whose loss at once, disks included, the group must bear; standbys are promoted
-        until twice as many and one vote. 0: the group stays as it was formed.
-    size_patience_seconds
-        For so long after its start a leader takes no command while the group is smaller than
-        that; then it goes on with the machines there are.
-    forget_standby_seconds
-        A standby silent for longer is taken out where standbys are admitted; it may come again.
+        Simultaneous machine losses, disks included, that the group must survive. Standbys are
+        promoted until there are ``2 * tolerated_failures + 1`` voters; 0 disables growth.
+    growth_timeout_seconds
+        Time after its start during which a leader refuses commands while the group is undersized.
+    standby_removal_seconds
+        Silence after which a standby is removed if ``admits_standbys``; it may rejoin.
     transfer_timeout_seconds
-        A leadership transfer that has not succeeded by then is given up.
+        Time after which an unfinished leadership transfer is aborted.
     """
 
     heartbeat_interval_seconds: Positive = 0.1
@@ -74,23 +72,29 @@
     max_unsaved_entries: Count = 4096
     max_pending_proposals: Count = 4096
     read_timeout_seconds: Positive = 2.0
-    hello_interval_seconds: Positive = 0.5
+    announcement_interval_seconds: Positive = 0.5
     promotion_lag_entries: Count = 32
     standby_after_seconds: Positive = 60.0
     admits_standbys: bool = False
     tolerated_failures: CountOrNone = 0
-    size_patience_seconds: Positive = 6.0
-    forget_standby_seconds: Positive = 60.0
+    growth_timeout_seconds: Positive = 6.0
+    standby_removal_seconds: Positive = 60.0
     transfer_timeout_seconds: Positive = 2.0
 
     @property
     def target_voter_count(self) -> int:
-        """Least number of voters of which a majority outlives the tolerated failures."""
+        """Minimum number of voters whose majority survives ``tolerated_failures``."""
         return 2 * self.tolerated_failures + 1
 
     def __post_init__(self) -> None:
-        """Check the options against each other."""
+        """Validate the election timeouts."""
         if self.election_timeout_max_seconds <= self.election_timeout_min_seconds:
-            raise ValueError("the longest election timeout must be above the shortest")
+            raise ValueError(
+                f"election_timeout_max_seconds = {self.election_timeout_max_seconds}: must be "
+                f"greater than election_timeout_min_seconds = {self.election_timeout_min_seconds}"
+            )
         if self.election_timeout_min_seconds < 3 * self.heartbeat_interval_seconds:
-            raise ValueError("an election timeout must span at least three heartbeats")
+            raise ValueError(
+                f"election_timeout_min_seconds = {self.election_timeout_min_seconds}: must be "
+                f"at least 3 * heartbeat_interval_seconds = {self.heartbeat_interval_seconds}"
+            )
--- a/src/finchshed/consensus/progress.py
+++ b/src/finchshed/consensus/progress.py
@@ -1,7 +1,4 @@
-"""What a leader knows about one follower.
-
-Owns the state of replication to that follower, for one term of the leader.
-"""
+"""Replication progress of one follower, tracked by the leader during one term."""
 
 import enum
 from collections import deque
@@ -10,16 +7,16 @@
 
 
 class SendMode(enum.Enum):
-    """How entries are sent to a follower."""
+    """How the leader sends entries to a follower."""
 
     PROBE = "probe"
-    """One message at a time, until the point where the logs agree is found."""
+    """One message at a time, until a matching entry is found."""
 
     REPLICATE = "replicate"
-    """Pipelined, within a window."""
+    """Pipelined within a window of unacknowledged messages."""
 
     SNAPSHOT = "snapshot"
-    """The follower needs entries that are no longer held."""
+    """The follower needs entries that were compacted."""
 
 
 class Progress:
@@ -28,13 +25,13 @@
     Attributes
     ----------
     match_index
-        Highest entry known to be durable there and equal to the leader's.
+        Highest index known to match the leader's log and to be durable on the follower.
     next_index
-        Next entry to send.
+        Index of the next entry to send.
     last_heard
-        When the last answer of this term came.
+        Time of the last reply in this term.
     acknowledged_round
-        Highest heartbeat round answered.
+        Highest heartbeat round acknowledged.
     """
 
     def __init__(self, next_index: int, now: float) -> None:
@@ -51,7 +48,7 @@
         self.snapshot_offset = 0
 
     def advance(self, match_index: int) -> bool:
-        """Note that entries up to ``match_index`` are durable there; whether that is news."""
+        """Record that entries up to ``match_index`` are durable; return whether it increased."""
         while self.in_flight and self.in_flight[0] <= match_index:
             self.in_flight.popleft()
         if match_index <= self.match_index:
@@ -60,23 +57,23 @@
         self.next_index = max(self.next_index, match_index + 1)
         return True
 
-    def probe_from(self, next_index: int) -> None:
-        """Look for the point where the logs agree, from ``next_index`` downwards."""
+    def start_probing(self, next_index: int) -> None:
+        """Search for a matching entry from ``next_index`` downwards."""
         self.mode = SendMode.PROBE
         self.next_index = max(next_index, self.match_index + 1)
         self.in_flight.clear()
         self.probe_sent = False
         self.snapshot = None
 
-    def replicate(self) -> None:
-        """Send without waiting for each answer."""
+    def start_pipelining(self) -> None:
+        """Switch to pipelined sending from the entry after ``match_index``."""
         self.mode = SendMode.REPLICATE
         self.next_index = self.match_index + 1
         self.in_flight.clear()
         self.snapshot = None
 
-    def send_snapshot(self, snapshot: Snapshot) -> None:
-        """Start to send a snapshot."""
+    def start_snapshot(self, snapshot: Snapshot) -> None:
+        """Switch to sending ``snapshot`` from its start."""
         self.mode = SendMode.SNAPSHOT
         self.in_flight.clear()
         self.snapshot = snapshot
--- a/src/finchshed/consensus/read_index.py
+++ b/src/finchshed/consensus/read_index.py
@@ -1,8 +1,8 @@
 """Linearizable reads without writing to the log (section 6.4 of the Raft dissertation).
 
-The leader notes its commit index, then confirms by a round of heartbeats that no other leader had
-been elected when the read came. It never trusts a clock. A follower asks the leader for the index
-and answers once it has applied that much.
+The leader records its commit index, then confirms with a heartbeat round that no other leader had
+been elected when the read arrived; no clock is involved. A follower requests the index from the
+leader and serves the read once it has applied that index.
 """
 
 from finchshed.consensus.effects import (
@@ -13,7 +13,7 @@
     RequestRefused,
 )
 from finchshed.consensus.identity import NodeIdentity
-from finchshed.consensus.membership_changes import round_answered_by
+from finchshed.consensus.membership_changes import acknowledged_round_of
 from finchshed.consensus.messages import ReadIndex, ReadIndexReply
 from finchshed.consensus.replication import send_heartbeats
 from finchshed.consensus.state import ForwardedRead, LeaderState, NodeState, PendingRead
@@ -22,8 +22,8 @@
 def on_read(state: NodeState, token: int) -> None:
     """Start a local read."""
     deadline = state.now + state.options.read_timeout_seconds
-    if state.leading is not None:
-        _add(state, state.leading, token, None, deadline)
+    if state.leader_state is not None:
+        _add_pending_read(state, state.leader_state, token, None, deadline)
     elif state.role is RaftRole.FOLLOWER and state.leader is not None:
         state.next_request += 1
         state.forwarded_reads[state.next_request] = ForwardedRead(token, deadline)
@@ -33,14 +33,14 @@
 
 
 def on_read_index(state: NodeState, sender: NodeIdentity, message: ReadIndex) -> None:
-    """Start a follower's read; a node that is not the leader stays silent."""
-    if state.leading is not None:
+    """Start a read for a follower; ignored unless this node is the leader."""
+    if state.leader_state is not None:
         deadline = state.now + state.options.read_timeout_seconds
-        _add(state, state.leading, message.request, sender, deadline)
+        _add_pending_read(state, state.leader_state, message.request, sender, deadline)
 
 
 def on_read_index_reply(state: NodeState, message: ReadIndexReply) -> None:
-    """Take the leader's confirmation: the read is ready once its index is applied here."""
+    """Record the confirmed index; the read is ready once this node has applied it."""
     read = state.forwarded_reads.get(message.request)
     if read is None:
         return
@@ -50,25 +50,25 @@
         state.effects.append(ReadReady(read.token, state.commit_index))
 
 
-def start_round(state: NodeState, leading: LeaderState) -> None:
-    """Start a round for what waits for one, once the round before it is confirmed."""
-    waiting = any(read.round > leading.round for read in leading.reads)
-    change = leading.pending_change
-    waiting = waiting or (change is not None and change.round > leading.round)
-    if waiting and _confirmed_round(state, leading) >= leading.round:
-        leading.round += 1
-        send_heartbeats(state, leading)
+def start_confirmation_round(state: NodeState, leader_state: LeaderState) -> None:
+    """Start a heartbeat round if reads or a change need one and the previous one is confirmed."""
+    waiting = any(read.round > leader_state.round for read in leader_state.reads)
+    change = leader_state.pending_change
+    waiting = waiting or (change is not None and change.round > leader_state.round)
+    if waiting and _confirmed_round(state, leader_state) >= leader_state.round:
+        leader_state.round += 1
+        send_heartbeats(state, leader_state)
 
 
-def finish_reads(state: NodeState, leading: LeaderState) -> None:
-    """Answer the reads whose round a quorum confirmed."""
-    if not leading.reads:
+def complete_confirmed_reads(state: NodeState, leader_state: LeaderState) -> None:
+    """Complete the reads whose round is confirmed by a quorum."""
+    if not leader_state.reads:
         return
-    confirmed = _confirmed_round(state, leading)
-    ready = [read for read in leading.reads if _is_ready(state, read, confirmed)]
+    confirmed = _confirmed_round(state, leader_state)
+    ready = [read for read in leader_state.reads if _is_ready(state, read, confirmed)]
     if not ready:
         return
-    leading.reads = [read for read in leading.reads if read not in ready]
+    leader_state.reads = [read for read in leader_state.reads if read not in ready]
     for read in ready:
         if read.requester is None:
             state.effects.append(ReadReady(read.token, state.commit_index))
@@ -78,31 +78,33 @@
 
 
 def expire_reads(state: NodeState) -> None:
-    """Fail the reads that were not confirmed in time."""
+    """Fail reads whose deadline has passed."""
     expired = [key for key, read in state.forwarded_reads.items() if read.deadline <= state.now]
     for key in expired:
         read = state.forwarded_reads.pop(key)
         state.effects.append(ReadFailed(read.token))
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    for pending in leading.reads:
+    for pending in leader_state.reads:
         if pending.deadline <= state.now and pending.requester is None:
             state.effects.append(ReadFailed(pending.token))
-    leading.reads = [read for read in leading.reads if read.deadline > state.now]
+    leader_state.reads = [read for read in leader_state.reads if read.deadline > state.now]
 
 
-def _add(
+def _add_pending_read(
     state: NodeState,
-    leading: LeaderState,
+    leader_state: LeaderState,
     token: int,
     requester: NodeIdentity | None,
     deadline: float,
 ) -> None:
-    # Until an entry of the own term is committed the leader doesn't know which entries of earlier
-    # terms are; the first entry of its term stands for them all.
-    index = max(state.commit_index, leading.term_start_index)
-    leading.reads.append(PendingRead(token, requester, leading.round + 1, index, deadline))
+    # The leader knows which entries of earlier terms are committed only once the first entry of its
+    # own term is.
+    index = max(state.commit_index, leader_state.term_start_index)
+    leader_state.reads.append(
+        PendingRead(token, requester, leader_state.round + 1, index, deadline)
+    )
 
 
 def _is_ready(state: NodeState, read: PendingRead, confirmed: int) -> bool:
@@ -111,8 +113,10 @@
     return read.requester is not None or read.index <= state.commit_index
 
 
-def _confirmed_round(state: NodeState, leading: LeaderState) -> int:
-    """Return the highest round that a majority of voters has answered."""
+def _confirmed_round(state: NodeState, leader_state: LeaderState) -> int:
+    """Return the highest heartbeat round acknowledged by a quorum."""
     voters = state.counted_voters
-    rounds = sorted((round_answered_by(state, leading, voter) for voter in voters), reverse=True)
+    rounds = sorted(
+        (acknowledged_round_of(state, leader_state, voter) for voter in voters), reverse=True
+    )
     return rounds[state.quorum - 1] if len(rounds) >= state.quorum else 0
--- a/src/finchshed/consensus/repair.py
+++ b/src/finchshed/consensus/repair.py
@@ -1,147 +1,156 @@
-"""Repair by the leader: a node that lost its disk comes back as a learner and is promoted.
+"""Replaces a voter that lost its disk with its new incarnation.
 
-The steps, each one change of the membership:
+Each step is one membership change made by the leader:
 
-1. The new incarnation joins as a learner beside the old one. From then on the old one is
-   superseded: it counts towards the size of the group, but no vote or acknowledgement of it does.
-   The quorum is that of the whole group, and nothing is taken from the empty disk either.
-2. Once the learner has caught up it takes the place of the old incarnation as a voter, in one
-   change. To remove first and promote then would leave a group of three for a moment with two
-   voters that must both answer; if one of them is lost just then the group stands for ever.
+1. The new incarnation joins as a learner next to the old one. The old one is then superseded: it
+   counts towards the group size, but its votes and acknowledgements do not count. The quorum size
+   is unchanged, and the learner does not vote.
+2. Once the learner has caught up it replaces the old incarnation as a voter in a single change.
+   Removing the old voter first would leave a group of three with two voters that must both be
+   available, and losing one of them would block the group permanently.
 
-Every quorum before a step shares a voter with every quorum after it, as Raft asks of a change.
+Every quorum before a step intersects every quorum after it, as Raft requires of a change.
 With ``n`` voters and ``q = n // 2 + 1``, step 1 goes from sets of ``q`` of the ``n`` to sets of
 ``q`` among the ``n - 1`` others. Step 2 goes on to sets of ``q`` among those ``n - 1`` and the new
 voter; such a set has at least ``q - 1`` of the ``n - 1``, and ``q + q - 1 > n - 1``.
 """
 
-from finchshed.consensus.group_size import grown
+from finchshed.consensus.group_size import with_next_voter
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import Member, MemberRole, Membership
 from finchshed.consensus.membership_changes import (
     append_membership,
-    blocked_by,
-    is_fresh,
-    keeps_whole_majority,
+    blocking_cause,
+    is_recent,
+    keeps_healthy_majority,
 )
 from finchshed.consensus.standby import (
-    admitted_standby,
-    replaced_by_standby,
+    with_admitted_standby,
+    with_standby_for_silent_voter,
     without_silent_standby,
 )
-from finchshed.consensus.state import Greeting, LeaderState, NodeState
+from finchshed.consensus.state import Announcement, LeaderState, NodeState
 
-ABANDONED_SECONDS = 5.0
-"""A learner silent for so long makes room if another incarnation of its name answers."""
+SILENT_LEARNER_SECONDS = 5.0
+"""Silence after which a learner is removed if the voter of the same name is responsive."""
 
 
-def repair(state: NodeState, leading: LeaderState) -> None:
-    """Make the next step of a repair, if one is due."""
-    if blocked_by(state, leading) is not None:
+def repair(state: NodeState, leader_state: LeaderState) -> None:
+    """Append the next membership change for repair, replacement or growth, if one is due."""
+    if blocking_cause(state, leader_state) is not None:
         return
-    wanted = _next_step(state, leading)
-    if wanted is not None and keeps_whole_majority(state, leading, wanted):
-        append_membership(state, wanted)
+    target = _next_step(state, leader_state)
+    if target is not None and keeps_healthy_majority(state, leader_state, target):
+        append_membership(state, target)
 
 
-def _next_step(state: NodeState, leading: LeaderState) -> Membership | None:
-    for greeting in state.greetings.values():
-        wanted = _taken_in(state, leading, greeting)
-        if wanted is not None:
-            return wanted
+def _next_step(state: NodeState, leader_state: LeaderState) -> Membership | None:
+    for announcement in state.announcements.values():
+        target = _with_new_incarnation(state, leader_state, announcement)
+        if target is not None:
+            return target
     for member in state.membership.members:
         if member.role is MemberRole.LEARNER:
-            wanted = _promoted(state, leading, member)
-            if wanted is not None:
-                return wanted
-    ready = _ready_learners(state, leading)
-    wanted = replaced_by_standby(state, leading, ready) or grown(state, leading, ready)
-    if wanted is None and state.options.admits_standbys:
-        return admitted_standby(state) or without_silent_standby(state, leading)
-    return wanted
+            target = _with_learner_promoted(state, leader_state, member)
+            if target is not None:
+                return target
+    ready = _ready_learners(state, leader_state)
+    target = with_standby_for_silent_voter(state, leader_state, ready) or with_next_voter(
+        state, leader_state, ready
+    )
+    if target is None and state.options.admits_standbys:
+        return with_admitted_standby(state) or without_silent_standby(state, leader_state)
+    return target
 
 
-def _ready_learners(state: NodeState, leading: LeaderState) -> list[Member]:
+def _ready_learners(state: NodeState, leader_state: LeaderState) -> list[Member]:
     return [
         member
         for member in state.membership.members
-        if member.role is MemberRole.LEARNER and _has_caught_up(state, leading, member.identity)
+        if member.role is MemberRole.LEARNER
+        and _has_caught_up(state, leader_state, member.identity)
     ]
 
 
-def _taken_in(state: NodeState, leading: LeaderState, greeting: Greeting) -> Membership | None:
-    """Add a new incarnation of a member that no longer answers."""
-    identity = greeting.identity
-    fresh = is_fresh(state, greeting)
-    earlier = state.membership.named(identity.name)
+def _with_new_incarnation(
+    state: NodeState, leader_state: LeaderState, announcement: Announcement
+) -> Membership | None:
+    """Return the membership with a new incarnation of an unresponsive member, or None."""
+    identity = announcement.identity
+    recent = is_recent(state, announcement)
+    earlier = state.membership.members_named(identity.name)
     known = any(member.identity == identity for member in earlier)
-    if not fresh or known or not earlier:
+    if not recent or known or not earlier:
         return None
-    if any(_was_heard_since(state, leading, member.identity, greeting) for member in earlier):
+    if any(
+        _responded_since(state, leader_state, member.identity, announcement) for member in earlier
+    ):
         return None
     voter = any(member.role is MemberRole.VOTER or member.promote for member in earlier)
     membership = state.membership
     for member in earlier:
         if member.role is MemberRole.LEARNER:
-            membership = membership.without(member.identity)
+            membership = membership.without_member(member.identity)
     learner = Member(
-        identity, greeting.address, MemberRole.LEARNER, promote=voter, zone=greeting.zone
+        identity, announcement.address, MemberRole.LEARNER, promote=voter, zone=announcement.zone
     )
     return membership.with_member(learner)
 
 
-def _promoted(state: NodeState, leading: LeaderState, learner: Member) -> Membership | None:
-    """Return the next step towards the promotion of a learner that has caught up."""
+def _with_learner_promoted(
+    state: NodeState, leader_state: LeaderState, learner: Member
+) -> Membership | None:
+    """Return the membership with ``learner`` promoted or removed, or None if it must wait."""
     identity = learner.identity
     earlier = [
         member
-        for member in state.membership.named(identity.name)
+        for member in state.membership.members_named(identity.name)
         if member.identity != identity and member.role is MemberRole.VOTER
     ]
-    if any(_answers(state, leading, member.identity) for member in earlier):
-        return _without_abandoned(state, leading, identity)
-    if not learner.promote or not _has_caught_up(state, leading, identity):
+    if any(_is_responsive(state, leader_state, member.identity) for member in earlier):
+        return _without_silent_learner(state, leader_state, identity)
+    if not learner.promote or not _has_caught_up(state, leader_state, identity):
         return None
     voter = Member(identity, learner.address, MemberRole.VOTER, zone=learner.zone)
     membership = state.membership.with_member(voter)
-    return membership.without(earlier[0].identity) if earlier else membership
+    return membership.without_member(earlier[0].identity) if earlier else membership
 
 
-def _without_abandoned(
-    state: NodeState, leading: LeaderState, identity: NodeIdentity
+def _without_silent_learner(
+    state: NodeState, leader_state: LeaderState, identity: NodeIdentity
 ) -> Membership | None:
-    progress = leading.progress.get(identity)
-    if progress is None or progress.last_heard >= state.now - ABANDONED_SECONDS:
+    progress = leader_state.progress.get(identity)
+    if progress is None or progress.last_heard >= state.now - SILENT_LEARNER_SECONDS:
         return None
-    return state.membership.without(identity)
+    return state.membership.without_member(identity)
 
 
-def _was_heard_since(
-    state: NodeState, leading: LeaderState, identity: NodeIdentity, greeting: Greeting
+def _responded_since(
+    state: NodeState, leader_state: LeaderState, identity: NodeIdentity, announcement: Announcement
 ) -> bool:
-    """Whether a member answers, or answered after the greeting of another incarnation of its name.
+    """Whether a member is responsive, or has responded since ``announcement`` arrived.
 
-    A greeting older than that came from an incarnation that has gone: it must not supersede.
+    An announcement older than the last response is stale and must not supersede the member.
     """
-    if _answers(state, leading, identity):
+    if _is_responsive(state, leader_state, identity):
         return True
-    progress = leading.progress.get(identity)
-    return progress is not None and progress.last_heard >= greeting.heard
+    progress = leader_state.progress.get(identity)
+    return progress is not None and progress.last_heard >= announcement.received_at
 
 
-def _answers(state: NodeState, leading: LeaderState, identity: NodeIdentity) -> bool:
+def _is_responsive(state: NodeState, leader_state: LeaderState, identity: NodeIdentity) -> bool:
     if identity == state.identity:
         return True
-    progress = leading.progress.get(identity)
+    progress = leader_state.progress.get(identity)
     since = state.now - state.options.election_timeout_min_seconds
     return progress is not None and progress.last_heard >= since
 
 
-def _has_caught_up(state: NodeState, leading: LeaderState, identity: NodeIdentity) -> bool:
-    progress = leading.progress.get(identity)
+def _has_caught_up(state: NodeState, leader_state: LeaderState, identity: NodeIdentity) -> bool:
+    progress = leader_state.progress.get(identity)
     lag = state.options.promotion_lag_entries
     return (
         progress is not None
-        and _answers(state, leading, identity)
+        and _is_responsive(state, leader_state, identity)
         and progress.match_index >= state.log.last_index - lag
     )
--- a/src/finchshed/consensus/replication.py
+++ b/src/finchshed/consensus/replication.py
@@ -1,8 +1,4 @@
-"""The leader's side of replication: sending, answers, the commit index.
-
-An entry is committed once a quorum has it on its disks and one of the leader's own term is (Raft,
-section 5.4.2). Owns the progress of each follower in the leader's state.
-"""
+"""Leader side of replication: sending entries, handling replies and advancing the commit index."""
 
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import (
@@ -20,53 +16,53 @@
 from finchshed.consensus.state import LeaderState, NodeState
 
 _RETRANSMIT_HEARTBEATS = 3
-"""Entries unanswered for so many heartbeats are sent again. Chosen, not measured."""
+"""Heartbeat intervals after which unacknowledged entries are sent again."""
 
 
-def track_members(state: NodeState, leading: LeaderState) -> None:
-    """Start and end replication as the membership says."""
+def track_members(state: NodeState, leader_state: LeaderState) -> None:
+    """Start replication to new members and stop it for removed ones."""
     members = {m.identity for m in state.membership.members} - {state.identity}
-    for identity in sorted(members - leading.progress.keys()):
-        leading.progress[identity] = Progress(state.log.last_index + 1, state.now)
-    for identity in leading.progress.keys() - members:
-        del leading.progress[identity]
+    for identity in sorted(members - leader_state.progress.keys()):
+        leader_state.progress[identity] = Progress(state.log.last_index + 1, state.now)
+    for identity in leader_state.progress.keys() - members:
+        del leader_state.progress[identity]
 
 
-def send_entries(state: NodeState, leading: LeaderState) -> None:
-    """Send each follower what its window has room for."""
-    for identity, progress in leading.progress.items():
+def send_entries(state: NodeState, leader_state: LeaderState) -> None:
+    """Send pending entries and commit indexes to each follower, within its window."""
+    for identity, progress in leader_state.progress.items():
         _send_to(state, identity, progress)
-        _announce_commit(state, leading, identity, progress)
+        _announce_commit(state, leader_state, identity, progress)
 
 
-def send_heartbeats(state: NodeState, leading: LeaderState) -> None:
-    """Tell every follower that the leader is there."""
-    leading.heartbeat_due = state.now + state.options.heartbeat_interval_seconds
-    for identity, progress in leading.progress.items():
-        _send_heartbeat(state, leading, identity, progress)
+def send_heartbeats(state: NodeState, leader_state: LeaderState) -> None:
+    """Send a heartbeat to every follower."""
+    leader_state.heartbeat_due = state.now + state.options.heartbeat_interval_seconds
+    for identity, progress in leader_state.progress.items():
+        _send_heartbeat(state, leader_state, identity, progress)
 
 
 def on_accepted(
-    state: NodeState, leading: LeaderState, sender: NodeIdentity, message: AppendAccepted
+    state: NodeState, leader_state: LeaderState, sender: NodeIdentity, message: AppendAccepted
 ) -> None:
-    """Note that a follower holds the leader's log up to an index."""
-    progress = leading.progress.get(sender)
+    """Advance a follower's match index."""
+    progress = leader_state.progress.get(sender)
     if progress is None:
         return
     progress.last_heard = state.now
-    news = progress.advance(message.match_index)
-    if progress.mode is SendMode.PROBE or (progress.mode is SendMode.SNAPSHOT and news):
-        _leave_probe(state, progress)
-    if news:
-        update_commit(state, leading)
-        _continue_transfer(state, leading, sender, progress)
+    advanced = progress.advance(message.match_index)
+    if progress.mode is SendMode.PROBE or (progress.mode is SendMode.SNAPSHOT and advanced):
+        _leave_probe_mode(state, progress)
+    if advanced:
+        update_commit_index(state, leader_state)
+        _continue_transfer(state, leader_state, sender, progress)
 
 
 def on_rejected(
-    state: NodeState, leading: LeaderState, sender: NodeIdentity, message: AppendRejected
+    state: NodeState, leader_state: LeaderState, sender: NodeIdentity, message: AppendRejected
 ) -> None:
-    """Look for an earlier entry: a follower lacks the one before those that were sent."""
-    progress = leading.progress.get(sender)
+    """Probe from an earlier entry, because the follower lacks the preceding one."""
+    progress = leader_state.progress.get(sender)
     if progress is None:
         return
     progress.last_heard = state.now
@@ -75,14 +71,14 @@
         return
     if progress.mode is SendMode.PROBE and message.previous_index != progress.next_index - 1:
         return
-    progress.probe_from(min(message.next_index, message.previous_index))
+    progress.start_probing(min(message.next_index, message.previous_index))
 
 
 def on_heartbeat_reply(
-    state: NodeState, leading: LeaderState, sender: NodeIdentity, message: LeaderHeartbeatReply
+    state: NodeState, leader_state: LeaderState, sender: NodeIdentity, message: LeaderHeartbeatReply
 ) -> None:
-    """Note that a follower still takes this node for the leader."""
-    progress = leading.progress.get(sender)
+    """Record that a follower still accepts this leader; retransmit lost entries."""
+    progress = leader_state.progress.get(sender)
     if progress is None:
         return
     progress.last_heard = state.now
@@ -91,10 +87,10 @@
 
 
 def on_snapshot_reply(
-    state: NodeState, leading: LeaderState, sender: NodeIdentity, message: SnapshotPieceReply
+    state: NodeState, leader_state: LeaderState, sender: NodeIdentity, message: SnapshotPieceReply
 ) -> None:
-    """Go on with the piece of a snapshot that a follower wants next."""
-    progress = leading.progress.get(sender)
+    """Continue a snapshot transfer at the offset that the follower requests."""
+    progress = leader_state.progress.get(sender)
     if progress is None:
         return
     progress.last_heard = state.now
@@ -107,102 +103,108 @@
     progress.last_sent = float("-inf")
 
 
-def update_commit(state: NodeState, leading: LeaderState) -> None:
-    """Commit what a majority of voters has durable, if it is of the leader's own term.
+def update_commit_index(state: NodeState, leader_state: LeaderState) -> None:
+    """Commit the highest index that is durable on a quorum, if it is of the current term.
 
-    Entries of earlier terms are committed only through one of the own term (section 5.4.2 of the
-    Raft paper).
+    Entries of earlier terms are committed only through an entry of the current term (Raft, section
+    5.4.2).
     """
     voters = state.counted_voters
-    held = sorted((_match_of(state, leading, voter) for voter in voters), reverse=True)
-    if len(held) < state.quorum:
+    match_indexes = sorted(
+        (_match_index_of(state, leader_state, voter) for voter in voters), reverse=True
+    )
+    if len(match_indexes) < state.quorum:
         return
-    index = held[state.quorum - 1]
+    index = match_indexes[state.quorum - 1]
     if index > state.commit_index and state.log.term_at(index) == state.term:
         advance_commit(state, index)
-        _leave_if_removed(state, leading)
+        _step_down_if_removed(state, leader_state)
 
 
-def has_quorum_contact(state: NodeState, leading: LeaderState) -> bool:
-    """Whether a majority of voters answered within the shortest election timeout."""
+def has_quorum_contact(state: NodeState, leader_state: LeaderState) -> bool:
+    """Whether a quorum responded within the minimum election timeout."""
     since = state.now - state.options.election_timeout_min_seconds
-    heard = sum(_heard_since(state, leading, voter, since) for voter in state.counted_voters)
+    heard = sum(
+        _responded_since(state, leader_state, voter, since) for voter in state.counted_voters
+    )
     return heard >= state.quorum
 
 
-def begin_transfer_when_caught_up(
-    state: NodeState, leading: LeaderState, target: NodeIdentity
+def start_transfer_if_caught_up(
+    state: NodeState, leader_state: LeaderState, target: NodeIdentity
 ) -> None:
-    """Hand over at once if the target holds the whole log."""
-    progress = leading.progress.get(target)
+    """Transfer leadership at once if the target holds the whole log."""
+    progress = leader_state.progress.get(target)
     if progress is not None:
-        _continue_transfer(state, leading, target, progress)
+        _continue_transfer(state, leader_state, target, progress)
 
 
-def best_successor(state: NodeState, leading: LeaderState) -> NodeIdentity | None:
-    """Return the voter that was heard lately and holds most of the log."""
+def best_successor(state: NodeState, leader_state: LeaderState) -> NodeIdentity | None:
+    """Return the most caught-up voter that responded recently, or None."""
     since = state.now - state.options.election_timeout_min_seconds
     candidates = [
         (progress.match_index, identity)
-        for identity, progress in leading.progress.items()
+        for identity, progress in leader_state.progress.items()
         if identity in state.counted_voters and progress.last_heard >= since
     ]
     return max(candidates)[1] if candidates else None
 
 
 def _send_heartbeat(
-    state: NodeState, leading: LeaderState, identity: NodeIdentity, progress: Progress
+    state: NodeState, leader_state: LeaderState, identity: NodeIdentity, progress: Progress
 ) -> None:
     progress.announced_commit = min(progress.match_index, state.commit_index)
-    state.send(identity, LeaderHeartbeat(state.term, progress.announced_commit, leading.round))
+    state.send(identity, LeaderHeartbeat(state.term, progress.announced_commit, leader_state.round))
 
 
 def _announce_commit(
-    state: NodeState, leading: LeaderState, identity: NodeIdentity, progress: Progress
+    state: NodeState, leader_state: LeaderState, identity: NodeIdentity, progress: Progress
 ) -> None:
-    """Tell an idle follower of a new commit index at once; a busy one learns it with entries."""
+    """Send a new commit index to an idle follower; a busy one receives it with entries."""
     known = min(progress.match_index, state.commit_index)
     if known > progress.announced_commit and not progress.in_flight:
-        _send_heartbeat(state, leading, identity, progress)
+        _send_heartbeat(state, leader_state, identity, progress)
 
 
-def _match_of(state: NodeState, leading: LeaderState, voter: NodeIdentity) -> int:
+def _match_index_of(state: NodeState, leader_state: LeaderState, voter: NodeIdentity) -> int:
     if voter == state.identity:
         return state.persisted_index
-    progress = leading.progress.get(voter)
+    progress = leader_state.progress.get(voter)
     return progress.match_index if progress else 0
 
 
-def _heard_since(state: NodeState, leading: LeaderState, voter: NodeIdentity, since: float) -> bool:
+def _responded_since(
+    state: NodeState, leader_state: LeaderState, voter: NodeIdentity, since: float
+) -> bool:
     if voter == state.identity:
         return True
-    progress = leading.progress.get(voter)
+    progress = leader_state.progress.get(voter)
     return progress is not None and progress.last_heard >= since
 
 
-def _leave_probe(state: NodeState, progress: Progress) -> None:
+def _leave_probe_mode(state: NodeState, progress: Progress) -> None:
     if progress.match_index >= state.log.base_index:
-        progress.replicate()
+        progress.start_pipelining()
     else:
-        progress.probe_from(progress.match_index + 1)
+        progress.start_probing(progress.match_index + 1)
 
 
 def _retransmit_if_stuck(state: NodeState, progress: Progress) -> None:
-    """Answers come, but none to what was sent last: it was lost."""
-    patience = _RETRANSMIT_HEARTBEATS * state.options.heartbeat_interval_seconds
-    if state.now - progress.last_sent < patience:
+    """Resend entries that a responsive follower has not acknowledged for several heartbeats."""
+    retransmit_after = _RETRANSMIT_HEARTBEATS * state.options.heartbeat_interval_seconds
+    if state.now - progress.last_sent < retransmit_after:
         return
     if progress.mode is SendMode.PROBE:
         progress.probe_sent = False
     elif progress.mode is SendMode.REPLICATE and progress.in_flight:
-        progress.probe_from(progress.match_index + 1)
+        progress.start_probing(progress.match_index + 1)
 
 
 def _send_to(state: NodeState, identity: NodeIdentity, progress: Progress) -> None:
     if progress.mode is not SendMode.SNAPSHOT and progress.next_index <= state.log.base_index:
         if state.snapshot is None:
             return
-        progress.send_snapshot(state.snapshot)
+        progress.start_snapshot(state.snapshot)
         progress.last_sent = float("-inf")
     match progress.mode:
         case SendMode.PROBE:
@@ -210,7 +212,7 @@
         case SendMode.REPLICATE:
             _send_window(state, identity, progress)
         case SendMode.SNAPSHOT:
-            _send_piece(state, identity, progress)
+            _send_snapshot_piece(state, identity, progress)
 
 
 def _send_probe(state: NodeState, identity: NodeIdentity, progress: Progress) -> None:
@@ -241,10 +243,10 @@
     return previous + len(entries)
 
 
-def _send_piece(state: NodeState, identity: NodeIdentity, progress: Progress) -> None:
+def _send_snapshot_piece(state: NodeState, identity: NodeIdentity, progress: Progress) -> None:
     snapshot = progress.snapshot
-    patience = _RETRANSMIT_HEARTBEATS * state.options.heartbeat_interval_seconds
-    if snapshot is None or state.now - progress.last_sent < patience:
+    retransmit_after = _RETRANSMIT_HEARTBEATS * state.options.heartbeat_interval_seconds
+    if snapshot is None or state.now - progress.last_sent < retransmit_after:
         return
     if progress.last_heard < progress.last_sent:
         return
@@ -266,9 +268,9 @@
 
 
 def _continue_transfer(
-    state: NodeState, leading: LeaderState, sender: NodeIdentity, progress: Progress
+    state: NodeState, leader_state: LeaderState, sender: NodeIdentity, progress: Progress
 ) -> None:
-    transfer = leading.transfer
+    transfer = leader_state.transfer
     if transfer is None or transfer.target != sender or transfer.sent:
         return
     if progress.match_index == state.log.last_index:
@@ -276,11 +278,11 @@
         state.send(sender, TimeoutNow(state.term))
 
 
-def _leave_if_removed(state: NodeState, leading: LeaderState) -> None:
-    """Hand over and step down, if the leader's own removal is committed."""
+def _step_down_if_removed(state: NodeState, leader_state: LeaderState) -> None:
+    """Transfer leadership and step down once the leader's own removal is committed."""
     if state.is_voter or state.log.membership_index > state.commit_index:
         return
-    successor = best_successor(state, leading)
+    successor = best_successor(state, leader_state)
     if successor is not None:
         state.send(successor, TimeoutNow(state.term))
     become_follower(state, state.term, None)
--- a/src/finchshed/consensus/requests.py
+++ b/src/finchshed/consensus/requests.py
@@ -1,12 +1,9 @@
-"""Requests of the host: proposals, transfer of leadership, snapshots, a full disk.
-
-Owns what waits for its outcome in the leader's state.
-"""
+"""Handlers of host events: proposals, leadership transfer, snapshots and a full disk."""
 
 from finchshed.consensus import replication, roles
 from finchshed.consensus.effects import RefusalCause
 from finchshed.consensus.events import Propose, SnapshotTaken
-from finchshed.consensus.group_size import waits_for_growth
+from finchshed.consensus.group_size import is_growth_pending
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import encode_membership
 from finchshed.consensus.membership_changes import refuse
@@ -17,37 +14,37 @@
 
 def propose(state: NodeState, event: Propose) -> None:
     """Append a command, or refuse it with the cause."""
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         cause = RefusalCause.DISK_FULL if state.disk_full else RefusalCause.NOT_LEADER
         refuse(state, event.token, cause)
-    elif leading.transfer is not None:
+    elif leader_state.transfer is not None:
         refuse(state, event.token, RefusalCause.TRANSFERRING)
-    elif waits_for_growth(state):
+    elif is_growth_pending(state):
         refuse(state, event.token, RefusalCause.NOT_READY)
-    elif len(leading.proposals) >= state.options.max_pending_proposals:
+    elif len(leader_state.proposals) >= state.options.max_pending_proposals:
         refuse(state, event.token, RefusalCause.BUSY)
     else:
         index = state.log.last_index + 1
         state.append(Entry(index, state.term, data=event.data))
-        leading.proposals[index] = event.token
+        leader_state.proposals[index] = event.token
 
 
 def transfer_leadership(state: NodeState, target: NodeIdentity | None) -> None:
-    """Hand leadership to a voter once it holds the whole log; proposals wait meanwhile."""
-    leading = state.leading
-    if leading is None:
+    """Transfer leadership to a voter once it has caught up; proposals are refused until then."""
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    target = target or replication.best_successor(state, leading)
+    target = target or replication.best_successor(state, leader_state)
     if target is None or target not in state.counted_voters or target == state.identity:
         return
     deadline = state.now + state.options.transfer_timeout_seconds
-    leading.transfer = Transfer(target, deadline)
-    replication.begin_transfer_when_caught_up(state, leading, target)
+    leader_state.transfer = Transfer(target, deadline)
+    replication.start_transfer_if_caught_up(state, leader_state, target)
 
 
-def keep_snapshot(state: NodeState, event: SnapshotTaken) -> None:
-    """Store a snapshot of the application, and let go of the entries it stands for."""
+def store_snapshot(state: NodeState, event: SnapshotTaken) -> None:
+    """Store an application snapshot and compact the entries it covers."""
     held = state.snapshot.index if state.snapshot is not None else 0
     term = state.log.term_at(event.index)
     if event.index <= held or event.index > state.commit_index or term is None:
@@ -58,13 +55,13 @@
     state.log.compact(event.index - state.options.trailing_entries)
 
 
-def stop_for_full_disk(state: NodeState) -> None:
-    """Stop leading: a leader that can't write would only hold the group up."""
+def on_disk_full(state: NodeState) -> None:
+    """Step down and transfer leadership, since a leader that cannot write blocks the group."""
     state.disk_full = True
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    successor = replication.best_successor(state, leading)
+    successor = replication.best_successor(state, leader_state)
     if successor is not None:
         state.send(successor, TimeoutNow(state.term))
     roles.become_follower(state, state.term, None)
--- a/src/finchshed/consensus/roles.py
+++ b/src/finchshed/consensus/roles.py
@@ -1,7 +1,4 @@
-"""Changes of role, and applying what is committed.
-
-Owns role, term and commit index in the node's state; each change of role goes through here.
-"""
+"""Role changes, election timers and application of committed entries."""
 
 from finchshed.consensus.effects import (
     Apply,
@@ -20,12 +17,12 @@
 from finchshed.consensus.state import NodeState
 from finchshed.storage.records import Entry, EntryKind, Vote
 
-FIRST_TIMEOUT_SHARE = 0.4
-"""Shortest wait after a start, as a share of the shortest election timeout."""
+FIRST_TIMEOUT_FRACTION = 0.4
+"""Minimum election timeout after a start, as a fraction of the regular minimum."""
 
 
 def reset_election_timer(state: NodeState) -> None:
-    """Wait for a new random time before asking for votes."""
+    """Restart the election timer with a new random timeout."""
     options = state.options
     timeout = state.rng.uniform(
         options.election_timeout_min_seconds, options.election_timeout_max_seconds
@@ -34,39 +31,38 @@
 
 
 def set_first_election_timer(state: NodeState) -> None:
-    """Wait less for the first time after a start: where there is a leader it is heard soon.
+    """Set a shorter election timeout after a start, so that a restarted group recovers sooner.
 
-    A group that was off as a whole is led again earlier by it. A node that asks too early disturbs
-    nobody: voters that hear a leader give no pre-vote.
+    An early campaign is harmless: voters that hear from a leader grant no pre-vote.
     """
     usual = state.options.election_timeout_min_seconds
-    state.election_due = state.now + state.rng.uniform(FIRST_TIMEOUT_SHARE * usual, usual)
+    state.election_due = state.now + state.rng.uniform(FIRST_TIMEOUT_FRACTION * usual, usual)
 
 
 def become_follower(state: NodeState, term: int, leader: NodeIdentity | None) -> None:
-    """Follow ``leader``, or nobody, in ``term``; whatever else the node was ends."""
+    """Become a follower of ``leader`` (None if unknown) in ``term``, ending any other role."""
     if term > state.term:
         state.set_vote(Vote(term))
     _end_leadership(state)
-    state.ballots.clear()
+    state.votes_received.clear()
     state.change_role(RaftRole.FOLLOWER, leader)
     reset_election_timer(state)
 
 
 def advance_commit(state: NodeState, index: int) -> None:
-    """Apply entries up to ``index``, which are known to be committed."""
+    """Commit and apply entries up to ``index``."""
     while state.commit_index < index:
         state.commit_index += 1
         _apply(state, state.log.entry(state.commit_index))
     _finish_forwarded_reads(state)
-    if _snapshot_is_due(state):
-        state.snapshot_wanted = True
+    if _is_snapshot_due(state):
+        state.snapshot_due = True
 
 
-def report_wanted_snapshot(state: NodeState) -> None:
-    """Ask the application for a snapshot, after all else in this step."""
-    if state.snapshot_wanted:
-        state.snapshot_wanted = False
+def request_due_snapshot(state: NodeState) -> None:
+    """Request an application snapshot if one is due; called last in a step."""
+    if state.snapshot_due:
+        state.snapshot_due = False
         state.effects.append(SnapshotRequested(state.commit_index))
 
 
@@ -77,13 +73,13 @@
         state.effects.append(Apply(entry.index, entry.term, entry.data))
     elif entry.kind is EntryKind.MEMBERSHIP:
         state.effects.append(MembershipChanged(entry.index, decode_membership(entry.data)))
-    if state.leading is not None:
-        token = state.leading.proposals.pop(entry.index, None)
+    if state.leader_state is not None:
+        token = state.leader_state.proposals.pop(entry.index, None)
         if token is not None:
             state.effects.append(Committed(token, entry.index))
 
 
-def _snapshot_is_due(state: NodeState) -> bool:
+def _is_snapshot_due(state: NodeState) -> bool:
     options = state.options
     return (
         state.applied_since_snapshot >= options.snapshot_every_entries
@@ -103,15 +99,15 @@
 
 
 def _end_leadership(state: NodeState) -> None:
-    leading = state.leading
-    if leading is None:
+    leader_state = state.leader_state
+    if leader_state is None:
         return
-    state.leading = None
-    for token in leading.proposals.values():
+    state.leader_state = None
+    for token in leader_state.proposals.values():
         state.effects.append(CommitOutcomeUnknown(token))
-    for read in leading.reads:
+    for read in leader_state.reads:
         if read.requester is None:
             state.effects.append(ReadFailed(read.token))
-    if leading.pending_change is not None:
+    if leader_state.pending_change is not None:
         cause = RefusalCause.NOT_LEADER
-        state.effects.append(RequestRefused(leading.pending_change.token, cause))
+        state.effects.append(RequestRefused(leader_state.pending_change.token, cause))
--- a/src/finchshed/consensus/state.py
+++ b/src/finchshed/consensus/state.py
@@ -1,7 +1,6 @@
-"""State shared by the modules of a node, and its effects of one step.
+"""State of a node, shared by the modules of this package.
 
-Owns every field of a node; the other modules are functions on it. Relies on
-:class:`~finchshed.consensus.write_buffer.WriteBuffer` for what waits for the disk.
+The other modules are functions on :class:`NodeState`.
 """
 
 import random
@@ -19,13 +18,13 @@
 from finchshed.consensus.write_buffer import WriteBuffer
 from finchshed.storage.records import Entry, Snapshot, Vote, Write
 
-_MAX_HEARD_ADDRESSES = 64
-"""Addresses kept of senders that no membership names: bounds the memory. Chosen, not measured."""
+_MAX_LEARNED_ADDRESSES = 64
+"""Maximum number of addresses kept for senders that are not members; bounds memory."""
 
 
 @dataclass
 class PendingRead:
-    """A read waiting for leadership to be confirmed; ``requester`` None: a local one."""
+    """A read waiting for leadership confirmation; ``requester`` is None for a local read."""
 
     token: int
     requester: NodeIdentity | None
@@ -45,29 +44,32 @@
 
 @dataclass
 class PendingChange:
-    """A removal of a voter that waits until the voters that remain have answered ``round``."""
+    """A voter removal waiting for the remaining voters to acknowledge heartbeat ``round``."""
 
     token: int
-    wanted: Membership
+    target: Membership
     round: int
     deadline: float
 
 
 @dataclass
-class Greeting:
-    """A node that is no member and where it can be reached."""
+class Announcement:
+    """The latest announcement of a node that is not a member.
+
+    ``acknowledged_incarnation`` is the incarnation of this node that the sender has seen.
+    """
 
     identity: NodeIdentity
     address: str
     formed: bool
-    heard: float
-    answers: str = ""
+    received_at: float
+    acknowledged_incarnation: str = ""
     zone: str = ""
 
 
 @dataclass
 class LeaderState:
-    """What only a leader has. Ends with its leadership."""
+    """Leader-only state, discarded when leadership ends."""
 
     term_start_index: int
     progress: dict[NodeIdentity, Progress] = field(default_factory=dict)
@@ -82,7 +84,7 @@
 
 @dataclass
 class IncomingSnapshot:
-    """Pieces of a snapshot received so far."""
+    """A partially received snapshot."""
 
     index: int
     term: int
@@ -91,7 +93,7 @@
 
 @dataclass
 class ForwardedRead:
-    """A read sent on to the leader. ``index`` is known once confirmed."""
+    """A read forwarded to the leader. ``index`` is set once the leader has confirmed it."""
 
     token: int
     deadline: float
@@ -100,7 +102,7 @@
 
 @dataclass
 class NodeState:
-    """State of one node."""
+    """State of one node, and the effects of the current step."""
 
     identity: NodeIdentity
     address: str
@@ -117,25 +119,25 @@
     zone: str = ""
     role: RaftRole = RaftRole.FOLLOWER
     leader: NodeIdentity | None = None
-    leading: LeaderState | None = None
+    leader_state: LeaderState | None = None
     election_due: float = 0.0
-    leader_heard: float = float("-inf")
-    ballots: set[NodeIdentity] = field(default_factory=set)
-    incoming: IncomingSnapshot | None = None
+    leader_last_heard: float = float("-inf")
+    votes_received: set[NodeIdentity] = field(default_factory=set)
+    incoming_snapshot: IncomingSnapshot | None = None
     forwarded_reads: dict[int, ForwardedRead] = field(default_factory=dict)
     next_request: int = 0
-    greetings: dict[NodeIdentity, Greeting] = field(default_factory=dict)
-    heard_addresses: dict[NodeIdentity, str] = field(default_factory=dict)
-    hello_due: float = 0.0
+    announcements: dict[NodeIdentity, Announcement] = field(default_factory=dict)
+    learned_addresses: dict[NodeIdentity, str] = field(default_factory=dict)
+    announcement_due: float = 0.0
     disk_full: bool = False
     applied_since_snapshot: int = 0
     applied_bytes_since_snapshot: int = 0
-    snapshot_wanted: bool = False
+    snapshot_due: bool = False
     effects: list[Effect] = field(default_factory=list)
 
     @property
     def now(self) -> float:
-        """The node's own time in seconds."""
+        """Time of the node-local clock, in seconds."""
         return self.clock.now
 
     @property
@@ -150,7 +152,7 @@
 
     @property
     def counted_voters(self) -> tuple[NodeIdentity, ...]:
-        """Voters of the latest membership in the log whose agreement counts."""
+        """Voters of the latest membership that are not superseded."""
         return self.log.membership.counted_voters
 
     @property
@@ -160,17 +162,17 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node is a voter, as far as it knows."""
+        """Whether this node is a voter in the latest membership."""
         return self.identity in self.log.membership.voters
 
     @property
     def is_formed(self) -> bool:
-        """Whether this node has ever learnt a membership."""
+        """Whether this node knows a membership."""
         return bool(self.log.membership.members)
 
     @property
     def persisted_index(self) -> int:
-        """Last entry of the log that is durable here."""
+        """Index of the last entry that is durable on this node."""
         return self.writes.persisted_index
 
     @property
@@ -179,80 +181,82 @@
         return self.log.last_index - self.persisted_index
 
     def address_of(self, identity: NodeIdentity) -> str:
-        """Return where a node can be reached, or nothing if that is unknown."""
+        """Return the address of a node, empty if unknown."""
         member = self.membership.find(identity)
         if member is not None:
             return member.address
-        heard = self.heard_addresses.get(identity)
+        heard = self.learned_addresses.get(identity)
         if heard is not None:
             return heard
-        greeting = self.greetings.get(identity)
-        if greeting is not None:
-            return greeting.address
+        announcement = self.announcements.get(identity)
+        if announcement is not None:
+            return announcement.address
         named = (m.address for m in self.initial_members if m.name == identity.name)
         return next(named, "")
 
-    def hear_address(self, sender: NodeIdentity, address: str) -> None:
-        """Remember where a node is reached that the membership known here doesn't name."""
+    def learn_address(self, sender: NodeIdentity, address: str) -> None:
+        """Store the address of a sender that is not in the latest membership."""
         if not address or self.membership.find(sender) is not None:
             return
-        self.heard_addresses.pop(sender, None)
-        self.heard_addresses[sender] = address
-        if len(self.heard_addresses) > _MAX_HEARD_ADDRESSES:
-            del self.heard_addresses[next(iter(self.heard_addresses))]
+        self.learned_addresses.pop(sender, None)
+        self.learned_addresses[sender] = address
+        if len(self.learned_addresses) > _MAX_LEARNED_ADDRESSES:
+            del self.learned_addresses[next(iter(self.learned_addresses))]
 
     def send(self, receiver: NodeIdentity, message: Message) -> None:
-        """Send a message that promises nothing."""
+        """Send a message that does not depend on pending writes."""
         address = self.address_of(receiver)
         if address:
             self.effects.append(SendEnvelope(address, self._envelope(receiver, message)))
 
     def send_when_durable(self, receiver: NodeIdentity, message: Message) -> None:
-        """Send a message once every write asked for so far is durable."""
+        """Send a message once all writes requested so far are durable."""
         address = self.address_of(receiver)
         if address:
-            self.writes.hold(SendEnvelope(address, self._envelope(receiver, message)))
+            self.writes.defer(SendEnvelope(address, self._envelope(receiver, message)))
 
     def send_when_term_durable(self, receiver: NodeIdentity, message: Message) -> None:
-        """Send a message that promises no more than the present term.
+        """Send a message once the current term is durable.
 
-        It needn't wait for entries, so a node whose disk is slow or full still answers.
+        It does not wait for entries, so a node with a slow or full disk still replies.
         """
-        if self.writes.holds_vote:
+        if self.writes.has_unsaved_vote:
             self.send_when_durable(receiver, message)
         else:
             self.send(receiver, message)
 
     def set_vote(self, vote: Vote) -> None:
-        """Change the term or vote."""
+        """Set the term and vote."""
         if vote.term < self.vote.term:
-            raise InvariantError(f"term {self.vote.term} can't go back to {vote.term}")
+            raise InvariantError(f"term must not decrease from {self.vote.term} to {vote.term}")
         if vote != self.vote:
             self.vote = vote
-            self.writes.change_vote()
+            self.writes.mark_vote_changed()
 
     def append(self, entry: Entry) -> None:
-        """Add an entry to the log and to the next write."""
+        """Append an entry to the log and to the next write."""
         self.log.append(entry)
         self.writes.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries that another leader's log replaces."""
+        """Remove entries from ``index`` on, which conflict with the leader's log."""
         if index <= self.commit_index:
-            raise InvariantError(f"committed entry {index} would be dropped")
+            raise InvariantError(
+                f"cannot truncate from entry {index}: committed up to {self.commit_index}"
+            )
         self.log.truncate_from(index)
         self.writes.truncate_from(index)
 
     def replace_stored(self, snapshot: Snapshot, entries: tuple[Entry, ...]) -> None:
-        """Write a snapshot, and the entries after it, in place of all that is stored."""
+        """Replace all stored state with a snapshot and the entries after it."""
         self.snapshot = snapshot
         self.applied_since_snapshot = 0
         self.applied_bytes_since_snapshot = 0
         write = Write(vote=self.vote, entries=entries, snapshot=snapshot)
         self.effects.append(self.writes.replace_stored(write, self.log.last_index))
 
-    def persisted(self, ticket: int) -> bool:
-        """Take note of a finished write; whether more of the log is now durable."""
+    def on_write_persisted(self, ticket: int) -> bool:
+        """Record a finished write; return whether more of the log became durable."""
         before = self.persisted_index
         self.effects.extend(self.writes.finish(ticket))
         return self.persisted_index > before
@@ -266,7 +270,7 @@
         self.effects.append(RoleChanged(role, self.term, leader))
 
     def flush_writes(self) -> None:
-        """End a step: ask for the gathered write, and hold or let go what waits for it."""
+        """End a step: request the buffered write, then send or defer the held messages."""
         self.effects.extend(self.writes.flush(self.vote, self.log.last_index))
 
     def _envelope(self, receiver: NodeIdentity, message: Message) -> Envelope:
--- a/src/finchshed/consensus/write_buffer.py
+++ b/src/finchshed/consensus/write_buffer.py
@@ -1,7 +1,7 @@
-"""Writes of a node: gathered during a step, then outstanding until they are durable.
+"""Buffers the writes of a step and tracks them until they are durable.
 
-Writes wanted during one step become one :class:`~finchshed.consensus.effects.PersistWrite`.
-Messages that promise something are held back until the writes before them are durable.
+All writes of one step are combined into one :class:`~finchshed.consensus.effects.PersistWrite`.
+Messages that depend on durable state are deferred until the preceding writes are durable.
 """
 
 from collections import deque
@@ -13,21 +13,21 @@
 
 @dataclass
 class _OutstandingWrite:
-    """A write asked for and not yet durable, and what waits for it."""
+    """A requested write that is not yet durable, and the messages that wait for it."""
 
     ticket: int
     last_index: int
-    holds_vote: bool
+    includes_vote: bool
     sends: list[SendEnvelope] = field(default_factory=list)
 
 
 class WriteBuffer:
-    """What is to be written, and what waits for writes.
+    """Pending writes and the messages deferred until they are durable.
 
     Attributes
     ----------
     persisted_index
-        Last entry of the present log that is durable.
+        Index of the last durable entry of the current log.
     """
 
     def __init__(self, persisted_index: int) -> None:
@@ -37,50 +37,50 @@
         self._vote_changed = False
         self._truncate_from: int | None = None
         self._entries: list[Entry] = []
-        self._held: list[SendEnvelope] = []
+        self._deferred: list[SendEnvelope] = []
 
     @property
-    def holds_vote(self) -> bool:
-        """Whether the present vote is not durable yet."""
-        return self._vote_changed or any(write.holds_vote for write in self._outstanding)
+    def has_unsaved_vote(self) -> bool:
+        """Whether the current vote is not yet durable."""
+        return self._vote_changed or any(write.includes_vote for write in self._outstanding)
 
     @property
-    def held_sends(self) -> int:
-        """Number of messages that wait for writes."""
-        return len(self._held) + sum(len(write.sends) for write in self._outstanding)
+    def deferred_sends(self) -> int:
+        """Number of messages waiting for writes."""
+        return len(self._deferred) + sum(len(write.sends) for write in self._outstanding)
 
-    def change_vote(self) -> None:
-        """Put the vote into the next write."""
+    def mark_vote_changed(self) -> None:
+        """Include the vote in the next write."""
         self._vote_changed = True
 
     def append(self, entry: Entry) -> None:
-        """Put an entry into the next write."""
+        """Include an entry in the next write."""
         self._entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Put the drop of entries into the next write."""
+        """Include a truncation from ``index`` in the next write."""
         self._entries = [entry for entry in self._entries if entry.index < index]
         earlier = self._truncate_from
         self._truncate_from = index if earlier is None else min(earlier, index)
         self.limit_persisted(index - 1)
 
     def limit_persisted(self, index: int) -> None:
-        """Count nothing after ``index`` as durable on account of writes asked for so far."""
+        """Cap the durable index of all writes requested so far at ``index``."""
         self.persisted_index = min(self.persisted_index, index)
         for write in self._outstanding:
             write.last_index = min(write.last_index, index)
 
-    def hold(self, send: SendEnvelope) -> None:
-        """Keep a message back until every write asked for so far is durable."""
-        self._held.append(send)
+    def defer(self, send: SendEnvelope) -> None:
+        """Defer a message until all writes requested so far are durable."""
+        self._deferred.append(send)
 
     def replace_stored(self, write: Write, last_index: int) -> PersistWrite:
-        """Return a write that replaces all that is stored; it holds what was gathered too."""
+        """Return a write that replaces all stored state and supersedes the buffered changes."""
         self._clear()
         return self._persist(write, last_index)
 
     def finish(self, ticket: int) -> list[SendEnvelope]:
-        """Take note that writes up to ``ticket`` are durable; return what waited for them."""
+        """Mark writes up to ``ticket`` as durable; return the messages that waited for them."""
         sends: list[SendEnvelope] = []
         while self._outstanding and self._outstanding[0].ticket <= ticket:
             write = self._outstanding.popleft()
@@ -89,7 +89,7 @@
         return sends
 
     def flush(self, vote: Vote, last_index: int) -> list[Effect]:
-        """End a step: return the gathered write, and messages that wait for nothing."""
+        """End a step: return the buffered write and the messages that can be sent now."""
         effects: list[Effect] = []
         if self._vote_changed or self._truncate_from is not None or self._entries:
             write = Write(
@@ -99,11 +99,11 @@
             )
             self._clear()
             effects.append(self._persist(write, last_index))
-        held, self._held = self._held, []
+        held, self._deferred = self._deferred, []
         if not self._outstanding:
             return [*effects, *held]
         for send in held:
-            _hold(self._outstanding[-1].sends, send)
+            _defer(self._outstanding[-1].sends, send)
         return effects
 
     def _clear(self) -> None:
@@ -113,16 +113,16 @@
 
     def _persist(self, write: Write, last_index: int) -> PersistWrite:
         self._last_ticket += 1
-        holds_vote = write.vote is not None
-        self._outstanding.append(_OutstandingWrite(self._last_ticket, last_index, holds_vote))
+        includes_vote = write.vote is not None
+        self._outstanding.append(_OutstandingWrite(self._last_ticket, last_index, includes_vote))
         return PersistWrite(self._last_ticket, write)
 
 
-def _hold(sends: list[SendEnvelope], send: SendEnvelope) -> None:
-    """Add a message to those that wait for a write; it stands for earlier ones of its kind.
+def _defer(sends: list[SendEnvelope], send: SendEnvelope) -> None:
+    """Add a deferred message, replacing an earlier one of the same type to the same receiver.
 
-    Only the last acknowledgement or vote to a node matters, so what waits stays small however
-    long the disk has no room.
+    Only the latest acknowledgement or vote per receiver matters, and this bounds the queue while
+    the disk is full.
     """
     envelope = send.envelope
     for position, earlier in enumerate(sends):
--- a/tests/consensus/broken_variants.py
+++ b/tests/consensus/broken_variants.py
@@ -1,7 +1,7 @@
-"""Variants of the production code with one rule left out each, to prove that the campaign bites.
+"""Mutations of the production code, each with one rule removed, that the campaign must detect.
 
-``python -m tests.consensus.broken_variants [MOST_SEEDS]`` prints after how many seeds each was
-caught, and by which property.
+``python -m tests.consensus.broken_variants [MAX_SEEDS]`` prints the number of seeds needed to
+detect each one, and the violated property.
 """
 
 import sys
@@ -13,7 +13,7 @@
 
 from finchshed.consensus import (
     election,
-    following,
+    follower,
     membership_changes,
     read_index,
     repair,
@@ -30,14 +30,14 @@
 from finchshed.storage.journal import Journal, encode_records
 from finchshed.storage.records import Vote as StoredVote
 from finchshed.storage.simulated_disk import SimulatedDisk
-from tests.consensus.campaign_here import run_here
+from tests.consensus.in_process_campaign import run_in_process
 
 
 @dataclass(frozen=True)
-class Variant:
-    """One rule left out, and the scenario in which that must show.
+class BrokenVariant:
+    """A patch that removes one rule, and the scenario that must detect it.
 
-    ``first_seed`` is one that shows it at the time of writing, so that the test is quick.
+    ``first_seed`` is a seed known to detect it, which keeps the test fast.
     """
 
     scenario: str
@@ -52,7 +52,7 @@
             yield
 
 
-def on_vote_twice(state: NodeState, sender: Any, message: VoteRequest) -> None:
+def grant_every_vote(state: NodeState, sender: Any, message: VoteRequest) -> None:
     if message.term > state.term:
         become_follower(state, message.term, None)
     granted = message.term == state.term and _is_up_to_date(
@@ -63,9 +63,9 @@
     state.send_when_durable(sender, VoteReply(state.term, granted))
 
 
-def commit_by_counting(state: NodeState, leading: LeaderState) -> None:
+def commit_entries_of_any_term(state: NodeState, leader_state: LeaderState) -> None:
     held = sorted(
-        (replication._match_of(state, leading, voter) for voter in state.counted_voters),
+        (replication._match_index_of(state, leader_state, voter) for voter in state.counted_voters),
         reverse=True,
     )
     if len(held) >= state.quorum:
@@ -78,137 +78,145 @@
     journal._size += len(data)
 
 
-def append_everything(state: NodeState, sender: Any, message: Any) -> None:
-    if not following.hear_leader(state, sender, message.term):
+def append_without_previous_check(state: NodeState, sender: Any, message: Any) -> None:
+    if not follower.accept_leader(state, sender, message.term):
         return
     previous = message.previous_index
     if previous > state.log.last_index or previous < state.log.base_index:
-        following._reject(state, sender, message, state.log.last_index + 1)
+        follower._reject(state, sender, message, state.log.last_index + 1)
         return
     for entry in message.entries:
-        following._take(state, entry)
+        follower._append_or_replace(state, entry)
     match_index = previous + len(message.entries)
-    state.send_when_durable(sender, following.AppendAccepted(state.term, match_index))
+    state.send_when_durable(sender, follower.AppendAccepted(state.term, match_index))
     advance_commit(state, max(state.commit_index, min(message.commit, match_index)))
 
 
-def remove_then_promote(state: NodeState, leading: LeaderState, learner: Any) -> Any:
-    wanted = PROMOTED(state, leading, learner)
-    if wanted is None or learner not in state.membership.members:
-        return wanted
-    earlier = [m for m in state.membership.named(learner.identity.name) if m != learner]
+def remove_then_promote(state: NodeState, leader_state: LeaderState, learner: Any) -> Any:
+    target = WITH_LEARNER_PROMOTED(state, leader_state, learner)
+    if target is None or learner not in state.membership.members:
+        return target
+    earlier = [m for m in state.membership.members_named(learner.identity.name) if m != learner]
     voters = [m for m in earlier if m.role is MemberRole.VOTER]
-    return state.membership.without(voters[0].identity) if voters else wanted
+    return state.membership.without_member(voters[0].identity) if voters else target
 
 
-def read_at_commit_index(
-    state: NodeState, leading: LeaderState, token: int, requester: Any, deadline: float
+def add_read_at_commit_index(
+    state: NodeState, leader_state: LeaderState, token: int, requester: Any, deadline: float
 ) -> None:
-    read = PendingRead(token, requester, leading.round + 1, state.commit_index, deadline)
-    leading.reads.append(read)
+    read = PendingRead(token, requester, leader_state.round + 1, state.commit_index, deadline)
+    leader_state.reads.append(read)
 
 
-def sent_at_once(state: NodeState, receiver: Any, message: Any) -> None:
+def send_immediately(state: NodeState, receiver: Any, message: Any) -> None:
     state.send(receiver, message)
 
 
-def vote_in_memory_only(state: NodeState, vote: StoredVote) -> None:
+def set_vote_without_write(state: NodeState, vote: StoredVote) -> None:
     state.vote = vote
 
 
-PROMOTED = repair._promoted
-LAST_ANSWER_COUNTS = membership_changes.keeps_whole_majority
+WITH_LEARNER_PROMOTED = repair._with_learner_promoted
+KEEPS_HEALTHY_MAJORITY = membership_changes.keeps_healthy_majority
 
 
-def without_new_answers(
-    state: NodeState, leading: LeaderState, wanted: Membership, _round: int = 0
+def keeps_majority_ignoring_round(
+    state: NodeState, leader_state: LeaderState, target: Membership, _round: int = 0
 ) -> bool:
-    return LAST_ANSWER_COUNTS(state, leading, wanted)
+    return KEEPS_HEALTHY_MAJORITY(state, leader_state, target)
 
 
-def always(value: Any) -> Callable[..., Any]:
+def return_constant(value: Any) -> Callable[..., Any]:
     return lambda *_arguments, **_named: value
 
 
 VARIANTS = {
-    "vote twice in a term": Variant(
-        "leader-changes", election, "on_vote", on_vote_twice, first_seed=1
+    "vote twice in a term": BrokenVariant(
+        "leader-changes", election, "on_vote_request", grant_every_vote, first_seed=1
     ),
-    "vote for a shorter log": Variant(
-        "partitions", election, "_is_up_to_date", always(True), first_seed=5
+    "vote for a shorter log": BrokenVariant(
+        "partitions", election, "_is_up_to_date", return_constant(True), first_seed=5
     ),
-    "vote not stored": Variant(
-        "all-restarted", NodeState, "set_vote", vote_in_memory_only, first_seed=0
+    "vote not stored": BrokenVariant(
+        "all-restarted", NodeState, "set_vote", set_vote_without_write, first_seed=0
     ),
-    "acknowledge before sync": Variant(
-        "all-restarted", NodeState, "send_when_durable", sent_at_once, first_seed=4
+    "acknowledge before sync": BrokenVariant(
+        "all-restarted", NodeState, "send_when_durable", send_immediately, first_seed=4
     ),
-    "journal without sync": Variant(
+    "journal without sync": BrokenVariant(
         "all-restarted", Journal, "append", append_without_sync, first_seed=1
     ),
-    "rename without sync of the folder": Variant(
-        "all-restarted", SimulatedDisk, "sync_folder", always(None), first_seed=1
+    "rename without sync of the folder": BrokenVariant(
+        "all-restarted", SimulatedDisk, "sync_folder", return_constant(None), first_seed=1
     ),
-    "damage taken for a torn tail": Variant(
-        "bit-rot", framing, "_judge", always(Tail.TORN), first_seed=4
+    "damage taken for a torn tail": BrokenVariant(
+        "bit-rot", framing, "_judge", return_constant(Tail.TORN), first_seed=4
     ),
-    "incarnation forgotten": Variant(
-        "lost-disks", log_store, "new_incarnation", always("same"), first_seed=0
+    "incarnation forgotten": BrokenVariant(
+        "lost-disks", log_store, "new_incarnation", return_constant("same"), first_seed=0
     ),
-    "older terms committed by counting": Variant(
-        "leader-changes", replication, "update_commit", commit_by_counting, first_seed=135
+    "older terms committed by counting": BrokenVariant(
+        "leader-changes",
+        replication,
+        "update_commit_index",
+        commit_entries_of_any_term,
+        first_seed=135,
     ),
-    "entries taken without the one before": Variant(
-        "partitions", following, "on_append", append_everything, first_seed=20
+    "entries taken without the one before": BrokenVariant(
+        "partitions", follower, "on_append", append_without_previous_check, first_seed=20
     ),
-    "reads without a quorum": Variant(
-        "leader-changes", read_index, "_confirmed_round", always(1 << 60), first_seed=111
+    "reads without a quorum": BrokenVariant(
+        "leader-changes", read_index, "_confirmed_round", return_constant(1 << 60), first_seed=111
     ),
-    "reads before the own term's entry": Variant(
-        "leader-changes", read_index, "_add", read_at_commit_index, first_seed=13
+    "reads before the own term's entry": BrokenVariant(
+        "leader-changes", read_index, "_add_pending_read", add_read_at_commit_index, first_seed=13
     ),
-    "no check-quorum": Variant(
-        "silent-leader", replication, "has_quorum_contact", always(True), first_seed=0
+    "no check-quorum": BrokenVariant(
+        "silent-leader", replication, "has_quorum_contact", return_constant(True), first_seed=0
     ),
-    "removal of a voter during a repair": Variant(
-        "second-loss", membership_changes, "keeps_whole_majority", always(True), first_seed=5
+    "removal of a voter during a repair": BrokenVariant(
+        "second-loss",
+        membership_changes,
+        "keeps_healthy_majority",
+        return_constant(True),
+        first_seed=5,
     ),
-    "removal on an old answer": Variant(
+    "removal on an old answer": BrokenVariant(
         "second-loss",
         membership_changes,
-        "keeps_whole_majority",
-        without_new_answers,
+        "keeps_healthy_majority",
+        keeps_majority_ignoring_round,
         first_seed=21,
     ),
-    "old incarnation removed before the new is a voter": Variant(
-        "second-loss", repair, "_promoted", remove_then_promote, first_seed=11
+    "old incarnation removed before the new is a voter": BrokenVariant(
+        "second-loss", repair, "_with_learner_promoted", remove_then_promote, first_seed=11
     ),
-    "superseded incarnation still counted": Variant(
+    "superseded incarnation still counted": BrokenVariant(
         "replaced-while-cut",
         Membership,
         "counted_voters",
         property(lambda membership: membership.voters),
         first_seed=5,
     ),
-    "changes of members side by side": Variant(
-        "membership", membership_changes, "blocked_by", always(None), first_seed=72
+    "changes of members side by side": BrokenVariant(
+        "membership", membership_changes, "blocking_cause", return_constant(None), first_seed=72
     ),
 }
 
 
-def caught_by(name: str, first_seed: int, most_seeds: int) -> ConsensusSummary:
-    """Run seeds until one fails."""
+def run_until_caught(name: str, first_seed: int, max_seeds: int) -> ConsensusSummary:
+    """Run up to ``max_seeds`` seeds of the variant's scenario and stop at the first failure."""
     variant = VARIANTS[name]
     with variant.applied():
-        return run_here(
-            variant.scenario, range(first_seed, first_seed + most_seeds), stop_at_failure=True
+        return run_in_process(
+            variant.scenario, range(first_seed, first_seed + max_seeds), stop_at_failure=True
         )
 
 
 def main() -> None:
-    most_seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 300
+    max_seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 300
     for name, variant in VARIANTS.items():
-        summary = caught_by(name, 0, most_seeds)
+        summary = run_until_caught(name, 0, max_seeds)
         what = summary.failures[0].violations[0] if summary.failures else "NOT CAUGHT"
         print(f"{name} | {variant.scenario} | {summary.seeds} | {what}", flush=True)
 
--- a/tests/consensus/test_broken_variants.py
+++ b/tests/consensus/test_broken_variants.py
@@ -1,13 +1,13 @@
-"""The campaign catches each rule left out; which seed shows it first is written in the table."""
+"""The simulation campaign detects every broken variant."""
 
 import pytest
 
-from tests.consensus.broken_variants import VARIANTS, caught_by
+from tests.consensus.broken_variants import VARIANTS, run_until_caught
 
-MOST_SEEDS = 300
+MAX_SEEDS = 300
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_is_caught(name: str) -> None:
-    summary = caught_by(name, VARIANTS[name].first_seed, MOST_SEEDS)
+def test_variant_is_caught(name: str) -> None:
+    summary = run_until_caught(name, VARIANTS[name].first_seed, MAX_SEEDS)
     assert summary.failures
--- a/tests/consensus/test_formation_right.py
+++ b/tests/consensus/test_formation_permission.py
@@ -1,4 +1,4 @@
-"""Only a node that may form the group does, however many disks were lost."""
+"""Nodes without permission to form a group never do, even if all disks are empty."""
 
 import random
 
@@ -14,8 +14,8 @@
 VOTERS = tuple(InitialMember(name, f"{name}:1") for name in NAMES)
 
 
-def formed(*, may_form: bool) -> bool:
-    """Let three nodes on empty disks greet each other for ten seconds."""
+def forms_group(*, may_form: bool) -> bool:
+    """Run three nodes with empty disks for ten seconds; return whether they formed a group."""
     nodes = {
         f"{name}:1": RaftNode(
             name,
@@ -43,5 +43,5 @@
 
 
 @pytest.mark.parametrize("may_form", [True, False])
-def test_a_group_is_formed_only_by_nodes_that_may(may_form: bool) -> None:
-    assert formed(may_form=may_form) is may_form
+def test_group_is_formed_only_if_nodes_may_form(may_form: bool) -> None:
+    assert forms_group(may_form=may_form) is may_form
--- a/tests/consensus/test_group_size.py
+++ b/tests/consensus/test_group_size.py
@@ -1,4 +1,4 @@
-"""A group grows from its initial voters to the size that its declared tolerance asks for."""
+"""A group grows from its initial voters to the size that its declared fault tolerance needs."""
 
 import random
 
@@ -12,21 +12,21 @@
 from finchshed.proof.consensus.node import SimulatedNode
 from finchshed.proof.consensus.register import Change, ChangeResult
 from finchshed.proof.consensus.requests import NotTaken
-from tests.consensus.test_standby import roles, sleep, voters, wait
+from tests.consensus.test_standby import roles, sleep, voters, wait_until
 
 STANDBY_SECONDS = 3.0
 ZONES = ("a", "b", "c", "d", "e", "f")
 
 
-def growing(seed: str, nodes: int, tolerated: int, patience: float = 6.0) -> Group:
-    """Return a started group of three initial voters, with standbys beside them over six zones."""
+def start_growing_group(seed: str, nodes: int, tolerated: int, timeout: float = 6.0) -> Group:
+    """Start a group of three initial voters and ``nodes - 3`` standbys, spread over six zones."""
     group = Group(seed, 3, nodes - 3)
     options = msgspec.structs.replace(
         RaftOptions(),
         admits_standbys=True,
         standby_after_seconds=STANDBY_SECONDS,
         tolerated_failures=tolerated,
-        size_patience_seconds=patience,
+        growth_timeout_seconds=timeout,
     )
     for number, node in enumerate(group.nodes.values()):
         node._options = options
@@ -39,7 +39,7 @@
     return [group.nodes[name] for name in sorted(voters(group))]
 
 
-def change(group: Group, seed: int, patience: float = 20.0) -> ChangeResult | None:
+def change(group: Group, seed: int, timeout: float = 20.0) -> ChangeResult | None:
     """Make one change through any node."""
     client = Client(f"c{seed}", group, OperationHistory(), random.Random(seed))
     running = group.scheduler.start(client.change())
@@ -48,19 +48,19 @@
 
 
 def ask_leader(group: Group, name: str) -> object:
-    """Propose a change to the leader and return its answer."""
+    """Propose a change to the leader; return its reply, or None if it does not reply in time."""
     leader = group.leader()
     assert leader is not None
     pending = leader.propose(Change(name, 0))
-    wait(group, lambda: pending.triggered, 2.0)
+    wait_until(group, lambda: pending.triggered, 2.0)
     return pending.value if pending.triggered else None
 
 
 @pytest.mark.parametrize(("tolerated", "size"), [(0, 3), (1, 3), (2, 5)])
 @pytest.mark.parametrize("nodes", [6, 12])
-def test_it_grows_to_what_must_be_borne(tolerated: int, size: int, nodes: int) -> None:
-    group = growing(f"size/{tolerated}/{nodes}", nodes, tolerated)
-    assert wait(group, lambda: len(voters(group)) == size and len(roles(group)) == nodes, 5.0)
+def test_group_grows_to_tolerate_declared_failures(tolerated: int, size: int, nodes: int) -> None:
+    group = start_growing_group(f"size/{tolerated}/{nodes}", nodes, tolerated)
+    assert wait_until(group, lambda: len(voters(group)) == size and len(roles(group)) == nodes, 5.0)
     sleep(group, 3 * STANDBY_SECONDS)
     assert len(voters(group)) == size
     assert not group.observer.violations
@@ -68,36 +68,36 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_voters_are_spread_over_zones(seed: int) -> None:
-    group = growing(f"zones/{seed}", 12, 2)
-    assert wait(group, lambda: len(voters(group)) == 5, 5.0)
+    group = start_growing_group(f"zones/{seed}", 12, 2)
+    assert wait_until(group, lambda: len(voters(group)) == 5, 5.0)
     zones = [node.zone for node in voting_nodes(group)]
     assert len(set(zones)) == 5
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_nothing_is_acknowledged_before_it_is_whole(seed: int) -> None:
-    group = growing(f"gate/{seed}", 6, 2)
+def test_undersized_group_refuses_commands(seed: int) -> None:
+    group = start_growing_group(f"gate/{seed}", 6, 2)
     for name in ("n4", "n5", "n6"):
         group.nodes[name].freeze()
-    assert wait(group, lambda: len(voters(group)) == 3, 5.0)
+    assert wait_until(group, lambda: len(voters(group)) == 3, 5.0)
     assert isinstance(ask_leader(group, "early"), NotTaken)
     for name in ("n4", "n5", "n6"):
         group.nodes[name].thaw()
-    assert wait(group, lambda: len(voters(group)) == 5, 5.0)
+    assert wait_until(group, lambda: len(voters(group)) == 5, 5.0)
     assert isinstance(ask_leader(group, "whole"), ChangeResult)
 
 
-def test_a_group_with_too_few_machines_serves_after_a_while() -> None:
-    group = growing("few", 4, 2, patience=2.0)
-    assert wait(group, lambda: len(voters(group)) == 4, 5.0)
+def test_group_with_too_few_machines_serves_after_growth_timeout() -> None:
+    group = start_growing_group("few", 4, 2, timeout=2.0)
+    assert wait_until(group, lambda: len(voters(group)) == 4, 5.0)
     sleep(group, 3.0)
     assert isinstance(ask_leader(group, "few"), ChangeResult)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_two_initial_voters_dark_hold_nothing_up(seed: int) -> None:
-    group = growing(f"dark/{seed}", 12, 2)
-    assert wait(group, lambda: len(voters(group)) == 5, 5.0)
+def test_isolating_two_initial_voters_does_not_delay_changes(seed: int) -> None:
+    group = start_growing_group(f"dark/{seed}", 12, 2)
+    assert wait_until(group, lambda: len(voters(group)) == 5, 5.0)
     for name in random.Random(seed).sample(["n1", "n2", "n3"], 2):
         group.network.isolate(name)
     started = group.scheduler.now
@@ -107,9 +107,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_two_disks_lost_at_once_after_an_acknowledgement_forget_nothing(seed: int) -> None:
-    group = growing(f"wiped/{seed}", 12, 2)
-    assert wait(group, lambda: len(voters(group)) == 5, 5.0)
+def test_losing_two_disks_after_acknowledgement_loses_no_change(seed: int) -> None:
+    group = start_growing_group(f"wiped/{seed}", 12, 2)
+    assert wait_until(group, lambda: len(voters(group)) == 5, 5.0)
     chosen = random.Random(seed)
     for step in range(3):
         result = change(group, 10 * seed + step)
@@ -123,7 +123,7 @@
                 group.restart_later(node, 0.1, 0.5)
         for node in lost:
             group.restart_later(node, 0.2, 1.0)
-        assert wait(group, lambda: group.is_whole() and len(voters(group)) == 5, 20.0)
+        assert wait_until(group, lambda: group.is_whole() and len(voters(group)) == 5, 20.0)
         leader = group.leader()
         assert leader is not None
         assert result.winner in leader.register.winners
@@ -131,10 +131,10 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_all_initial_voters_replaced_one_after_the_other(seed: int) -> None:
-    """Each is taken away for good as soon as the group is whole again."""
-    group = growing(f"replaced/{seed}", 6, 2)
-    assert wait(group, lambda: len(voters(group)) == 5, 5.0)
+def test_all_initial_voters_are_replaced_in_turn(seed: int) -> None:
+    """Each voter is removed permanently once the group has its full size again."""
+    group = start_growing_group(f"replaced/{seed}", 6, 2)
+    assert wait_until(group, lambda: len(voters(group)) == 5, 5.0)
     for number, name in enumerate(("n1", "n2", "n3")):
         gone = group.nodes.pop(name)
         gone.crash(power_lost=True)
@@ -142,21 +142,21 @@
         added._options = gone._options
         added.zone = gone.zone
         added.start()
-        assert wait(group, lambda gone=gone: _stands_without(group, gone), 20.0)
+        assert wait_until(group, lambda gone=gone: _is_replaced(group, gone), 20.0)
         assert change(group, 10 * seed + number) is not None
     assert not group.observer.violations
 
 
-def _stands_without(group: Group, gone: SimulatedNode) -> bool:
+def _is_replaced(group: Group, gone: SimulatedNode) -> bool:
     return gone.name not in voters(group) and len(voters(group)) == 5
 
 
-def test_a_member_keeps_its_zone_through_changes_of_its_role() -> None:
-    group = growing("kept", 6, 1)
-    assert wait(group, lambda: len(roles(group)) == 6, 5.0)
+def test_member_keeps_its_zone_across_role_changes() -> None:
+    group = start_growing_group("kept", 6, 1)
+    assert wait_until(group, lambda: len(roles(group)) == 6, 5.0)
     lost = next(node for node in voting_nodes(group) if not node.is_leader)
     lost.crash(power_lost=True)
-    assert wait(group, lambda: lost.name not in voters(group), 10.0)
+    assert wait_until(group, lambda: lost.name not in voters(group), 10.0)
     leader = group.leader()
     assert leader is not None
     members = leader.raft.membership.members
--- a/tests/consensus/test_linearizability.py
+++ b/tests/consensus/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker accepts exactly the histories that some order explains."""
+"""The checker accepts exactly the histories that have a valid sequential order."""
 
 import itertools
 
@@ -27,54 +27,54 @@
 WON_1 = ChangeResult(True, 1, "a")
 
 
-def test_a_read_after_a_change_must_see_it() -> None:
+def test_read_after_a_change_sees_it() -> None:
     won = change("a", 0, WON_1, 0, 1)
     assert is_linearizable([won, read(Reading(1, "a"), 2, 3)])
     assert not is_linearizable([won, read(INITIAL, 2, 3)])
 
 
-def test_a_read_beside_a_change_may_see_either() -> None:
+def test_read_concurrent_with_a_change_sees_either_state() -> None:
     won = change("a", 0, WON_1, 0, 4)
     assert is_linearizable([won, read(INITIAL, 1, 2)])
     assert is_linearizable([won, read(Reading(1, "a"), 1, 2)])
 
 
-def test_a_read_can_not_go_back_behind_an_earlier_read() -> None:
+def test_read_does_not_return_a_state_older_than_an_earlier_read() -> None:
     won = change("a", 0, WON_1, 0, 9)
     assert not is_linearizable([won, read(Reading(1, "a"), 1, 2), read(INITIAL, 3, 4)])
 
 
-def test_two_changes_can_not_both_win_a_revision() -> None:
+def test_two_changes_cannot_both_win_a_revision() -> None:
     both = [change("a", 0, WON_1, 0, 2), change("b", 0, ChangeResult(True, 1, "b"), 0, 2)]
     assert not is_linearizable(both)
     loser = change("b", 0, ChangeResult(False, 1, "a"), 0, 2)
     assert is_linearizable([both[0], loser])
 
 
-def test_a_conflict_must_name_the_winner_of_its_moment() -> None:
+def test_conflict_names_the_current_winner() -> None:
     won = change("a", 0, WON_1, 0, 2)
     assert not is_linearizable([won, change("b", 0, ChangeResult(False, 1, "c"), 0, 2)])
 
 
 @pytest.mark.parametrize("seen", [INITIAL, Reading(1, "a")])
-def test_an_unanswered_change_may_have_taken_effect_or_not(seen: Reading) -> None:
+def test_unanswered_change_may_have_taken_effect_or_not(seen: Reading) -> None:
     assert is_linearizable([change("a", 0, None, 0), read(seen, 5, 6)])
 
 
-def test_an_unanswered_change_can_not_take_effect_before_it_was_asked_for() -> None:
+def test_unanswered_change_takes_no_effect_before_its_invocation() -> None:
     assert not is_linearizable([read(Reading(1, "a"), 0, 1), change("a", 0, None, 2)])
 
 
-def by_force(operations: list[Operation]) -> bool:
-    """Try every order of every choice of the operations that need not have happened."""
+def is_linearizable_by_enumeration(operations: list[Operation]) -> bool:
+    """Enumerate all orders of all subsets of the operations."""
     for size in range(len(operations) + 1):
         for order in itertools.permutations(operations, size):
-            if _explains(operations, order):
+            if _is_valid_order(operations, order):
                 return True
     return False
 
 
-def _explains(operations: list[Operation], order: tuple[Operation, ...]) -> bool:
+def _is_valid_order(operations: list[Operation], order: tuple[Operation, ...]) -> bool:
     if any(item not in order and item.result is not None for item in operations):
         return False
     for position, later in enumerate(order):
@@ -114,5 +114,5 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(histories())
-def test_agrees_with_trying_every_order(operations: list[Operation]) -> None:
-    assert is_linearizable(operations) == by_force(operations)
+def test_checker_agrees_with_enumeration(operations: list[Operation]) -> None:
+    assert is_linearizable(operations) == is_linearizable_by_enumeration(operations)
--- a/tests/consensus/test_node.py
+++ b/tests/consensus/test_node.py
@@ -1,4 +1,4 @@
-"""Properties of a single node."""
+"""Timer behaviour of a single node."""
 
 import random
 
@@ -7,7 +7,7 @@
 from finchshed.storage.records import StoredState, Vote
 
 
-def test_a_node_that_may_not_stand_rests_between_ticks() -> None:
+def test_ineligible_node_waits_between_ticks() -> None:
     node = RaftNode(
         "spare",
         "spare:1",
@@ -23,5 +23,5 @@
         now += node.next_delay()
         node.handle(Tick(), now)
         ticks += 1
-    # One a heartbeat interval, and a few in which a timeout falls between two of them.
+    # One tick per heartbeat interval, plus a few election timeouts in between.
     assert ticks < 60 * 11
--- a/tests/consensus/test_repair.py
+++ b/tests/consensus/test_repair.py
@@ -1,4 +1,4 @@
-"""Repair of members, each failure brought about on purpose."""
+"""Repair of members after lost disks, and membership changes during failures."""
 
 from collections.abc import Callable
 
@@ -6,24 +6,26 @@
 
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import AddMember, RemoveMember
-from finchshed.consensus.messages import Envelope, MemberGreeting
+from finchshed.consensus.messages import Envelope, NodeAnnouncement
 from finchshed.proof.consensus.group import Group
 from finchshed.proof.consensus.node import SimulatedNode
 from finchshed.proof.consensus.scheduler import Process
 
-PATIENCE_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
-def wait(group: Group, condition: Callable[[], bool], patience: float = PATIENCE_SECONDS) -> bool:
-    waiting = group.scheduler.start(group.wait_until(condition, patience))
+def wait_until(
+    group: Group, condition: Callable[[], bool], timeout: float = TIMEOUT_SECONDS
+) -> bool:
+    waiting = group.scheduler.start(group.wait_until(condition, timeout))
     group.scheduler.run_until(waiting)
     return bool(waiting.value)
 
 
-def formed(voters: int = 3, spares: int = 0, seed: str = "repair") -> Group:
+def start_group(voters: int = 3, spares: int = 0, seed: str = "repair") -> Group:
     group = Group(seed, voters, spares)
     group.start()
-    assert wait(group, group.is_whole)
+    assert wait_until(group, group.is_whole)
     return group
 
 
@@ -40,7 +42,7 @@
             yield group.scheduler.sleep(0.2)
 
     group.scheduler.start(keep_asking())
-    assert wait(group, done)
+    assert wait_until(group, done)
 
 
 def voters(group: Group) -> set[str]:
@@ -54,8 +56,8 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_second_disk_lost_as_soon_as_the_first_has_caught_up(seed: int) -> None:
-    group = formed(seed=f"second/{seed}")
+def test_second_disk_lost_once_the_first_has_caught_up(seed: int) -> None:
+    group = start_group(seed=f"second/{seed}")
     first, second = followers(group)
     first.lose_disk()
     first.start()
@@ -68,50 +70,50 @@
             for status in leader.raft.member_statuses()
         )
 
-    assert wait(group, has_caught_up)
+    assert wait_until(group, has_caught_up)
     second.lose_disk()
     second.start()
-    assert wait(group, group.is_whole)
+    assert wait_until(group, group.is_whole)
 
 
-def test_newcomer_is_brought_up_by_a_leader_it_does_not_know() -> None:
-    group = formed(spares=2)
+def test_new_node_catches_up_from_a_leader_it_does_not_know() -> None:
+    group = start_group(spares=2)
     for name in ("n4", "n5"):
         change_until(group, AddMember(name, voter=True), lambda name=name: name in members(group))
-    assert wait(group, group.is_whole)
+    assert wait_until(group, group.is_whole)
     for name in ("n1", "n2", "n3"):
         change_until(group, RemoveMember(name), lambda name=name: name not in members(group))
-    assert wait(group, lambda: members(group) == {"n4", "n5"})
+    assert wait_until(group, lambda: members(group) == {"n4", "n5"})
     lost = group.nodes["n1"]
     lost.lose_disk()
     lost.start()
     change_until(group, AddMember("n1", voter=True), lambda: "n1" in members(group))
-    assert wait(group, group.is_whole)
+    assert wait_until(group, group.is_whole)
 
 
-def test_voter_that_was_away_while_members_changed_votes_for_one_it_does_not_know() -> None:
-    group = formed(spares=1)
+def test_voter_that_missed_membership_changes_votes_for_an_unknown_candidate() -> None:
+    group = start_group(spares=1)
     away = followers(group)[0]
     away.crash(power_lost=False)
     change_until(group, AddMember("n4", voter=True), lambda: "n4" in members(group))
     leader = group.leader()
     assert leader is not None
-    assert wait(group, lambda: voters(group) == {"n1", "n2", "n3", "n4"})
+    assert wait_until(group, lambda: voters(group) == {"n1", "n2", "n3", "n4"})
     gone = next(name for name in group.voter_names if name not in (away.name, leader.name))
     change_until(group, RemoveMember(gone), lambda: gone not in members(group))
     away.start()
     leader.crash(power_lost=True)
-    assert wait(group, lambda: group.nodes["n4"].is_leader)
+    assert wait_until(group, lambda: group.nodes["n4"].is_leader)
 
 
 @pytest.mark.parametrize("is_restarted", [False, True])
-def test_leader_can_remove_itself_from_a_group_of_two_across_a_cut(is_restarted: bool) -> None:
-    group = formed()
+def test_leader_removes_itself_from_a_group_of_two_across_a_partition(is_restarted: bool) -> None:
+    group = start_group()
     leader = group.leader()
     assert leader is not None
     first, last = followers(group)
     change_until(group, RemoveMember(first.name), lambda: first.name not in members(group))
-    assert wait(group, group.is_whole)
+    assert wait_until(group, group.is_whole)
     leader.change_membership(RemoveMember(leader.name))
 
     def cut_once_appended() -> Process:
@@ -120,41 +122,41 @@
         group.network.cut(leader.name, last.name)
 
     group.scheduler.run_until(group.scheduler.start(cut_once_appended()))
-    assert wait(group, lambda: group.leader() is None)
+    assert wait_until(group, lambda: group.leader() is None)
     assert last.name in {voter.name for voter in last.raft.membership.voters}
     assert leader.name in {voter.name for voter in last.raft.membership.voters}
     if is_restarted:
         leader.crash(power_lost=False)
         leader.start()
     group.network.heal()
-    assert wait(group, lambda: members(group) == {last.name})
+    assert wait_until(group, lambda: members(group) == {last.name})
 
 
-def test_late_greeting_of_a_dead_incarnation_supersedes_nobody() -> None:
-    group = formed()
+def test_stale_announcement_of_a_dead_incarnation_supersedes_no_member() -> None:
+    group = start_group()
     leader = group.leader()
     assert leader is not None
     node = followers(group)[0]
     dead = NodeIdentity(node.name, "dead")
-    hello = MemberGreeting(dead, node.address, formed=False)
+    announcement = NodeAnnouncement(dead, node.address, formed=False)
     receiver = NodeIdentity(leader.name, "")
-    group.network.send(node.name, leader.address, Envelope(dead, receiver, hello))
-    wait(group, lambda: False, patience=0.5)
+    group.network.send(node.name, leader.address, Envelope(dead, receiver, announcement))
+    wait_until(group, lambda: False, timeout=0.5)
     node.freeze()
-    wait(group, lambda: False, patience=3.0)
+    wait_until(group, lambda: False, timeout=3.0)
     node.thaw()
     assert dead not in {member.identity for member in leader.raft.membership.members}
-    assert wait(group, group.is_whole)
+    assert wait_until(group, group.is_whole)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_no_voter_is_removed_in_the_second_in_which_another_is_lost(seed: int) -> None:
-    group = formed(seed=f"remove/{seed}")
+def test_no_voter_is_removed_right_after_another_is_lost(seed: int) -> None:
+    group = start_group(seed=f"remove/{seed}")
     lost, other = followers(group)
     leader = group.leader()
     assert leader is not None
     lost.lose_disk()
     leader.change_membership(RemoveMember(other.name))
     lost.start()
-    assert wait(group, group.is_whole)
+    assert wait_until(group, group.is_whole)
     assert voters(group) == {"n1", "n2", "n3"}
