--- a/tests/consensus/test_formation_right.py
+++ b/tests/consensus/test_formation_permission.py
@@ -1,26 +1,26 @@
-"""Only a node that may form the group does, however many disks were lost."""
+"""Nodes without permission to form a group never do, even if all disks are empty."""
 
 import random
 
 import pytest
 
-from finchshed.consensus.events import Received, Tick
+from finchshed.consensus.events import MessageReceived, Tick
 from finchshed.consensus.membership import InitialMember
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
-from finchshed.storage.records import Stored, Vote
+from finchshed.storage.records import StoredState, Vote
 
 NAMES = ("a", "b", "c")
 VOTERS = tuple(InitialMember(name, f"{name}:1") for name in NAMES)
 
 
-def formed(*, may_form: bool) -> bool:
-    """Let three nodes on empty disks greet each other for ten seconds."""
+def forms_group(*, may_form: bool) -> bool:
+    """Run three nodes with empty disks for ten seconds; return whether they formed a group."""
     nodes = {
         f"{name}:1": RaftNode(
             name,
             f"{name}:1",
-            Stored(f"disk of {name}", Vote(0), None, ()),
+            StoredState(f"disk of {name}", Vote(0), None, ()),
             rng=random.Random(name),
             initial_members=VOTERS,
             now=0.0,
@@ -34,7 +34,7 @@
         for node in nodes.values():
             waiting += _sent(node.handle(Tick(), now))
         for address, envelope in waiting:
-            nodes[address].handle(Received(envelope), now)
+            nodes[address].handle(MessageReceived(envelope), now)
     return any(node.membership.members for node in nodes.values())
 
 
@@ -43,5 +43,5 @@
 
 
 @pytest.mark.parametrize("may_form", [True, False])
-def test_a_group_is_formed_only_by_nodes_that_may(may_form: bool) -> None:
-    assert formed(may_form=may_form) is may_form
+def test_group_is_formed_only_if_nodes_may_form(may_form: bool) -> None:
+    assert forms_group(may_form=may_form) is may_form
