--- a/src/finchshed/control/background.py
+++ b/src/finchshed/control/background.py
@@ -9,7 +9,7 @@
 from finchshed.common.errors import InvariantError
 
 
-class Background:
+class BackgroundTasks:
     """Keeps tasks alive, reports their faults, and cancels them at the end.
 
     Parameters
--- a/src/finchshed/control/daemons/distribution_service.py
+++ b/src/finchshed/control/daemons/distribution_service.py
@@ -10,7 +10,7 @@
 
 from finchshed.configuration.store import CommittedRevision
 from finchshed.control.addresses import split_address
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.daemons.daemon_view import configuration_for_daemons, delta_for_daemons
 from finchshed.control.daemons.directory_service import DirectoryService
 from finchshed.control.daemons.explanations import Explanations
@@ -58,7 +58,7 @@
         node: str,
         machine: ControlStateMachine,
         log: GroupLog,
-        background: Background,
+        background: BackgroundTasks,
         networks: PeerNetworks | None = None,
         *,
         credentials: Credentials | None = None,
--- a/src/finchshed/control/daemons/ledger_service.py
+++ b/src/finchshed/control/daemons/ledger_service.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from finchshed.common.errors import ControlUnavailableError
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.raft.replicated_log import ReplicatedLog
 from finchshed.control.state.commands import (
     BeginRequest,
@@ -82,7 +82,7 @@
         The replicated log.
     """
 
-    def __init__(self, log: ReplicatedLog, background: Background) -> None:
+    def __init__(self, log: ReplicatedLog, background: BackgroundTasks) -> None:
         self._log = log
         self._background = background
         self._cancels = 0
--- a/src/finchshed/control/node.py
+++ b/src/finchshed/control/node.py
@@ -10,10 +10,10 @@
 from finchshed.configuration.store import CommittedRevision
 from finchshed.consensus.options import RaftOptions
 from finchshed.control.addresses import member_addresses
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.daemons.distribution_service import DistributionService
+from finchshed.control.operators.configuration_document import ConfigurationDocuments
 from finchshed.control.operators.revisions import RevisionFeed
-from finchshed.control.operators.whole_configuration import WholeConfiguration
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.raft.host import RaftHost
 from finchshed.control.raft.node_links import ControlNodeLinks
@@ -50,7 +50,7 @@
         Runs the node's tasks; told of broken invariants.
     """
 
-    def __init__(self, settings: ControlSettings, background: Background) -> None:
+    def __init__(self, settings: ControlSettings, background: BackgroundTasks) -> None:
         self._settings = settings
         self._background = background
         self._machine = ControlStateMachine(self._on_committed, self._on_restored)
@@ -74,7 +74,7 @@
         self._log.on_quota = self._distribution.quotas.on_peer
         self._log.on_directory = self._distribution.directory.on_report
         self._log.on_crash_news = self._distribution.quarantine.on_report
-        self.configuration = WholeConfiguration(
+        self.configuration = ConfigurationDocuments(
             self._machine, self._log, settings.request_timeout_seconds
         )
         self._rpc = self._make_rpc(credentials) if settings.rpc_address else None
--- a/src/finchshed/control/operators/whole_configuration.py
+++ b/src/finchshed/control/operators/configuration_document.py
@@ -18,7 +18,7 @@
 from finchshed.control.state.machine import ControlStateMachine
 
 
-class Document(msgspec.Struct, frozen=True):
+class ConfigurationDocument(msgspec.Struct, frozen=True):
     """A whole configuration as an operator offers it.
 
     ``version`` is the operator's number for it, ``base_version`` that of the one it was made from,
@@ -37,7 +37,7 @@
     detail: str
 
 
-class WholeConfiguration:
+class ConfigurationDocuments:
     """Replaces and reads the configuration.
 
     Parameters
@@ -53,7 +53,9 @@
         self._log = log
         self._timeout = timeout_seconds
 
-    async def replace(self, document: Document) -> Accepted | Conflict | Invalid | Unavailable:
+    async def replace(
+        self, document: ConfigurationDocument
+    ) -> Accepted | Conflict | Invalid | Unavailable:
         """Offer a document; the same one offered again gets the first answer."""
         change = Change(
             change_id=_identity_of(document),
@@ -73,7 +75,7 @@
         assert isinstance(result, Accepted | Conflict | Invalid), "no other result"
         return result
 
-    async def read(self) -> Document | Unavailable:
+    async def read(self) -> ConfigurationDocument | Unavailable:
         """Return the latest document, without its resources; version 0: none was accepted."""
         try:
             async with asyncio.timeout(self._timeout):
@@ -81,9 +83,9 @@
         except (ControlUnavailableError, TimeoutError) as error:
             return Unavailable(str(error) or "no quorum answered in time")
         store = self._machine.store
-        return Document(store.version, 0, (), store.source)
+        return ConfigurationDocument(store.version, 0, (), store.source)
 
 
-def _identity_of(document: Document) -> str:
+def _identity_of(document: ConfigurationDocument) -> str:
     text = f"{document.version}/{document.base_version}/{document.source}"
     return hashlib.sha256(text.encode()).hexdigest()
--- a/src/finchshed/control/program.py
+++ b/src/finchshed/control/program.py
@@ -1,6 +1,6 @@
 """Entry point of ``finchshed control``."""
 
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.node import ControlNode
 from finchshed.control.settings import ControlSettings
 from finchshed.runtime.process import ProcessControl, run_process
@@ -10,7 +10,7 @@
     """Run a control node until it is told to stop; return the process's exit code."""
 
     async def main(control: ProcessControl) -> None:
-        node = ControlNode(settings, Background(control.faults.report_broken))
+        node = ControlNode(settings, BackgroundTasks(control.faults.report_broken))
         await node.start()
         await control.stop_requested.wait()
         await node.stop()
--- a/src/finchshed/control/raft/group_log.py
+++ b/src/finchshed/control/raft/group_log.py
@@ -13,7 +13,7 @@
 
 from finchshed.consensus.effects import RefusalCause
 from finchshed.consensus.membership import Member, MemberRole, MembershipChange
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.operators.replacement import Replacement, explain_refusal, next_step
 from finchshed.control.raft.forwarding import LeaderForwarding
 from finchshed.control.raft.host import RaftHost
@@ -27,7 +27,7 @@
     ForwardReply,
     PeerMessage,
     QuotaReply,
-    RaftLine,
+    RaftMessage,
 )
 from finchshed.control.raft.pending_outcomes import NotTakenError, UndecidedError
 from finchshed.control.raft.replicated_log import LogMemberRole, LogMemberStatus, LogStatus
@@ -53,7 +53,7 @@
         self,
         host: RaftHost,
         machine: ControlStateMachine,
-        background: Background,
+        background: BackgroundTasks,
         timeout_seconds: float,
     ) -> None:
         self._host = host
@@ -177,7 +177,7 @@
 
     def on_message(self, link: PeerLink, message: PeerMessage) -> None:
         """Handle a message of another control node."""
-        if isinstance(message, RaftLine):
+        if isinstance(message, RaftMessage):
             self._host.receive(message.envelope)
         elif isinstance(message, ForwardedCommand | ForwardedChange):
             self._background.spawn(self._forwarding.answer(link, message))
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -43,12 +43,12 @@
 from finchshed.consensus.messages import Envelope
 from finchshed.consensus.node import RaftNode
 from finchshed.consensus.options import RaftOptions
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.raft import metrics
 from finchshed.control.raft.group_changes import GroupChanges
 from finchshed.control.raft.journal_writer import JournalWriter
 from finchshed.control.raft.node_links import ControlNodeLinks
-from finchshed.control.raft.node_messages import RaftLine
+from finchshed.control.raft.node_messages import RaftMessage
 from finchshed.control.raft.pending_outcomes import (
     NotTakenError,
     Outcome,
@@ -94,7 +94,7 @@
         may_form: bool = True,
         zone: str = "",
         machine: ControlStateMachine,
-        background: Background,
+        background: BackgroundTasks,
     ) -> None:
         rng = random.Random()
         self._machine = machine
@@ -206,7 +206,7 @@
     def send(self, address: str, envelope: Envelope) -> None:
         """Send a message to another node."""
         if self._links is not None:
-            self._links.send(address, RaftLine(envelope))
+            self._links.send(address, RaftMessage(envelope))
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply a committed entry."""
--- a/src/finchshed/control/raft/node_links.py
+++ b/src/finchshed/control/raft/node_links.py
@@ -15,8 +15,8 @@
 
 from finchshed.common.backoff import Backoff
 from finchshed.control.addresses import split_address
-from finchshed.control.background import Background
-from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
+from finchshed.control.background import BackgroundTasks
+from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftMessage
 from finchshed.distribution.status import InForceReport
 from finchshed.link.lines import LineProtocol
 from finchshed.link.networks import PeerNetworks
@@ -93,7 +93,7 @@
         self,
         hello: PeerHello,
         on_message: OnMessage,
-        background: Background,
+        background: BackgroundTasks,
         networks: PeerNetworks | None = None,
         *,
         credentials: Credentials | None = None,
@@ -274,7 +274,7 @@
     """Return the name a message claims that isn't in the peer's certificate, as text."""
     if isinstance(message, PeerHello):
         sender = message.node
-    elif isinstance(message, RaftLine):
+    elif isinstance(message, RaftMessage):
         sender = message.envelope.sender.name
     elif isinstance(message, InForceReport):
         sender = message.control_node
--- a/src/finchshed/control/raft/node_messages.py
+++ b/src/finchshed/control/raft/node_messages.py
@@ -21,7 +21,7 @@
     distribution_address: str
 
 
-class RaftLine(msgspec.Struct, frozen=True, tag="raft"):
+class RaftMessage(msgspec.Struct, frozen=True, tag="raft"):
     """A message of the replicated log."""
 
     envelope: Envelope
@@ -83,7 +83,7 @@
 
 PeerMessage: TypeAlias = (
     PeerHello
-    | RaftLine
+    | RaftMessage
     | ForwardedCommand
     | ForwardedChange
     | ForwardReply
--- a/src/finchshed/control/raft/recovery.py
+++ b/src/finchshed/control/raft/recovery.py
@@ -24,7 +24,7 @@
 """Name of operator and action in the audit trail."""
 
 
-def recovered(state: StateSnapshot, index: int, time: float, source: str) -> StateSnapshot:
+def recovered_state(state: StateSnapshot, index: int, time: float, source: str) -> StateSnapshot:
     """Return the state a new group begins with.
 
     Parameters
--- a/src/finchshed/ctl/restore.py
+++ b/src/finchshed/ctl/restore.py
@@ -22,7 +22,7 @@
     encode_membership,
 )
 from finchshed.control.addresses import member_addresses, split_address
-from finchshed.control.raft.recovery import REVISION_GAP, recovered
+from finchshed.control.raft.recovery import REVISION_GAP, recovered_state
 from finchshed.control.raft.storage import LOG_FOLDER, open_log_folder
 from finchshed.control.settings import ControlSettings
 from finchshed.control.state.machine import ControlStateMachine, StateSnapshot
@@ -94,7 +94,7 @@
     configured = load(ControlSettings, settings, {}).value
     found = _read(Path(source))
     _require_silence(configured, found)
-    state = recovered(found.state, found.index, time.time(), found.text)
+    state = recovered_state(found.state, found.index, time.time(), found.text)
     is_accepted = accept_loss_after == found.state.store.revision
     view = RestoreView(
         source=source,
--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -33,7 +33,7 @@
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.ingress.host_handler import HostRequestHandler
-from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
+from finchshed.daemon.ingress.key_lease_renewal import KeyLeaseRenewal
 from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.ingress.service_handler import ServiceRequestHandler
 from finchshed.daemon.link_handler import LinkHandler
@@ -268,7 +268,7 @@
         quarantine=quarantine,
     )
     service_handler = ServiceRequestHandler(caller, state.served, state.rng, not_ready_reason)
-    lease_renewal = LeaseRenewal(client)
+    lease_renewal = KeyLeaseRenewal(client)
     quotas = QuotaGate(client, state.identity.incarnation, state.started_ms, state.rng)
     host_handler = HostRequestHandler(
         caller,
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -16,7 +16,7 @@
 from finchshed.daemon.decision_log import log_refusal
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.ingress.host_access import HostAccess
-from finchshed.daemon.ingress.host_requests import HostAdmitted, HostRequests
+from finchshed.daemon.ingress.host_requests import AdmittedHostRequest, HostRequests
 from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.ingress.responses import malformed_by_host, response_by_host
 from finchshed.daemon.serving.accounts import ServedRequests
@@ -72,7 +72,7 @@
         self._access.tenants = catalogue.tenants
         self._requests.configure(has_tenants=bool(catalogue.tenants))
 
-    def admit(self, request: InboundRequest) -> HostAdmitted | Refused:
+    def admit(self, request: InboundRequest) -> AdmittedHostRequest | Refused:
         """Judge a request by its head, before its body is read."""
         host = request.header(b"host")
         route = self._catalogue.match_host(host, request.target)
@@ -81,14 +81,14 @@
             self._log_refusal(request, route, judged)
         return judged
 
-    def max_body_bytes(self, admitted: HostAdmitted) -> int:
+    def max_body_bytes(self, admitted: AdmittedHostRequest) -> int:
         """Return the largest body taken for an admitted request."""
         return self._catalogue.limits.max_body_bytes
 
     def handle(
         self,
         request: InboundRequest,
-        admitted: HostAdmitted,
+        admitted: AdmittedHostRequest,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
         """Answer a whole request; ``respond`` is called once. Return what gives it up."""
@@ -116,7 +116,7 @@
 
     def _judge(
         self, request: InboundRequest, host: str, route: HostRoute | None
-    ) -> HostAdmitted | Refused:
+    ) -> AdmittedHostRequest | Refused:
         reason = self._not_ready_reason()
         if reason is not None:
             return self.refusal(reason)
@@ -131,13 +131,13 @@
             return tenant
         remaining = self._requests.remaining_seconds(request, route)
         service = self._choices[route.name].draw()
-        return HostAdmitted(route, service, host, remaining, clock.now(), tenant)
+        return AdmittedHostRequest(route, service, host, remaining, clock.now(), tenant)
 
     def _call_for(
         self,
         tenant: Tenant,
         request: InboundRequest,
-        admitted: HostAdmitted,
+        admitted: AdmittedHostRequest,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
         """Answer a tenant's request, once it has a token."""
--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -20,7 +20,7 @@
 from finchshed.runtime import clock
 
 
-class HostAdmitted(msgspec.Struct, frozen=True, gc=False):
+class AdmittedHostRequest(msgspec.Struct, frozen=True, gc=False):
     """What is known of a request from its head. ``began`` is in monotonic seconds.
 
     ``service`` was drawn then: the route may be gone by the end of the body. ``tenant`` holds the
@@ -65,7 +65,7 @@
         self,
         request: InboundRequest,
         identity: str,
-        admitted: HostAdmitted,
+        admitted: AdmittedHostRequest,
         served: ServedRequest | None,
     ) -> Request:
         """Return the request; ``served`` is the one it is a call for, None for a root request."""
@@ -96,7 +96,7 @@
             # No number: the caller named no deadline that counts.
             return route.timeout_seconds
 
-    def _headers(self, request: InboundRequest, admitted: HostAdmitted) -> Headers:
+    def _headers(self, request: InboundRequest, admitted: AdmittedHostRequest) -> Headers:
         """Return the headers that go to the back end, but for those of each attempt."""
         kept = tuple(
             item for item in end_to_end_headers(request.headers) if item[0] not in self._dropped
@@ -111,7 +111,9 @@
         return (*headers, (self._names.tenant, admitted.tenant.name))
 
 
-def _context(admitted: HostAdmitted, identity: str, served: ServedRequest | None) -> CallContext:
+def _context(
+    admitted: AdmittedHostRequest, identity: str, served: ServedRequest | None
+) -> CallContext:
     now = clock.now()
     remaining = admitted.remaining_seconds - (now - admitted.began)
     if served is None:
@@ -129,7 +131,7 @@
     )
 
 
-def _root_context(admitted: HostAdmitted, identity: str, remaining: float) -> CallContext:
+def _root_context(admitted: AdmittedHostRequest, identity: str, remaining: float) -> CallContext:
     """Return the context of a root request; a tenant's own class goes before the route's."""
     route, tenant = admitted.route, admitted.tenant
     spare = route.max_attempts - 1
--- a/src/finchshed/daemon/ingress/lease_renewal.py
+++ b/src/finchshed/daemon/ingress/key_lease_renewal.py
@@ -16,7 +16,7 @@
 from finchshed.tenancy.lease import RENEW_SECONDS, KeyLease
 
 
-class LeaseRenewal:
+class KeyLeaseRenewal:
     """Renews a lease for as long as tenants are declared.
 
     Attributes
--- a/src/finchshed/daemon/ingress/quota_gate.py
+++ b/src/finchshed/daemon/ingress/quota_gate.py
@@ -19,7 +19,7 @@
 from finchshed.retry.policy import RETRY_AFTER_SPREAD, retry_after
 from finchshed.runtime import clock
 
-ANSWER_SECONDS = 0.15
+ASK_TIMEOUT_SECONDS = 0.15
 """Longest wait, seconds, for tokens of the reserve; an answer takes some milliseconds in a sound
 network. Chosen, not measured."""
 
@@ -118,7 +118,7 @@
         asking.ask = ask
         self._by_number[ask.number] = tenant
         loop = asyncio.get_running_loop()
-        asking.timer = loop.call_later(ANSWER_SECONDS, self._on_unanswered, tenant, asking)
+        asking.timer = loop.call_later(ASK_TIMEOUT_SECONDS, self._on_unanswered, tenant, asking)
 
     def _on_answer(self, answer: QuotaAnswer) -> None:
         now = clock.now()
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -51,7 +51,7 @@
 _SESSION_AT = HEADER_SESSION_AT.encode("ascii")
 
 
-class ServiceAdmitted(msgspec.Struct, frozen=True):
+class AdmittedServiceRequest(msgspec.Struct, frozen=True):
     """What is known of a request from its head.
 
     ``served`` is the request of the local back end that calls on, or None for a root request.
@@ -86,7 +86,7 @@
         self._not_ready_reason = not_ready_reason
         self.catalogue = Catalogue()
 
-    def admit(self, request: InboundRequest) -> ServiceAdmitted | Refused:
+    def admit(self, request: InboundRequest) -> AdmittedServiceRequest | Refused:
         """Judge a request by its head, before its body is read."""
         reason = self._not_ready_reason()
         if reason is not None:
@@ -102,16 +102,16 @@
             if issued_at(key) is None:
                 detail = "the idempotency key must be a UUID of version 7"
                 return self.refusal(RefusalReason.KEY_INVALID, detail)
-        return ServiceAdmitted(matched, self._served.get(request.header(_ACCOUNT)))
+        return AdmittedServiceRequest(matched, self._served.get(request.header(_ACCOUNT)))
 
-    def max_body_bytes(self, admitted: ServiceAdmitted) -> int:
+    def max_body_bytes(self, admitted: AdmittedServiceRequest) -> int:
         """Return the largest body taken for an admitted request."""
         return admitted.matched.service.max_body_bytes
 
     def handle(
         self,
         request: InboundRequest,
-        admitted: ServiceAdmitted,
+        admitted: AdmittedServiceRequest,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
         """Answer a whole request; ``respond`` is called once. Return what gives it up."""
--- a/src/finchshed/daemon/parts.py
+++ b/src/finchshed/daemon/parts.py
@@ -17,10 +17,10 @@
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.ingress.host_handler import HostRequestHandler
-from finchshed.daemon.ingress.host_requests import HostAdmitted
-from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
+from finchshed.daemon.ingress.host_requests import AdmittedHostRequest
+from finchshed.daemon.ingress.key_lease_renewal import KeyLeaseRenewal
 from finchshed.daemon.ingress.quota_gate import QuotaGate
-from finchshed.daemon.ingress.service_handler import ServiceAdmitted, ServiceRequestHandler
+from finchshed.daemon.ingress.service_handler import AdmittedServiceRequest, ServiceRequestHandler
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.callee import Callee
@@ -106,10 +106,10 @@
     caller: Caller
     service_handler: ServiceRequestHandler
     host_handler: HostRequestHandler
-    lease_renewal: LeaseRenewal
+    lease_renewal: KeyLeaseRenewal
     quotas: QuotaGate
-    service_server: HttpServer[ServiceAdmitted]
-    host_server: HttpServer[HostAdmitted]
+    service_server: HttpServer[AdmittedServiceRequest]
+    host_server: HttpServer[AdmittedHostRequest]
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/control/daemons.py
+++ b/tests/control/daemons.py
@@ -13,7 +13,7 @@
 from tests.control.group import Node
 
 
-class HollowDaemon:
+class StubDaemon:
     """Keeps a connection to one of ``nodes`` and says that each revision is in force at once."""
 
     def __init__(self, name: str, nodes: Sequence[Node], endpoint: str = "") -> None:
@@ -48,7 +48,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(*daemons: HollowDaemon) -> AsyncIterator[None]:
+async def running(*daemons: StubDaemon) -> AsyncIterator[None]:
     tasks = [asyncio.create_task(daemon.client.run()) for daemon in daemons]
     try:
         yield
--- a/tests/control/test_audit.py
+++ b/tests/control/test_audit.py
@@ -5,7 +5,7 @@
 from finchshed.common.outcomes import Answered
 from finchshed.configuration.changes import Accepted, Change, Conflict
 from finchshed.configuration.resources import Operator, Service
-from finchshed.control.raft.recovery import REVISION_GAP, recovered
+from finchshed.control.raft.recovery import REVISION_GAP, recovered_state
 from finchshed.control.state.audit import MAX_SUBJECT_CHARACTERS, AuditEntry, AuditTrail
 from finchshed.control.state.commands import (
     ApplyChange,
@@ -88,7 +88,7 @@
 
 def recovered_log(log: Log) -> Log:
     state = msgspec.json.decode(log.machine.snapshot(), type=StateSnapshot)
-    after = recovered(state, state.index + 7, NOW + 1.0, "disk")
+    after = recovered_state(state, state.index + 7, NOW + 1.0, "disk")
     machine = ControlStateMachine()
     machine.restore(msgspec.json.encode(after))
     return Log(machine)
--- a/tests/control/test_forwarding.py
+++ b/tests/control/test_forwarding.py
@@ -9,7 +9,7 @@
 
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.configuration.changes import Accepted, Change
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.raft.host import RaftHost
 from finchshed.control.raft.node_links import ControlNodeLinks, PeerLink
@@ -59,7 +59,7 @@
 
 
 def following(links: LossyLinks) -> GroupLog:
-    background = Background(on_broken=lambda error: pytest.fail(str(error)))
+    background = BackgroundTasks(on_broken=lambda error: pytest.fail(str(error)))
     host = cast(Any, Follower())
     log = GroupLog(cast(RaftHost, host), ControlStateMachine(), background, TIMEOUT_SECONDS)
     log.start(cast(ControlNodeLinks, links))
--- a/tests/control/test_ledger_faults.py
+++ b/tests/control/test_ledger_faults.py
@@ -18,7 +18,7 @@
 )
 from finchshed.ledger.keys import new_key
 from finchshed.runtime import clock
-from tests.control.daemons import HollowDaemon, running
+from tests.control.daemons import StubDaemon, running
 from tests.control.group import Group
 
 ANSWER = Answered(201, (("content-type", "text/plain"),), b"licence 7\x00\xff whole")
@@ -42,7 +42,7 @@
     group: Group,
 ) -> None:
     await asyncio.to_thread(group.bootstrap)
-    daemon = HollowDaemon("edge-1", group.nodes)
+    daemon = StubDaemon("edge-1", group.nodes)
     key = fresh_key(1)
     async with running(daemon):
         await daemon.wait_for(1)
@@ -65,7 +65,7 @@
     await asyncio.to_thread(group.bootstrap)
     leader = await asyncio.to_thread(group.leader)
     others = [node for node in group.nodes if node is not leader]
-    daemon = HollowDaemon("edge-1", [leader])
+    daemon = StubDaemon("edge-1", [leader])
     key = fresh_key(2)
     async with running(daemon):
         await daemon.wait_for(1)
@@ -85,11 +85,11 @@
 ) -> None:
     await asyncio.to_thread(group.bootstrap)
     leader = await asyncio.to_thread(group.leader)
-    daemons = [HollowDaemon(f"edge-{n}", [node]) for n, node in enumerate(group.nodes)]
+    daemons = [StubDaemon(f"edge-{n}", [node]) for n, node in enumerate(group.nodes)]
     granted: dict[str, list[str]] = defaultdict(list)
     keys = [fresh_key(number) for number in range(KEYS)]
 
-    async def race(daemon: HollowDaemon, key: str) -> None:
+    async def race(daemon: StubDaemon, key: str) -> None:
         attempt = str(daemons.index(daemon))
         if isinstance(await daemon.client.ledger.begin(key, attempt, SECONDS), LedgerGranted):
             granted[key].append(attempt)
@@ -106,7 +106,7 @@
             await granted_in_the_end(daemons[0], key)
 
 
-async def granted_in_the_end(daemon: HollowDaemon, key: str) -> None:
+async def granted_in_the_end(daemon: StubDaemon, key: str) -> None:
     """Expect a grant: a refused attempt is cancelled in the background, and frees the key."""
     deadline = clock.now() + SECONDS
     while True:
--- a/tests/control/test_ledger_router.py
+++ b/tests/control/test_ledger_router.py
@@ -7,7 +7,7 @@
 from finchshed.common.outcomes import Answered
 from finchshed.configuration.changes import Change
 from finchshed.configuration.resources import Operator, Policy
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.daemons.ledger_router import LedgerRouter
 from finchshed.control.daemons.ledger_service import LedgerService
 from finchshed.control.raft.replicated_log import LogStatus
@@ -96,7 +96,7 @@
         self.log = FakeLog()
         self.shards: dict[ShardAddresses, FakeShard] = {}
         self.now = 0.0
-        own = LedgerService(self.log, Background(lambda error: pytest.fail(str(error))))
+        own = LedgerService(self.log, BackgroundTasks(lambda error: pytest.fail(str(error))))
         self.router = LedgerRouter(
             self.log.here,
             self.log,
--- a/tests/control/test_ledger_service.py
+++ b/tests/control/test_ledger_service.py
@@ -6,7 +6,7 @@
 
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.common.outcomes import Answered
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.daemons import ledger_service
 from finchshed.control.daemons.ledger_service import LedgerService
 from finchshed.control.raft.replicated_log import LogStatus
@@ -84,12 +84,12 @@
 
 
 @pytest.fixture
-def background() -> Background:
-    return Background(on_broken=lambda error: pytest.fail(str(error)))
+def background() -> BackgroundTasks:
+    return BackgroundTasks(on_broken=lambda error: pytest.fail(str(error)))
 
 
 async def test_a_begin_that_commits_after_its_daemon_was_refused_is_cancelled(
-    background: Background,
+    background: BackgroundTasks,
 ) -> None:
     log = OneNodeLog(undecided=1)
     service = LedgerService(log, background)
@@ -100,7 +100,9 @@
     assert isinstance(await service.answer(LedgerBegin(2, KEY, "b", "edge")), LedgerGranted)
 
 
-async def test_a_complete_that_may_have_committed_is_not_cancelled(background: Background) -> None:
+async def test_a_complete_that_may_have_committed_is_not_cancelled(
+    background: BackgroundTasks,
+) -> None:
     log = OneNodeLog()
     service = LedgerService(log, background)
     await service.answer(LedgerBegin(1, KEY, "a", "edge"))
@@ -112,7 +114,9 @@
     assert again == LedgerCompleted(3, ANSWER)
 
 
-async def test_each_result_reaches_the_daemon_as_its_own_message(background: Background) -> None:
+async def test_each_result_reaches_the_daemon_as_its_own_message(
+    background: BackgroundTasks,
+) -> None:
     service = LedgerService(OneNodeLog(), background)
     old = new_key(NOW - 601.0, random.Random(2))
     timeless = "6ba7b810-9dad-41d1-80b4-00c04fd430c8"
@@ -133,7 +137,7 @@
 
 
 async def test_the_log_does_not_carry_an_answer_the_ledger_would_not_keep(
-    background: Background,
+    background: BackgroundTasks,
 ) -> None:
     log = OneNodeLog()
     service = LedgerService(log, background)
@@ -145,7 +149,7 @@
 
 
 async def test_a_cancel_is_tried_until_there_is_a_quorum_again(
-    background: Background, monkeypatch: pytest.MonkeyPatch
+    background: BackgroundTasks, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ledger_service, "CANCEL_PAUSE_SECONDS", 0.0)
     log = OneNodeLog(undecided=1, refused=20)
--- a/tests/control/test_ledger_shards.py
+++ b/tests/control/test_ledger_shards.py
@@ -16,7 +16,7 @@
 from finchshed.ledger.keys import new_key
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.runtime import clock
-from tests.control.daemons import HollowDaemon, running
+from tests.control.daemons import StubDaemon, running
 from tests.control.group import BOOTSTRAP_TOKEN, Group
 
 SECONDS = 30.0
@@ -56,7 +56,7 @@
     policy = Policy(ledger_shards=tuple((shard.nodes[0].distribution,) for shard in shards))
     await asyncio.to_thread(main.bootstrap, policy)
     leader = await asyncio.to_thread(main.leader)
-    daemons = [HollowDaemon(f"edge-{n}", [node]) for n, node in enumerate(main.nodes)]
+    daemons = [StubDaemon(f"edge-{n}", [node]) for n, node in enumerate(main.nodes)]
     keys = [new_key(time.time(), random.Random(number)) for number in range(KEYS)]
     granted: dict[str, list[int]] = defaultdict(list)
 
@@ -99,7 +99,7 @@
     return False
 
 
-async def expect_answer(daemon: HollowDaemon, key: str) -> None:
+async def expect_answer(daemon: StubDaemon, key: str) -> None:
     deadline = clock.now() + SECONDS
     while True:
         answer = await daemon.client.ledger.begin(key, "again", SECONDS)
--- a/tests/control/test_malformed_input.py
+++ b/tests/control/test_malformed_input.py
@@ -14,9 +14,9 @@
 from finchshed.configuration.resources import Service
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import Append, Envelope, LeaderHeartbeat
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.daemons.ledger_service import LedgerService
-from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
+from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftMessage
 from finchshed.distribution.messages import (
     ControlToDaemon,
     DaemonToControl,
@@ -53,8 +53,8 @@
         LedgerComplete(1, "key", "attempt", Answered(200, (("a", "b"),), b"\x00body")),
         Delta(0, 3, (Service(name="s"),)),
         PeerHello("c1", "127.0.0.1:1"),
-        RaftLine(Envelope(HERE, HERE, LeaderHeartbeat(1, 2, 3))),
-        RaftLine(Envelope(HERE, HERE, Append(1, 0, 0, (Entry(1, 1, data=b"x"),), 0))),
+        RaftMessage(Envelope(HERE, HERE, LeaderHeartbeat(1, 2, 3))),
+        RaftMessage(Envelope(HERE, HERE, Append(1, 0, 0, (Entry(1, 1, data=b"x"),), 0))),
         InForceReport("c1", 3, (SubscriberStatus("n", "e", "s", "z", 3),), True),
     )
 ]
@@ -258,7 +258,7 @@
     asked: list[LedgerBegin | LedgerCancel | LedgerComplete],
 ) -> None:
     async def run() -> None:
-        service = LedgerService(OneNodeLog(), Background(pytest.fail))
+        service = LedgerService(OneNodeLog(), BackgroundTasks(pytest.fail))
         for request in asked:
             answer = await service.answer(request)
             assert isinstance(answer, LedgerAnswer)
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import (
     ForwardOutcome,
@@ -33,7 +33,7 @@
         self.received: list[PeerMessage] = []
         self.came = asyncio.Event()
         self.address = free_addresses(1)[0]
-        background = Background(lambda error: pytest.fail(str(error)))
+        background = BackgroundTasks(lambda error: pytest.fail(str(error)))
         hello = PeerHello("c1", "127.0.0.1:2")
         allowed = PeerNetworks(networks)
         self.links = ControlNodeLinks(hello, self._receive, background, allowed)
--- a/tests/control/test_platform_poller.py
+++ b/tests/control/test_platform_poller.py
@@ -9,7 +9,7 @@
 
 from finchshed.configuration.resources import Endpoint, Service
 from finchshed.distribution.messages import Hints
-from tests.control.daemons import HollowDaemon, running
+from tests.control.daemons import StubDaemon, running
 from tests.control.group import Group, free_addresses
 
 SECONDS = 30.0
@@ -68,7 +68,7 @@
     group = Group(tmp_path, voters=1)
     group.extra_settings = f'platform_list_url = "{url}"\nplatform_poll_seconds = 0.1\n'
     hints: list[tuple[str, ...]] = []
-    daemon = HollowDaemon("edge", group.nodes)
+    daemon = StubDaemon("edge", group.nodes)
     daemon.client.on_hints = lambda message: hints.append(leaving_of(message))
     try:
         group.start_all()
--- a/tests/control/test_raft_host.py
+++ b/tests/control/test_raft_host.py
@@ -8,7 +8,7 @@
 import pytest
 
 from finchshed.consensus.options import RaftOptions
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.raft.host import RaftHost
 from finchshed.control.raft.node_links import ControlNodeLinks
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 async def log(tmp_path: Path, disk: HeldDisk) -> AsyncIterator[GroupLog]:
-    background = Background(on_broken=lambda error: pytest.fail(str(error)))
+    background = BackgroundTasks(on_broken=lambda error: pytest.fail(str(error)))
     (address,) = free_addresses(1)
     machine = ControlStateMachine()
     host = RaftHost(
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -17,7 +17,7 @@
 from finchshed.quarantine.messages import Crash, CrashNews, CrashRecord
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.rpc.generated import finchshed_pb2_grpc as pb_grpc
-from tests.control.daemons import HollowDaemon, running
+from tests.control.daemons import StubDaemon, running
 from tests.control.group import OPERATOR_TOKEN, Group, digest, free_addresses
 from tests.ctl.shell import Shell
 
@@ -129,7 +129,7 @@
     assert "whole configuration" in ctl("watch --count=1")
 
 
-def while_daemons_run(daemons: list[HollowDaemon], act: Callable[[], None]) -> None:
+def while_daemons_run(daemons: list[StubDaemon], act: Callable[[], None]) -> None:
     """Run ``daemons`` on a loop in another thread during ``act``."""
     started, ended = threading.Event(), threading.Event()
 
@@ -153,8 +153,8 @@
 def test_status_names_daemons_in_force_behind_and_silent(
     ctl: Shell, declared: Path, group: Group
 ) -> None:
-    prompt = HollowDaemon("daemon-prompt", group.nodes, endpoint="sales-1")
-    slow = HollowDaemon("daemon-slow", group.nodes)
+    prompt = StubDaemon("daemon-prompt", group.nodes, endpoint="sales-1")
+    slow = StubDaemon("daemon-slow", group.nodes)
 
     def act() -> None:
         wait_for_status(ctl, lambda status: status["in_force"] == 2)
@@ -192,7 +192,7 @@
 
 
 def test_explain_shows_a_daemons_decisions(ctl: Shell, declared: Path, group: Group) -> None:
-    daemon = HollowDaemon("daemon-explained", group.nodes)
+    daemon = StubDaemon("daemon-explained", group.nodes)
     decision = Decision(0.5, "root-1", "refused", "overload", "sales-1", "queue 7 ms")
     daemon.client.on_explain = lambda request: (decision,) if request.root == "root-1" else ()
 
@@ -210,7 +210,7 @@
 def test_quarantine_shows_and_lifts_what_is_held_against_a_request(
     ctl: Shell, declared: Path, group: Group
 ) -> None:
-    daemon = HollowDaemon("daemon-beside", group.nodes)
+    daemon = StubDaemon("daemon-beside", group.nodes)
     heard: list[CrashNews] = []
     daemon.client.on_crash_news = heard.append
     crashes = tuple(Crash(f"i-{number}", True) for number in range(3))
--- a/tests/ctl/test_recovery.py
+++ b/tests/ctl/test_recovery.py
@@ -18,7 +18,7 @@
 from finchshed.ctl.connection import CONTROL_VARIABLE, TOKEN_VARIABLE
 from finchshed.distribution.messages import LedgerCompleted, LedgerGranted, LedgerUnknown
 from finchshed.ledger.keys import new_key
-from tests.control.daemons import HollowDaemon, running
+from tests.control.daemons import StubDaemon, running
 from tests.control.group import OPERATOR_TOKEN, Group, Node, apply_one
 from tests.ctl.shell import Shell
 
@@ -137,7 +137,7 @@
 
 
 async def use_ledger(group: Group, keys: dict[str, str]) -> None:
-    daemon = HollowDaemon("edge", group.voters)
+    daemon = StubDaemon("edge", group.voters)
     async with running(daemon):
         await daemon.wait_for(6)
         for name in ("begun", "done"):
@@ -148,7 +148,7 @@
 
 async def expect_ledger_after(survivor: Node, keys: dict[str, str]) -> None:
     """No key made before the recovery runs, whether the disk that is left knows it or not."""
-    daemon = HollowDaemon("edge", [survivor])
+    daemon = StubDaemon("edge", [survivor])
     daemon.revision = 7
     async with running(daemon):
         await daemon.wait_for(6 + REVISION_GAP)
--- a/tests/daemon/test_suspension.py
+++ b/tests/daemon/test_suspension.py
@@ -14,7 +14,7 @@
 
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.configuration.resources import Policy
-from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
+from finchshed.daemon.ingress.key_lease_renewal import KeyLeaseRenewal
 from finchshed.daemon.serving.guarded import GuardedRuns
 from finchshed.daemon.serving.work import Work
 from finchshed.distribution.messages import LeaseRenewed, LedgerGranted
@@ -47,7 +47,7 @@
 
 async def test_api_keys_are_not_trusted_past_their_lease(machine: Machine) -> None:
     client = Mock()
-    renewal = LeaseRenewal(client)
+    renewal = KeyLeaseRenewal(client)
     front = Front(route("/a/"), TENANT, lease=renewal.lease)
     catalogue = Mock(policy=Policy(key_trust_seconds=3.0), revision=1, tenants={"officers": TENANT})
     renewal.configure(catalogue)
--- a/tests/daemon/test_tenants_at_the_front.py
+++ b/tests/daemon/test_tenants_at_the_front.py
@@ -9,7 +9,7 @@
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.configuration.resources import Tenant
-from finchshed.daemon.ingress.host_requests import HostAdmitted
+from finchshed.daemon.ingress.host_requests import AdmittedHostRequest
 from finchshed.http.message import InboundRequest, Response
 from finchshed.tenancy.keys import digest_of_key
 from finchshed.tenancy.lease import KeyLease
@@ -176,7 +176,7 @@
     front.quotas.is_slow = True
     request = inbound("/a/1", x_api_key=KEY)
     admitted = front.front.admit(request)
-    assert isinstance(admitted, HostAdmitted)
+    assert isinstance(admitted, AdmittedHostRequest)
     responses: list[Response] = []
     give_up = front.front.handle(request, admitted, responses.append)
     assert not responses
@@ -189,7 +189,7 @@
     front.quotas.is_slow = True
     request = inbound("/a/1", x_api_key=KEY, finchshed_deadline_ms="300")
     admitted = front.front.admit(request)
-    assert isinstance(admitted, HostAdmitted)
+    assert isinstance(admitted, AdmittedHostRequest)
     front.front.handle(request, admitted, lambda _: None)
     time.sleep(0.05)
     front.quotas.waiting[0](None)
--- a/tests/forms/codecs.py
+++ b/tests/forms/codecs.py
@@ -18,7 +18,7 @@
 from finchshed.consensus.messages import Envelope
 from finchshed.control.daemons.platform_list import ListedInstance as Instance
 from finchshed.control.daemons.platform_list import decode_instances
-from finchshed.control.operators.whole_configuration import Document
+from finchshed.control.operators.configuration_document import ConfigurationDocument
 from finchshed.control.raft.node_messages import PeerMessage as ControlPeerMessage
 from finchshed.control.raft.storage import open_durable_state, open_log_folder
 from finchshed.control.state.audit import AuditEntry
@@ -171,7 +171,7 @@
 
 def document_as_typed(source: bytes) -> bytes:
     """Return, as JSON, what the platform's document in ``source`` is taken for."""
-    document: Document = read_document(source, Policy())
+    document: ConfigurationDocument = read_document(source, Policy())
     return msgspec.json.format(msgspec.json.encode(document), indent=1) + b"\n"
 
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -16,14 +16,14 @@
     Service,
     Tenant,
 )
-from finchshed.control.operators.whole_configuration import Document
+from finchshed.control.operators.configuration_document import ConfigurationDocument
 from finchshed.tenancy.keys import digest_of_key
 from finchshed_platform.documents import read_document
 from finchshed_platform.heartbeats import PATH, read_heartbeat
 from tests.platform.standin import document, rule
 
 
-def read(written: dict[str, Any]) -> Document:
+def read(written: dict[str, Any]) -> ConfigurationDocument:
     return read_document(json.dumps(written).encode(), Policy())
 
 
--- a/tests/tls/test_control_peers.py
+++ b/tests/tls/test_control_peers.py
@@ -9,9 +9,9 @@
 
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import Envelope, PreVoteReply
-from finchshed.control.background import Background
+from finchshed.control.background import BackgroundTasks
 from finchshed.control.raft.node_links import ControlNodeLinks
-from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftLine
+from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftMessage
 from finchshed.distribution.status import InForceReport
 from finchshed.link.encoding import encode_line
 from finchshed.tls.credentials import Credentials
@@ -23,9 +23,9 @@
 SECONDS = 10.0
 
 
-def raft_line(sender: str) -> RaftLine:
+def raft_line(sender: str) -> RaftMessage:
     message = PreVoteReply(term=1, granted=True)
-    return RaftLine(Envelope(NodeIdentity(sender, "1"), NodeIdentity("c1", "1"), message))
+    return RaftMessage(Envelope(NodeIdentity(sender, "1"), NodeIdentity("c1", "1"), message))
 
 
 class Node:
@@ -36,7 +36,7 @@
         self.keys = keys
         (self.address,) = free_addresses(1)
         credentials = Credentials(keys.issue(CertificateRole.CONTROL, "c1"))
-        self.background = Background(lambda error: pytest.fail(str(error)))
+        self.background = BackgroundTasks(lambda error: pytest.fail(str(error)))
         self.links = ControlNodeLinks(
             PeerHello("c1", ""),
             lambda _, message: self.received.put_nowait(message),
