--- a/src/finchshed/control/background.py
+++ b/src/finchshed/control/background.py
@@ -1,4 +1,4 @@
-"""Background tasks whose faults are not lost."""
+"""Background tasks with error reporting."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -10,12 +10,12 @@
 
 
 class BackgroundTasks:
-    """Keeps tasks alive, reports their faults, and cancels them at the end.
+    """Holds references to running tasks, reports their errors and cancels them at shutdown.
 
     Parameters
     ----------
     on_broken
-        Called with a broken invariant: the process must stop.
+        Called with a violated invariant; the process must stop.
     """
 
     def __init__(self, on_broken: Callable[[InvariantError], None]) -> None:
@@ -23,14 +23,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run ``coroutine`` as a task."""
+        """Start ``coroutine`` as a task and hold a reference to it until it ends."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
 
-    def broken(self, error: InvariantError) -> None:
-        """Report a broken invariant found outside of a task."""
+    def report_broken_invariant(self, error: InvariantError) -> None:
+        """Report an invariant violation found outside of a task."""
         self._on_broken(error)
 
     def cancel(self) -> None:
--- a/src/finchshed/control/raft/__init__.py
+++ b/src/finchshed/control/raft/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log on real disks, clocks and links, and how any node reaches its leader."""
+"""Raft replication of the control group: storage, peer connections, leader forwarding."""
--- a/src/finchshed/control/raft/forwarding.py
+++ b/src/finchshed/control/raft/forwarding.py
@@ -1,8 +1,7 @@
-"""Passes commands and changes of members to the leader, and answers those that come to it.
+"""Forwards commands and membership changes to the leader, and serves forwarded ones as leader.
 
-Owns the requests that wait for the leader's answer. Commands name themselves (a change its
-identity, a ledger request its attempt), so one that is sent again has no second effect. Relies on
-the links between control nodes, which may lose a line.
+Owns the requests that wait for the leader's reply. Messages between control nodes may be lost, so
+requests are resent; commands are idempotent (each carries a change or attempt identifier).
 """
 
 import asyncio
@@ -18,71 +17,70 @@
     ForwardOutcome,
     ForwardReply,
 )
-from finchshed.control.raft.pending_outcomes import NotTakenError, UndecidedError
+from finchshed.control.raft.pending_outcomes import OutcomeUnknownError, RequestRejectedError
 from finchshed.control.state.commands import Command, CommandResult
 
-FORWARD_FRACTION = 0.375
-"""A forwarded request unanswered for this part of its time is sent again.
+RESEND_FRACTION = 0.375
+"""Fraction of the request timeout after which an unanswered request is resent.
 
-The line may be lost, and there must be time left for the answer to the second one. Chosen, not
-measured.
+Leaves time for the reply to the second message.
 """
 
 ForwardedRequest: TypeAlias = ForwardedCommand | ForwardedChange
 
 
 class LeaderForwarding:
-    """Requests of one control node to the leader, and of others to this one.
+    """Sends requests to the leader and serves requests that other nodes forward to this one.
 
     Parameters
     ----------
     timeout_seconds
-        Longest time for one request over all of its tries.
+        Timeout of one request, including resends.
     """
 
     def __init__(self, host: RaftHost, timeout_seconds: float) -> None:
         self._host = host
-        self._timeout = timeout_seconds
+        self._timeout_seconds = timeout_seconds
         self._links: ControlNodeLinks | None = None
-        self._last_request = 0
-        self._waiting: dict[int, asyncio.Future[ForwardReply]] = {}
+        self._last_request_id = 0
+        self._pending_replies: dict[int, asyncio.Future[ForwardReply]] = {}
 
     def start(self, links: ControlNodeLinks) -> None:
-        """Send over ``links`` from now on."""
+        """Use ``links`` to reach the leader."""
         self._links = links
 
     async def propose(self, command: Command) -> CommandResult:
-        """Have the leader commit ``command``, which this node may be itself.
+        """Commit ``command`` through the leader, or directly if this node leads.
 
         Raises
         ------
-        NotTakenError
-            It had no effect, or no leader is known.
-        UndecidedError
-            It may yet be committed.
+        RequestRejectedError
+            The command had no effect, or no leader is known.
+        OutcomeUnknownError
+            The command may still be committed.
         """
         if self._host.is_leader:
             return await self._host.propose(command)
-        reply = await self._forward(ForwardedCommand(self._new_request(), command))
+        reply = await self._forward(ForwardedCommand(self._next_request_id(), command))
         if reply.result is None:
-            raise UndecidedError("the leader answered without a result")
+            raise OutcomeUnknownError("the leader's reply to a command has no result")
         return reply.result
 
     async def change_membership(self, change: MembershipChange) -> None:
-        """Have the leader commit a change of the members; raises as :meth:`propose`."""
+        """Commit a membership change through the leader; raises the errors of :meth:`propose`."""
         if self._host.is_leader:
             await self._host.change_membership(change)
         else:
-            await self._forward(ForwardedChange(self._new_request(), change))
+            await self._forward(ForwardedChange(self._next_request_id(), change))
 
     def on_reply(self, reply: ForwardReply) -> None:
-        """Hand an answer of the leader to what waits for it; a late one is dropped."""
-        future = self._waiting.get(reply.request)
+        """Complete the request that ``reply`` answers; late replies are dropped."""
+        future = self._pending_replies.get(reply.request)
         if future is not None and not future.done():
             future.set_result(reply)
 
-    async def answer(self, link: PeerLink, message: ForwardedRequest) -> None:
-        """Do what another node asked for as the leader, and answer it on ``link``."""
+    async def serve(self, link: PeerLink, message: ForwardedRequest) -> None:
+        """Execute a forwarded request as the leader and reply on ``link``."""
         request = message.request
         try:
             result = None
@@ -90,45 +88,47 @@
                 result = await self._host.propose(message.command)
             else:
                 await self._host.change_membership(message.change)
-        except NotTakenError as error:
+        except RequestRejectedError as error:
             link.send(ForwardReply(request, ForwardOutcome.NOT_TAKEN, detail=str(error)))
-        except UndecidedError as error:
+        except OutcomeUnknownError as error:
             link.send(ForwardReply(request, ForwardOutcome.UNKNOWN, detail=str(error)))
         else:
             link.send(ForwardReply(request, ForwardOutcome.DONE, result))
 
-    def _new_request(self) -> int:
-        self._last_request += 1
-        return self._last_request
+    def _next_request_id(self) -> int:
+        self._last_request_id += 1
+        return self._last_request_id
 
     async def _forward(self, message: ForwardedRequest) -> ForwardReply:
-        """Have the leader answer.
+        """Send a request to the leader and return its reply.
 
-        What comes to it twice changes nothing more than what comes once, but that the note of an
-        operator's action may then stand twice.
+        A resent request may reach the leader twice. This has no further effect, except that the
+        audit entry of an operator's action may be recorded twice.
         """
         future: asyncio.Future[ForwardReply] = asyncio.get_running_loop().create_future()
-        self._waiting[message.request] = future
+        self._pending_replies[message.request] = future
         try:
             reply = await self._send_until_answered(message, future)
         finally:
-            del self._waiting[message.request]
+            del self._pending_replies[message.request]
         if reply.outcome is ForwardOutcome.NOT_TAKEN:
-            raise NotTakenError(RefusalCause(reply.detail))
+            raise RequestRejectedError(RefusalCause(reply.detail))
         if reply.outcome is ForwardOutcome.UNKNOWN:
-            raise UndecidedError(reply.detail)
+            raise OutcomeUnknownError(reply.detail)
         return reply
 
     async def _send_until_answered(
-        self, message: ForwardedRequest, answer: asyncio.Future[ForwardReply]
+        self, message: ForwardedRequest, reply_future: asyncio.Future[ForwardReply]
     ) -> ForwardReply:
-        """Send until an answer to any of the sendings came; the caller bounds the time."""
+        """Resend until any reply arrives; the caller sets the timeout."""
         while True:
             address = self._host.node.leader_address
             if self._host.is_leader or not address or self._links is None:
-                raise NotTakenError(RefusalCause.NOT_LEADER)
+                raise RequestRejectedError(RefusalCause.NOT_LEADER)
             if not self._links.send(address, message):
-                raise NotTakenError(RefusalCause.NOT_LEADER)
-            done, _ = await asyncio.wait((answer,), timeout=FORWARD_FRACTION * self._timeout)
+                raise RequestRejectedError(RefusalCause.NOT_LEADER)
+            done, _ = await asyncio.wait(
+                (reply_future,), timeout=RESEND_FRACTION * self._timeout_seconds
+            )
             if done:
-                return answer.result()
+                return reply_future.result()
--- a/src/finchshed/control/raft/group_log.py
+++ b/src/finchshed/control/raft/group_log.py
@@ -1,10 +1,10 @@
-"""The replicated log as seen from any control node: the leader is found, and asked again.
+"""Replicated log client of a control node: retries requests until a leader commits them.
 
-Owns the tries of each request. Commands name themselves (a change its identity, a ledger request
-its attempt), so sending one again after a lost answer or a change of leader has no second effect.
+Commands are idempotent (each carries a change or attempt identifier), so retrying after a lost
+reply or a leader change has no further effect.
 
-Relies on :mod:`finchshed.control.raft.host` for this node's part in the log, and on
-:mod:`finchshed.control.raft.forwarding` for the way to the leader.
+Relies on :mod:`finchshed.control.raft.host` for the local Raft node and on
+:mod:`finchshed.control.raft.forwarding` to reach the leader.
 """
 
 import asyncio
@@ -29,24 +29,24 @@
     QuotaReply,
     RaftMessage,
 )
-from finchshed.control.raft.pending_outcomes import NotTakenError, UndecidedError
+from finchshed.control.raft.pending_outcomes import OutcomeUnknownError, RequestRejectedError
 from finchshed.control.raft.replicated_log import LogMemberRole, LogMemberStatus, LogStatus
 from finchshed.control.state.commands import Command, CommandResult
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.status import InForceReport
 from finchshed.quarantine.messages import CrashNews
 
-FINAL_CAUSES = frozenset({RefusalCause.UNKNOWN_NODE, RefusalCause.WOULD_LOSE_QUORUM})
-"""Refusals of a change of members that trying again does not cure."""
+PERMANENT_REFUSALS = frozenset({RefusalCause.UNKNOWN_NODE, RefusalCause.WOULD_LOSE_QUORUM})
+"""Causes for which a refused membership change is not retried."""
 
 
 class GroupLog:
-    """Implements :class:`finchshed.control.raft.replicated_log.ReplicatedLog` over a group.
+    """Implements :class:`finchshed.control.raft.replicated_log.ReplicatedLog` over a Raft group.
 
     Parameters
     ----------
     timeout_seconds
-        Longest time for one request over all of its tries.
+        Timeout of one request, including retries.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._host = host
         self._machine = machine
         self._background = background
-        self._timeout = timeout_seconds
+        self._timeout_seconds = timeout_seconds
         self._links: ControlNodeLinks | None = None
         self._rng = random.Random()
         self._forwarding = LeaderForwarding(host, timeout_seconds)
@@ -69,68 +69,68 @@
         self.on_quota: Callable[[PeerLink, ForwardedQuota | QuotaReply], None] = _ignore_quota
 
     def start(self, links: ControlNodeLinks) -> None:
-        """Take part in the group over ``links``."""
+        """Join the group over ``links``."""
         self._links = links
         self._forwarding.start(links)
         self._host.start(links)
 
     async def propose(self, command: Command) -> CommandResult:
         """Commit ``command`` through the leader; see :class:`ReplicatedLog`."""
-        retries = LeaderRetries(self._host, self._timeout, self._rng)
+        retries = LeaderRetries(self._host, self._timeout_seconds, self._rng)
         while True:
             try:
                 return await asyncio.wait_for(
                     self._forwarding.propose(command), retries.remaining()
                 )
-            except (NotTakenError, UndecidedError, TimeoutError) as error:
+            except (RequestRejectedError, OutcomeUnknownError, TimeoutError) as error:
                 await retries.pause(error)
 
     async def change_membership(self, change: MembershipChange) -> None:
-        """Commit a change of members through the leader.
+        """Commit a membership change through the leader.
 
         Raises
         ------
-        NotTakenError
-            The leader refused it, for a cause that trying again doesn't cure.
+        RequestRejectedError
+            The leader refused it for a cause that retrying doesn't resolve.
         ControlUnavailableError
-            No leader took it in time.
+            No leader accepted it in time.
         """
-        retries = LeaderRetries(self._host, self._timeout, self._rng)
+        retries = LeaderRetries(self._host, self._timeout_seconds, self._rng)
         while True:
             try:
                 await asyncio.wait_for(
                     self._forwarding.change_membership(change), retries.remaining()
                 )
-            except NotTakenError as error:
-                if error.cause in FINAL_CAUSES:
+            except RequestRejectedError as error:
+                if error.cause in PERMANENT_REFUSALS:
                     raise
                 await retries.pause(error)
-            except (UndecidedError, TimeoutError) as error:
+            except (OutcomeUnknownError, TimeoutError) as error:
                 await retries.pause(error)
             else:
                 return
 
     async def read_barrier(self) -> None:
-        """Return once all that was committed before the call is applied here."""
-        retries = LeaderRetries(self._host, self._timeout, self._rng)
+        """Return once every entry committed before the call is applied here."""
+        retries = LeaderRetries(self._host, self._timeout_seconds, self._rng)
         while True:
             try:
                 await asyncio.wait_for(self._host.read(), retries.remaining())
-            except (NotTakenError, UndecidedError, TimeoutError) as error:
+            except (RequestRejectedError, OutcomeUnknownError, TimeoutError) as error:
                 await retries.pause(error)
             else:
                 return
 
     def in_contact(self) -> bool:
-        """Return whether what is committed is applied here soon.
+        """Return whether this node can keep up with committed entries.
 
-        A leader must be known, which has heard of a quorum not long ago, and the disk must take
-        writes: otherwise daemons would be kept on an old revision by a node that can't go on.
+        Requires a known leader with recent quorum contact and a disk that accepts writes. A node
+        without these would keep its daemons on an old revision.
         """
         return self._host.node.leader is not None and self._host.can_write
 
     def send_report(self, report: InForceReport | DirectoryReport | CrashNews) -> None:
-        """Send a report of daemons, back ends or crashes to every other member."""
+        """Send a status, directory or crash report to every other member."""
         if self._links is None:
             return
         for member in self._host.node.membership.members:
@@ -138,11 +138,11 @@
                 self._links.send(member.address, report)
 
     def leading_term(self) -> int | None:
-        """Return the term in which this node leads, or None."""
+        """Return the current term if this node leads, or None."""
         return self._host.node.term if self._host.is_leader else None
 
     def send_to_leader(self, message: ForwardedQuota) -> bool:
-        """Send to the leader that is known; return whether there is one."""
+        """Send to the known leader; return False if there is none or the message was dropped."""
         address = self._host.node.leader_address
         if self._links is None or self._host.is_leader or not address:
             return False
@@ -151,11 +151,11 @@
     def status(self) -> LogStatus:
         """Return the state of the log at this node."""
         node = self._host.node
-        known = {status.member.identity: status for status in node.member_statuses()}
+        status_by_identity = {status.member.identity: status for status in node.member_statuses()}
         members = []
         for member in node.membership.members:
             role = LogMemberRole.LEADER if member.identity == node.leader else _role_of(member)
-            status = known.get(member.identity)
+            status = status_by_identity.get(member.identity)
             members.append(
                 LogMemberStatus(
                     name=member.identity.name,
@@ -180,7 +180,7 @@
         if isinstance(message, RaftMessage):
             self._host.receive(message.envelope)
         elif isinstance(message, ForwardedCommand | ForwardedChange):
-            self._background.spawn(self._forwarding.answer(link, message))
+            self._background.spawn(self._forwarding.serve(link, message))
         elif isinstance(message, ForwardReply):
             self._forwarding.on_reply(message)
         elif isinstance(message, InForceReport):
@@ -193,14 +193,14 @@
             self.on_quota(link, message)
 
     async def replace_member(self, replacement: Replacement) -> tuple[bool, str]:
-        """Make the next step of a replacement; return whether it is finished, and the step."""
+        """Execute the next step of a replacement; return whether it is done and a description."""
         await self.read_barrier()
         step = next_step(self.status().members, replacement)
         if step.change is None:
             return step.is_done, step.text
         try:
             await self.change_membership(step.change)
-        except NotTakenError as error:
+        except RequestRejectedError as error:
             return False, f"{step.text}: {explain_refusal(error.cause, replacement)}"
         return False, step.text
 
@@ -212,8 +212,8 @@
 
 
 def _ignore(_report: InForceReport | DirectoryReport | CrashNews) -> None:
-    """Stand in until the distribution service is connected."""
+    """Default handler until the distribution service is connected."""
 
 
 def _ignore_quota(_link: PeerLink, _message: ForwardedQuota | QuotaReply) -> None:
-    """Stand in until the quota service is connected."""
+    """Default handler until the quota service is connected."""
--- a/src/finchshed/control/raft/group_changes.py
+++ b/src/finchshed/control/raft/group_observer.py
@@ -1,6 +1,6 @@
-"""Changes of role, leader and members as a node of the log sees them: logged, counted, waited for.
+"""Logs and counts changes of role, leader and membership, and lets callers wait for them.
 
-Owns the members as they were last logged, and the event of the next change of role or leader.
+Owns the membership last logged and the event of the next role or leader change.
 """
 
 import asyncio
@@ -13,29 +13,31 @@
 from finchshed.control.raft.member_changes import count_members, describe_change
 
 
-class GroupChanges:
-    """Changes of the group at one node."""
+class GroupObserver:
+    """Observes role, leader and membership changes at one node."""
 
     def __init__(self) -> None:
         self._members = Membership()
         self._role_changed = asyncio.Event()
 
-    def on_role(self, changed: RoleChanged) -> None:
-        """Note another role of this node, or another known leader."""
-        logger.info("{} in term {}, leader {}", changed.role, changed.term, changed.leader)
+    def on_role_changed(self, changed: RoleChanged) -> None:
+        """Record a new role of this node or a new known leader."""
+        logger.info(
+            "role is {} in term {}, leader is {}", changed.role, changed.term, changed.leader
+        )
         metrics.ROLE_CHANGES.labels(changed.role.value).inc()
         self._role_changed.set()
         self._role_changed = asyncio.Event()
 
-    def on_members(self, changed: MembershipChanged) -> None:
-        """Note other members of the group."""
+    def on_membership_changed(self, changed: MembershipChanged) -> None:
+        """Record a new membership of the group."""
         before, self._members = self._members, changed.membership
         change = describe_change(before, changed.membership)
         counts = count_members(changed.membership)
-        logger.info("members at entry {}: {}; {}", changed.index, counts, change)
+        logger.info("membership at log index {}: {}; {}", changed.index, counts, change)
 
-    async def wait_for_role(self, timeout_seconds: float) -> None:
-        """Return after the role or known leader changed, or after the time."""
+    async def wait_for_role_change(self, timeout_seconds: float) -> None:
+        """Return when the role or known leader changes, or after the timeout."""
         changed = self._role_changed
         try:
             await asyncio.wait_for(changed.wait(), timeout_seconds)
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -1,11 +1,11 @@
-"""Runs a node of the replicated log on the event loop, with real disk, clock and links.
+"""Runs a Raft node on the event loop, with disk, clock and network.
 
-Events that come in during one turn of the loop are handled together, so that their entries share
-one message and one sync (group commit). What comes in during a write waits for the next.
+Events received in one loop iteration are handled as a batch, so that their entries share one
+message and one sync (group commit). Events received during a write join the next batch.
 
-Owns the node, its timer and what waits for its outcomes. Relies on
-:class:`~finchshed.control.raft.journal_writer.JournalWriter` for the disk, and on the links for
-messages, which may be lost.
+Owns the node, its timer and the pending requests. Relies on
+:class:`~finchshed.control.raft.journal_writer.JournalWriter` for the disk and on
+:class:`~finchshed.control.raft.node_links.ControlNodeLinks` for messages, which may be lost.
 """
 
 import asyncio
@@ -45,40 +45,40 @@
 from finchshed.consensus.options import RaftOptions
 from finchshed.control.background import BackgroundTasks
 from finchshed.control.raft import metrics
-from finchshed.control.raft.group_changes import GroupChanges
+from finchshed.control.raft.group_observer import GroupObserver
 from finchshed.control.raft.journal_writer import JournalWriter
 from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import RaftMessage
 from finchshed.control.raft.pending_outcomes import (
-    NotTakenError,
     Outcome,
+    OutcomeUnknownError,
     PendingOutcomes,
-    UndecidedError,
+    RequestRejectedError,
 )
 from finchshed.control.raft.storage import open_durable_state, open_log_folder
 from finchshed.control.state.commands import Command, CommandResult, LogEntry, encode_entry
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.runtime import clock
 
-OBSERVE_SECONDS = 0.1
-"""Time between settings of the gauges; at each step they took 7 % of a leader in a profile."""
+GAUGE_INTERVAL_SECONDS = 0.1
+"""Interval between updates of the gauges, which are too costly to update at each step."""
 
-MakeEvent: TypeAlias = Callable[[int], Event]
+EventFactory: TypeAlias = Callable[[int], Event]
 
 
 class RaftHost:
-    """One node of the replicated log.
+    """Hosts one Raft node.
 
     Parameters
     ----------
     name, address
-        This node's name, and the address where others reach it.
+        This node's name, and the address at which other nodes reach it.
     voters
-        Address by name of the voters the group is formed of.
+        Addresses of the initial voters, by name.
     data_folder
-        Where the log is kept.
+        Folder of the log.
     may_form
-        Whether this node may form the group.
+        Whether this node may bootstrap the group.
     zone
         Zone of this machine; voters are spread over zones.
     """
@@ -120,21 +120,23 @@
         self._timer: asyncio.TimerHandle | None = None
         self._pending = PendingOutcomes()
         self._last_applied: tuple[int, CommandResult | None] = (0, None)
-        self._changes = GroupChanges()
+        self._observer = GroupObserver()
         self._is_stopped = False
-        self._observe_due = 0.0
+        self._gauges_due = 0.0
 
     def start(self, links: ControlNodeLinks) -> None:
-        """Bring the state machine to what the disk holds, and take part in the group."""
+        """Restore the state machine from disk and join the group."""
         self._links = links
         started = clock.now()
         self._runner.start(clock.now())
         self._after_step()
         elapsed = clock.now() - started
-        logger.info("state at entry {} after {:.3f} s", self._machine.applied_index, elapsed)
+        logger.info(
+            "state restored to log index {} in {:.3f} s", self._machine.applied_index, elapsed
+        )
 
     async def stop(self) -> None:
-        """Write what is still to be written and close the folder."""
+        """Finish pending writes and close the log folder."""
         self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -143,16 +145,16 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads."""
+        """Whether this node is the leader."""
         return self.node.role is RaftRole.LEADER
 
     @property
     def can_write(self) -> bool:
-        """Whether the disk takes writes: it isn't full, and none has been running for long.
+        """Whether the disk accepts writes: it isn't full and no write is stalled.
 
-        A node that can't write still hears its leader, but applies nothing new.
+        A node that can't write still receives from its leader but applies nothing new.
         """
-        return not (self.node.disk_full or self._journal.is_stuck)
+        return not (self.node.disk_full or self._journal.is_stalled)
 
     @property
     def journal_bytes(self) -> int:
@@ -164,92 +166,95 @@
 
         Raises
         ------
-        NotTakenError
-            It had no effect.
-        UndecidedError
-            It may yet be committed.
+        RequestRejectedError
+            The command had no effect.
+        OutcomeUnknownError
+            The command may still be committed.
         """
         data = encode_entry(LogEntry(time.time(), command))
         result = await self._submit(lambda token: Propose(token, data))
         if result is None:
-            raise InvariantError("a committed command has no result")
+            raise InvariantError(f"committed {type(command).__name__} has no result")
         return result
 
     async def change_membership(self, change: MembershipChange) -> None:
-        """Commit a change of the members as the leader; raises as :meth:`propose`."""
+        """Commit a membership change as the leader; raises the errors of :meth:`propose`."""
         await self._submit(lambda token: ChangeMembership(token, change))
 
     async def read(self) -> None:
-        """Return once the state here holds all that was committed before the call.
+        """Return once every entry committed before the call is applied here.
 
         Raises
         ------
-        NotTakenError
+        RequestRejectedError
             No quorum confirmed it in time.
         """
         await self._submit(Read)
 
     def transfer_leadership(self) -> None:
-        """Hand leadership over to the best voter."""
+        """Transfer leadership to the most up-to-date voter."""
         self._post(TransferLeadership())
 
     def receive(self, envelope: Envelope) -> None:
-        """Handle a message of another node."""
+        """Handle a Raft message from another node."""
         self._post(Received(envelope))
 
     async def wait_for_role_change(self, timeout_seconds: float) -> None:
-        """Return after the role or known leader changed, or after the time."""
-        await self._changes.wait_for_role(timeout_seconds)
+        """Return when the role or known leader changes, or after the timeout."""
+        await self._observer.wait_for_role_change(timeout_seconds)
 
-    # What the runner asks of its host.
+    # Callbacks of the effect runner.
 
     def send(self, address: str, envelope: Envelope) -> None:
-        """Send a message to another node."""
+        """Send a Raft message to another node."""
         if self._links is not None:
             self._links.send(address, RaftMessage(envelope))
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply a committed entry."""
         self._last_applied = (index, self._machine.apply(index, data))
-        metrics.APPLIED.inc()
+        metrics.APPLIED_ENTRIES.inc()
 
     def restore(self, index: int, data: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
         self._machine.restore(data)
-        logger.info("state replaced by the snapshot of entry {}", index)
+        logger.info("state replaced with the snapshot at log index {}", index)
 
     def snapshot(self) -> bytes:
-        """Return the state."""
+        """Return a snapshot of the state."""
         started = clock.now()
         data = self._machine.snapshot()
         metrics.SNAPSHOT_SECONDS.observe(clock.now() - started)
         return data
 
     def report(self, effect: Effect) -> None:
-        """Hand on the outcome of a proposal, read or change, or note a change of role."""
+        """Resolve the pending request of ``effect``, or record a role or membership change."""
         match effect:
             case Committed():
                 self._pending.resolve(effect.token, self._result_of(effect.index))
             case ReadReady():
                 self._pending.resolve(effect.token, None)
             case Lost():
-                self._pending.fail(effect.token, UndecidedError("leadership ended"))
+                self._pending.fail(
+                    effect.token,
+                    OutcomeUnknownError("leadership was lost before the entry was committed"),
+                )
             case RequestRefused():
-                self._pending.fail(effect.token, NotTakenError(effect.cause))
+                self._pending.fail(effect.token, RequestRejectedError(effect.cause))
             case ReadFailed():
-                self._pending.fail(effect.token, NotTakenError(RefusalCause.NOT_READY))
+                self._pending.fail(effect.token, RequestRejectedError(RefusalCause.NOT_READY))
             case RoleChanged():
-                self._changes.on_role(effect)
+                self._observer.on_role_changed(effect)
             case MembershipChanged():
-                self._changes.on_members(effect)
+                self._observer.on_membership_changed(effect)
 
-    def _submit(self, make_event: MakeEvent) -> Outcome:
+    def _submit(self, make_event: EventFactory) -> Outcome:
         token, outcome = self._pending.add()
         self._post(make_event(token))
         return outcome
 
     def _result_of(self, index: int) -> CommandResult | None:
-        """Return the result of the entry applied last, if it is the one at ``index``."""
+        """Return the result of the last applied entry, or None if that isn't ``index``."""
         applied_index, result = self._last_applied
         return result if applied_index == index else None
 
@@ -271,7 +276,7 @@
         try:
             self._runner.handle(events, clock.now())
         except InvariantError as error:
-            self._background.broken(error)
+            self._background.report_broken_invariant(error)
             return
         self._after_step()
 
@@ -283,9 +288,9 @@
         delay = self.node.next_delay()
         self._timer = asyncio.get_running_loop().call_later(delay, self._step, [Tick()])
         now = clock.now()
-        if now >= self._observe_due:
-            self._observe_due = now + OBSERVE_SECONDS
-            metrics.observe(self.node, self.journal_bytes)
+        if now >= self._gauges_due:
+            self._gauges_due = now + GAUGE_INTERVAL_SECONDS
+            metrics.update_gauges(self.node, self.journal_bytes)
 
     async def _write(self) -> None:
         outcome = await self._journal.write(self._runner.next_writes())
@@ -294,6 +299,6 @@
         try:
             self._runner.written(outcome, clock.now())
         except InvariantError as error:
-            self._background.broken(error)
+            self._background.report_broken_invariant(error)
             return
         self._after_step()
--- a/src/finchshed/control/raft/leader_retries.py
+++ b/src/finchshed/control/raft/leader_retries.py
@@ -1,6 +1,6 @@
-"""Pauses between the tries of one request to the leader, until its time is up.
+"""Retry backoff of one request to the leader, up to the request's deadline.
 
-Owns the deadline of the request. Relies on the host of the log, which says when a leader is known.
+Owns the deadline. Relies on the Raft host to end a pause when the leader changes.
 """
 
 import asyncio
@@ -11,17 +11,17 @@
 from finchshed.control.raft.host import RaftHost
 
 RETRY_BACKOFF = Backoff(first_seconds=0.02, longest_seconds=0.5)
-"""Pauses between tries, seconds; the news of another leader ends one earlier. The longest is half
-of the shortest election timeout as set by default. Chosen, not measured."""
+"""Backoff between attempts; a leader change ends a pause early. The longest pause is half of the
+default minimum election timeout."""
 
 
 class LeaderRetries:
-    """Pauses of one request.
+    """Retry state of one request.
 
     Parameters
     ----------
     timeout_seconds
-        Longest time for the request over all of its tries.
+        Timeout of the request, including retries.
     """
 
     def __init__(self, host: RaftHost, timeout_seconds: float, rng: random.Random) -> None:
@@ -31,16 +31,16 @@
         self._failures = 0
 
     def remaining(self) -> float:
-        """Return the seconds left."""
+        """Return the seconds until the deadline."""
         return max(0.0, self._deadline - asyncio.get_running_loop().time())
 
     async def pause(self, error: Exception) -> None:
-        """Wait for a new leader or a while.
+        """Wait for a leader change or until the backoff ends.
 
         Raises
         ------
         ControlUnavailableError
-            The time is up; ``error`` is its cause.
+            The deadline has passed; ``error`` is the cause.
         """
         if self.remaining() <= 0.0:
             text = str(error) or "no quorum answered in time"
--- a/src/finchshed/control/raft/member_changes.py
+++ b/src/finchshed/control/raft/member_changes.py
@@ -1,16 +1,16 @@
-"""Words for a change of the control group's members, for the log."""
+"""Text of membership changes for the log. Pure."""
 
 from finchshed.consensus.membership import Member, MemberRole, Membership
 
 
 def count_members(membership: Membership) -> str:
-    """Return how many members vote and how many don't."""
+    """Return the number of voters and learners as text."""
     voters = len(membership.voters)
     return f"{voters} voters, {len(membership.members) - voters} learners"
 
 
 def describe_change(before: Membership, after: Membership) -> str:
-    """Return what became of each member that differs, in the order of identities."""
+    """Return the role change of each changed member, ordered by identity."""
     earlier = {member.identity: member for member in before.members}
     later = {member.identity: member for member in after.members}
     changes = [
--- a/src/finchshed/control/raft/metrics.py
+++ b/src/finchshed/control/raft/metrics.py
@@ -4,7 +4,7 @@
 from finchshed.consensus.node import RaftNode
 from finchshed.observability.instruments import Counter, Gauge, Histogram
 
-APPLIED = Counter("finchshed_control_entries_applied", "Commands of the log applied here")
+APPLIED_ENTRIES = Counter("finchshed_control_entries_applied", "Commands of the log applied here")
 ROLE_CHANGES = Counter(
     "finchshed_control_role_changes", "Changes of role or known leader", ["role"]
 )
@@ -26,8 +26,8 @@
 JOURNAL_BYTES = Gauge("finchshed_control_journal_bytes", "Size of the journal file")
 
 
-def observe(node: RaftNode, journal_bytes: int) -> None:
-    """Set the gauges from the node's state."""
+def update_gauges(node: RaftNode, journal_bytes: int) -> None:
+    """Update the gauges from the node's state."""
     TERM.set(node.term)
     IS_LEADER.set(node.role is RaftRole.LEADER)
     HAS_LEADER.set(node.leader is not None)
--- a/src/finchshed/control/raft/node_links.py
+++ b/src/finchshed/control/raft/node_links.py
@@ -1,8 +1,8 @@
-"""Connections between control nodes: each node dials every other and sends on its own link.
+"""Connections between control nodes: each node dials every other one and sends on its own link.
 
-Owns the connections. Answers to forwarded requests return on the link they came by. Everything
-else may be lost: the replicated log sends again, reports are repeated. So a peer that doesn't read
-is never waited for; what its buffer can't take is dropped.
+Owns the connections. Replies to forwarded requests return on the link the request arrived on.
+Delivery is best effort: the replicated log resends and reports are repeated, so messages to a peer
+that doesn't read are dropped instead of blocking the sender.
 """
 
 import asyncio
@@ -26,73 +26,74 @@
 from finchshed.tls.names import CertificateRole, name_of, unproven
 
 PeerLink: TypeAlias = LineProtocol[PeerMessage]
-OnMessage: TypeAlias = Callable[[PeerLink, PeerMessage], None]
+MessageHandler: TypeAlias = Callable[[PeerLink, PeerMessage], None]
 
 MAX_LINE_BYTES = 96 << 20
-"""Longest line taken from another control node, bytes: a snapshot of the state is in one."""
+"""Longest line accepted from another control node; a state snapshot is sent as one line."""
 
 MAX_UNSENT_BYTES = 32 << 20
-"""A peer with more than this unsent gets nothing more until it reads. Chosen, not measured."""
+"""Messages to a peer are dropped while its send buffer exceeds this size."""
 
-CONNECT_SECONDS = 1.0
-"""Longest wait for a connection to be made. Chosen, not measured."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+"""Timeout of one connection attempt."""
 
 DIAL_BACKOFF = Backoff(first_seconds=0.05, longest_seconds=1.0)
-"""Pauses after dials that failed in a row, seconds, without jitter: a group has a handful of nodes,
-and one that comes up ends the pauses of the others by dialling them. Chosen, not measured."""
+"""Backoff after consecutive failed dials. No jitter: groups are small, and an inbound connection
+from a node ends the backoff to it."""
 
-WAITING_MESSAGES = 64
-"""Messages kept while a connection is being made; the newest are kept. Chosen, not
-measured."""
+MAX_QUEUED_MESSAGES = 64
+"""Messages queued while connecting; the oldest are dropped first."""
 
-UNACKNOWLEDGED_MILLISECONDS = 3_000
-"""A connection whose data the other side doesn't acknowledge for this long is closed, so that a
-healed cut is used at once instead of after the kernel's backed-off retransmission. Chosen, not
-measured."""
+TCP_USER_TIMEOUT_MILLISECONDS = 3_000
+"""TCP_USER_TIMEOUT: a connection with data unacknowledged for this long is closed.
 
-DROPPED = Counter(
+After a network partition heals, a new connection recovers faster than the kernel's backed-off
+retransmission.
+"""
+
+DROPPED_MESSAGES = Counter(
     "finchshed_control_peer_dropped", "Messages to control nodes dropped: buffer full or no link"
 )
 
 
-class _Outbound:
-    """The link to one address, made when needed and again after it ended."""
+class _OutboundLink:
+    """Outbound link to one address, opened on demand and reopened after it closes."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.link: PeerLink | None = None
-        self.waiting: list[PeerMessage] = []
+        self.queued: list[PeerMessage] = []
         self.is_connecting = False
         self.failures = 0
         self.opened_at = 0.0
-        self.wake = asyncio.Event()
+        self.peer_seen = asyncio.Event()
 
-    def next_pause(self) -> float:
-        """Return the seconds to wait after one more failure."""
+    def next_backoff(self) -> float:
+        """Count a failure and return the seconds to wait after it."""
         pause = DIAL_BACKOFF.bound(self.failures)
         self.failures += 1
         return pause
 
 
 class ControlNodeLinks:
-    """All connections of one control node to others.
+    """All connections of one control node to its peers.
 
     Parameters
     ----------
     hello
-        First line of each connection made here.
+        First message on each outbound connection.
     on_message
-        Called with each message and the link it came by.
+        Called with each message and the link it arrived on.
     networks
-        Networks that other control nodes connect from; None for any.
+        Networks from which peers may connect; None for any.
     credentials
-        Keys for TLS; None: plain text.
+        TLS credentials; None for plain text.
     """
 
     def __init__(
         self,
         hello: PeerHello,
-        on_message: OnMessage,
+        on_message: MessageHandler,
         background: BackgroundTasks,
         networks: PeerNetworks | None = None,
         *,
@@ -104,8 +105,8 @@
         self._on_message = on_message
         self._background = background
         self._networks = networks
-        self._outbound: dict[str, _Outbound] = {}
-        self._greeted: dict[PeerLink, PeerHello] = {}
+        self._outbound: dict[str, _OutboundLink] = {}
+        self._hello_by_link: dict[PeerLink, PeerHello] = {}
         self._inbound: set[PeerLink] = set()
         self._server: Server | None = None
         self._is_closed = False
@@ -128,57 +129,58 @@
                 outbound.link.close()
 
     def send(self, address: str, message: PeerMessage) -> bool:
-        """Send to the node at ``address``; return False when it is dropped."""
+        """Send to the node at ``address``; return False if the message is dropped."""
         if self._is_closed:
             return False
         outbound = self._outbound.get(address)
         if outbound is None:
-            outbound = self._outbound[address] = _Outbound(address)
+            outbound = self._outbound[address] = _OutboundLink(address)
         if outbound.link is not None and outbound.link.is_open:
-            return self._send_on(outbound.link, message)
-        outbound.waiting.append(message)
-        del outbound.waiting[:-WAITING_MESSAGES]
+            return self._send_or_drop(outbound.link, message)
+        outbound.queued.append(message)
+        del outbound.queued[:-MAX_QUEUED_MESSAGES]
         if not outbound.is_connecting:
             outbound.is_connecting = True
             self._background.spawn(self._connect(outbound))
         return True
 
     def name_of(self, link: PeerLink) -> str:
-        """Return the name of the node that dialled ``link``, or empty."""
-        hello = self._greeted.get(link)
+        """Return the name of the node that opened ``link``, or an empty string."""
+        hello = self._hello_by_link.get(link)
         return "" if hello is None else hello.node
 
     @staticmethod
-    def _send_on(link: PeerLink, message: PeerMessage) -> bool:
+    def _send_or_drop(link: PeerLink, message: PeerMessage) -> bool:
         if link.unsent_bytes() > MAX_UNSENT_BYTES or link.send(message) == 0:
-            DROPPED.inc()
+            DROPPED_MESSAGES.inc()
             return False
         return True
 
-    async def _pause_if_refused(self, outbound: _Outbound) -> None:
-        """Wait before a connection to a peer that closed the last one at once.
+    async def _pause_after_early_close(self, outbound: _OutboundLink) -> None:
+        """Back off if the peer closed the previous connection soon after it opened.
 
-        In TLS 1.3 a peer refuses a certificate after the connection is open at this end.
+        In TLS 1.3 a peer rejects the client certificate only after the client's handshake is
+        complete, so a rejection looks like an early close.
         """
         link, outbound.link = outbound.link, None
         if self._credentials is None or link is None:
             return
-        lived = asyncio.get_running_loop().time() - outbound.opened_at
-        if lived >= DIAL_BACKOFF.longest_seconds:
+        open_seconds = asyncio.get_running_loop().time() - outbound.opened_at
+        if open_seconds >= DIAL_BACKOFF.longest_seconds:
             outbound.failures = 0
             return
-        await asyncio.sleep(outbound.next_pause())
+        await asyncio.sleep(outbound.next_backoff())
 
-    async def _connect(self, outbound: _Outbound) -> None:
-        await self._pause_if_refused(outbound)
+    async def _connect(self, outbound: _OutboundLink) -> None:
+        await self._pause_after_early_close(outbound)
         link = await self._dial(outbound)
-        if link is None and outbound.wake.is_set():
-            # It came up meanwhile; what was dialled before waits for the kernel to try again.
+        if link is None and outbound.peer_seen.is_set():
+            # The peer came up during the dial; the pending SYN retransmission would be slower.
             link = await self._dial(outbound)
         if link is None:
-            DROPPED.inc(len(outbound.waiting))
-            outbound.waiting.clear()
-            await _pause(outbound)
+            DROPPED_MESSAGES.inc(len(outbound.queued))
+            outbound.queued.clear()
+            await _wait_before_redial(outbound)
             outbound.is_connecting = False
             return
         if self._credentials is None:
@@ -188,41 +190,41 @@
         outbound.link = link
         _set_user_timeout(link)
         link.send(self._hello)
-        waiting, outbound.waiting = outbound.waiting, []
-        for message in waiting:
-            self._send_on(link, message)
+        queued, outbound.queued = outbound.queued, []
+        for message in queued:
+            self._send_or_drop(link, message)
 
-    async def _dial(self, outbound: _Outbound) -> PeerLink | None:
-        """Open a connection; None if it can't be, or if the node shows itself meanwhile.
+    async def _dial(self, outbound: _OutboundLink) -> PeerLink | None:
+        """Open a connection; return None on failure or if the peer connects here meanwhile.
 
-        A machine without power answers nothing, and the kernel sends the opening packet again only
-        after a second: a machine that comes up in between shows itself earlier, by dialling here.
+        The kernel retransmits an unanswered SYN only after a second. A peer that comes up in
+        between is noticed earlier by its own inbound connection.
         """
-        outbound.wake.clear()
+        outbound.peer_seen.clear()
         link = self._make_outbound()
         host, port = split_address(outbound.address)
-        opening = asyncio.ensure_future(self._open_connection(lambda: link, host, port))
-        woken = asyncio.ensure_future(outbound.wake.wait())
+        dialing = asyncio.ensure_future(self._open_connection(lambda: link, host, port))
+        seen = asyncio.ensure_future(outbound.peer_seen.wait())
         first = asyncio.FIRST_COMPLETED
         try:
-            await asyncio.wait((opening, woken), timeout=CONNECT_SECONDS, return_when=first)
-            if not opening.done():
+            await asyncio.wait((dialing, seen), timeout=CONNECT_TIMEOUT_SECONDS, return_when=first)
+            if not dialing.done():
                 return None
-            opening.result()
+            dialing.result()
         except OSError:
             return None
         finally:
-            woken.cancel()
-            opening.cancel()
+            seen.cancel()
+            dialing.cancel()
         return link
 
-    def _wake_links_to(self, peer_address: str) -> None:
-        """Connect at once to a node that has just shown that it is there."""
+    def _redial_now(self, peer_address: str) -> None:
+        """End the backoff to a peer that has just connected here."""
         host = split_address(peer_address)[0]
         for outbound in self._outbound.values():
             if split_address(outbound.address)[0] == host:
                 outbound.failures = 0
-                outbound.wake.set()
+                outbound.peer_seen.set()
 
     def _make_outbound(self) -> PeerLink:
         return LineProtocol(PeerMessage, self._on_message, max_line_bytes=MAX_LINE_BYTES)
@@ -244,34 +246,34 @@
 
     def _on_inbound_close(self, link: PeerLink, error: Exception | None) -> None:
         self._inbound.discard(link)
-        self._greeted.pop(link, None)
+        self._hello_by_link.pop(link, None)
         if error is not None:
-            logger.info("link of {} ended: {}", link.peer_address, error)
+            logger.info("peer link from {} closed: {}", link.peer_address, error)
 
     def _on_inbound_message(self, link: PeerLink, message: PeerMessage) -> None:
-        if fault := _unproven_sender(link, message):
-            logger.warning("link of {} closed: {}", link.peer_address, fault)
+        if mismatch := _sender_mismatch(link, message):
+            logger.warning("peer link from {} rejected: {}", link.peer_address, mismatch)
             link.abort()
         elif isinstance(message, PeerHello):
             link.greeted()
-            self._greeted[link] = message
+            self._hello_by_link[link] = message
             self.distribution_addresses[message.node] = message.distribution_address
-            self._wake_links_to(link.peer_address)
-        elif link not in self._greeted:
-            logger.warning("{} sent a message before its hello", link.peer_address)
+            self._redial_now(link.peer_address)
+        elif link not in self._hello_by_link:
+            logger.warning("peer link from {} rejected: message before hello", link.peer_address)
             link.abort()
         else:
             self._on_message(link, message)
 
 
-async def _pause(outbound: _Outbound) -> None:
-    """Wait before the next try, unless the other side has connected meanwhile."""
+async def _wait_before_redial(outbound: _OutboundLink) -> None:
+    """Wait for the backoff to end or for the peer to connect here."""
     with contextlib.suppress(TimeoutError):
-        await asyncio.wait_for(outbound.wake.wait(), outbound.next_pause())
+        await asyncio.wait_for(outbound.peer_seen.wait(), outbound.next_backoff())
 
 
-def _unproven_sender(link: PeerLink, message: PeerMessage) -> str:
-    """Return the name a message claims that isn't in the peer's certificate, as text."""
+def _sender_mismatch(link: PeerLink, message: PeerMessage) -> str:
+    """Return why the peer's certificate doesn't match the sender's name; empty if it does."""
     if isinstance(message, PeerHello):
         sender = message.node
     elif isinstance(message, RaftMessage):
@@ -287,4 +289,4 @@
     if link.transport is None:
         return
     peer = link.transport.get_extra_info("socket")
-    peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MILLISECONDS)
+    peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MILLISECONDS)
--- a/src/finchshed/control/raft/node_messages.py
+++ b/src/finchshed/control/raft/node_messages.py
@@ -1,4 +1,4 @@
-"""Lines between control nodes."""
+"""Messages between control nodes."""
 
 import enum
 from typing import TypeAlias
@@ -15,45 +15,45 @@
 
 
 class PeerHello(msgspec.Struct, frozen=True, tag="peer_hello"):
-    """First line of a connection: who dials, and where it serves daemons."""
+    """First message on a connection: the sender's name and its address for daemons."""
 
     node: str
     distribution_address: str
 
 
 class RaftMessage(msgspec.Struct, frozen=True, tag="raft"):
-    """A message of the replicated log."""
+    """Raft message."""
 
     envelope: Envelope
 
 
 class ForwardedCommand(msgspec.Struct, frozen=True, tag="command"):
-    """A command for the leader. Sending it again is harmless: commands name themselves."""
+    """Command forwarded to the leader. Resending it is safe because commands are idempotent."""
 
     request: int
     command: Command
 
 
 class ForwardedChange(msgspec.Struct, frozen=True, tag="membership_change"):
-    """A change of the group's members, for the leader."""
+    """Membership change forwarded to the leader."""
 
     request: int
     change: MembershipChange
 
 
 class ForwardOutcome(enum.StrEnum):
-    """What became of something forwarded."""
+    """Outcome of a forwarded request."""
 
     DONE = "done"
     NOT_TAKEN = "not_taken"
-    """It had no effect."""
+    """The request had no effect."""
 
     UNKNOWN = "unknown"
-    """It may yet be committed."""
+    """The request may still be committed."""
 
 
 class ForwardReply(msgspec.Struct, frozen=True, omit_defaults=True, tag="reply"):
-    """The leader's answer. ``result`` is there for a command that is done."""
+    """Leader's reply. ``result`` is set for a committed command."""
 
     request: int
     outcome: ForwardOutcome
@@ -62,20 +62,20 @@
 
 
 class DirectoryReport(msgspec.Struct, frozen=True, tag="directory_report"):
-    """Registrations of back ends whose daemons are connected to the sender."""
+    """Registrations of the back ends whose daemons are connected to the sender."""
 
     registrations: tuple[Registration, ...]
 
 
 class ForwardedQuota(msgspec.Struct, frozen=True, tag="quota"):
-    """A daemon's report or ask, for the leader; answered on the same link, or lost."""
+    """Daemon's quota request forwarded to the leader; best effort, answered on the same link."""
 
     daemon: str
     request: QuotaRequest
 
 
 class QuotaReply(msgspec.Struct, frozen=True, tag="quota_reply"):
-    """The leader's answer, for a daemon connected to the receiver."""
+    """Leader's quota answer for a daemon connected to the receiver."""
 
     daemon: str
     answer: QuotaAnswer
--- a/src/finchshed/control/raft/recovery.py
+++ b/src/finchshed/control/raft/recovery.py
@@ -1,13 +1,13 @@
-"""What becomes of a state from which a control group is begun anew. Pure.
+"""Prepares a surviving state to bootstrap a new control group after quorum loss. Pure.
 
-After the loss of a majority nobody knows what was accepted after the last entry that is left. So
-that nothing which was promised can be broken:
+After a majority is lost, entries accepted after the last surviving one are unknown. Two adjustments
+preserve the guarantees given to clients:
 
-- The revision jumps ahead by :data:`REVISION_GAP`, past every one that may have been accepted.
-  Daemons never go back, so they would otherwise stay on what was lost, and two different
-  configurations could bear one number. A change made against a lost revision gets a conflict.
-- A key made before the recovery may have been begun in what was lost. Unless its answer is at
-  hand, requests under it get "outcome unknown"; none of them runs again.
+- The revision advances by :data:`REVISION_GAP`, past every revision that may have been accepted.
+  Otherwise two different configurations could share a revision, and daemons, which never go back,
+  would keep the lost one. A change based on a lost revision gets a conflict.
+- An idempotency key from before the recovery may have been begun in a lost entry. Unless its answer
+  survived, requests under it get "outcome unknown" and are not executed again.
 """
 
 import msgspec
@@ -18,29 +18,29 @@
 from finchshed.ledger.ledger import MAX_CLOCK_LEAD_SECONDS, LedgerSnapshot
 
 REVISION_GAP = 1_000_000
-"""Nearly two years of changes at 1,400 a day."""
+"""Distance to the first new revision; exceeds any plausible number of lost changes."""
 
-RECOVERY = "restore"
-"""Name of operator and action in the audit trail."""
+RECOVERY_NAME = "restore"
+"""Operator and action of the recovery in the audit trail."""
 
 
 def recovered_state(state: StateSnapshot, index: int, time: float, source: str) -> StateSnapshot:
-    """Return the state a new group begins with.
+    """Return the initial state of the new group.
 
     Parameters
     ----------
     index
-        Entry of the log that the state shall stand for; not below the state's own.
+        Log index of the new state; not below the index of ``state``.
     time
-        Unix seconds of the recovery.
+        Time of the recovery in Unix seconds.
     source
-        Where the state was read from, for the audit trail.
+        Origin of the state, for the audit trail.
     """
     entry = AuditEntry(
         index=index,
         time=time,
-        operator=RECOVERY,
-        action=RECOVERY,
+        operator=RECOVERY_NAME,
+        action=RECOVERY_NAME,
         subject=source,
         outcome=f"changes after revision {state.store.revision} are lost",
     )
@@ -55,7 +55,7 @@
 
 def _recovered_store(store: StoreSnapshot) -> StoreSnapshot:
     revision = store.revision + REVISION_GAP
-    winners = {**store.winners, revision: Winner(f"{RECOVERY}-{revision}", RECOVERY)}
+    winners = {**store.winners, revision: Winner(f"{RECOVERY_NAME}-{revision}", RECOVERY_NAME)}
     return msgspec.structs.replace(store, revision=revision, winners=winners)
 
 
--- a/src/finchshed/control/raft/replicated_log.py
+++ b/src/finchshed/control/raft/replicated_log.py
@@ -1,4 +1,4 @@
-"""What the rest of a control node needs of the replicated log."""
+"""Interface of the replicated log to the rest of a control node."""
 
 import enum
 from typing import Protocol
@@ -12,26 +12,26 @@
 
 
 class LogMemberRole(enum.StrEnum):
-    """What a member is to the log."""
+    """Role of a member of the control group."""
 
     LEADER = "leader"
     VOTER = "voter"
     LEARNER = "learner"
-    """Becomes a voter once it has caught up."""
+    """Non-voting member that becomes a voter once it has caught up."""
 
     STANDBY = "standby"
-    """Follows the log and doesn't vote, until it takes the place of a silent voter."""
+    """Non-voting member that replaces a voter after the voter has been silent for too long."""
 
 
 class LogMemberStatus(msgspec.Struct, frozen=True):
-    """One member of the control group, as this node sees it.
+    """Status of one member of the control group as known to this node.
 
     Attributes
     ----------
     match_index
-        Highest entry known to be on the member's disk; 0 when this node doesn't know.
+        Highest log index known to be on the member's disk; 0 if unknown.
     silent_seconds
-        Time since the last sign of it, or 0 for this node itself; negative when unknown.
+        Time since the last message from it; 0 for this node, negative if unknown.
     """
 
     name: str
@@ -43,7 +43,7 @@
 
 
 class LogStatus(msgspec.Struct, frozen=True):
-    """State of the log at this node."""
+    """State of the replicated log at this node."""
 
     node: str
     leader: str
@@ -54,7 +54,7 @@
 
 
 class ReplicatedLog(Protocol):
-    """A log that every control node applies in the same order."""
+    """Log whose entries every control node applies in the same order."""
 
     async def propose(self, command: Command) -> CommandResult:
         """Commit ``command`` and return its result.
@@ -62,12 +62,12 @@
         Raises
         ------
         ControlUnavailableError
-            No quorum confirmed it in time. The command may still be committed later.
+            No quorum confirmed the command in time. It may still be committed later.
         """
         ...
 
     async def read_barrier(self) -> None:
-        """Return once this node has applied all that was committed before the call.
+        """Return once this node has applied every entry committed before the call.
 
         Raises
         ------
@@ -81,9 +81,9 @@
         ...
 
     def in_contact(self) -> bool:
-        """Return whether this node is in contact with a quorum, as far as it knows."""
+        """Return whether this node believes that it is in contact with a quorum."""
         ...
 
     def send_report(self, report: InForceReport | DirectoryReport | CrashNews) -> None:
-        """Send a report of daemons to every other member; it may be lost."""
+        """Send a report to every other member, best effort."""
         ...
--- a/src/finchshed/control/raft/storage.py
+++ b/src/finchshed/control/raft/storage.py
@@ -12,33 +12,33 @@
 
 LOG_FOLDER = "log"
 
-DAMAGED = Counter(
+DAMAGED_STARTS = Counter(
     "finchshed_control_storage_damaged",
     "Starts that found synced data damaged; the node joined its group anew as a learner",
 )
 
 
 def open_log_folder(data_folder: str) -> DataFolder:
-    """Open and lock the folder of the log.
+    """Open and lock the log folder.
 
     Raises
     ------
     StorageError
-        It can't be opened, or another process holds it.
+        The folder can't be opened, or another process has locked it.
     """
     return DataFolder(Path(data_folder) / LOG_FOLDER)
 
 
 def open_durable_state(folder: DataFolder, rng: random.Random) -> OpenedStore:
-    """Return the state in ``folder``; damaged state is set aside and a new one is begun.
+    """Return the state in ``folder``; damaged state is set aside and replaced by an empty one.
 
-    A node must never go on with a part of what it once had synced: it would break promises it
-    made. With a new incarnation it is a new member, which the group brings up to date.
+    A node must not continue with part of its synced state, because it could contradict votes and
+    acknowledgements it has sent. With a new incarnation it rejoins the group as a new member.
     """
     try:
         return open_store(folder, rng)
     except CorruptRecordError as error:
-        logger.error("durable state is damaged, set aside: {}", error)
-        DAMAGED.inc()
+        logger.error("durable state is damaged and was set aside; starting empty: {}", error)
+        DAMAGED_STARTS.inc()
         discard_damaged(folder)
         return open_store(folder, rng)
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -109,7 +109,7 @@
         near.links.send(far.address, ForwardReply(request=1, outcome=ForwardOutcome.DONE))
         await asyncio.sleep(0.05)
         started = asyncio.get_running_loop().time()
-        near.links._wake_links_to(far.address)
+        near.links._redial_now(far.address)
         async with asyncio.timeout(STEP_SECONDS):
             await far.came.wait()
         assert asyncio.get_running_loop().time() - started < 0.5
