--- a/src/finchshed/control/__init__.py
+++ b/src/finchshed/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control nodes: the replicated state, and its service to operators and daemons."""
+"""Control nodes: the replicated state and its services for operators and daemons."""
--- a/src/finchshed/control/addresses.py
+++ b/src/finchshed/control/addresses.py
@@ -1,15 +1,15 @@
-"""Addresses as the settings give them."""
+"""Parsing of addresses in the settings."""
 
 from finchshed.common.errors import SettingsError
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``a.b.c.d:port``.
+    """Split ``a.b.c.d:port`` into host and port.
 
     Raises
     ------
     SettingsError
-        There is no port.
+        The host is missing, or the port is missing or not a decimal number.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal():
@@ -18,6 +18,6 @@
 
 
 def member_addresses(members: tuple[str, ...]) -> dict[str, str]:
-    """Return address by name of members given as ``name=a.b.c.d:port``."""
+    """Map names to addresses of members given as ``name=a.b.c.d:port``."""
     pairs = (member.partition("=") for member in members)
     return {name: address for name, _, address in pairs}
--- a/src/finchshed/control/background.py
+++ b/src/finchshed/control/background.py
@@ -14,12 +14,12 @@
 
     Parameters
     ----------
-    on_broken
+    on_invariant_error
         Called with a violated invariant; the process must stop.
     """
 
-    def __init__(self, on_broken: Callable[[InvariantError], None]) -> None:
-        self._on_broken = on_broken
+    def __init__(self, on_invariant_error: Callable[[InvariantError], None]) -> None:
+        self._on_invariant_error = on_invariant_error
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -31,7 +31,7 @@
 
     def report_broken_invariant(self, error: InvariantError) -> None:
         """Report an invariant violation found outside of a task."""
-        self._on_broken(error)
+        self._on_invariant_error(error)
 
     def cancel(self) -> None:
         """Cancel every task."""
@@ -44,6 +44,6 @@
             return
         error = task.exception()
         if isinstance(error, InvariantError):
-            self._on_broken(error)
+            self._on_invariant_error(error)
         elif error is not None:
             logger.opt(exception=error).error("background task failed")
--- a/src/finchshed/control/daemons/quota_service.py
+++ b/src/finchshed/control/daemons/quota_service.py
@@ -17,7 +17,7 @@
 from finchshed.control.raft.group_log import GroupLog
 from finchshed.control.raft.node_links import PeerLink
 from finchshed.control.raft.node_messages import ForwardedQuota, QuotaReply
-from finchshed.control.state.commands import NoteQuotaHolders
+from finchshed.control.state.commands import RecordQuotaHolders
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.quota.division import QuotaDivision
 from finchshed.quota.messages import QuotaAnswer, QuotaReport, QuotaRequest
@@ -125,7 +125,7 @@
         if not added and not removed:
             return
         try:
-            await self._log.propose(NoteQuotaHolders(added, removed))
+            await self._log.propose(RecordQuotaHolders(added, removed))
         except FinchshedError as error:
             logger.info("daemons that want shares of quotas could not be noted: {}", error)
             return
--- a/src/finchshed/control/node.py
+++ b/src/finchshed/control/node.py
@@ -1,6 +1,6 @@
-"""One control node: its parts, started and stopped in order.
+"""Control node: creates, connects, starts and stops its components.
 
-Owns the parts. Which part tells which is set here and nowhere else.
+Owns the components; all callbacks between them are connected here.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from finchshed.control.raft.node_messages import PeerHello
 from finchshed.control.settings import ControlSettings
 from finchshed.control.state.machine import ControlStateMachine
-from finchshed.control.state.metrics import observe_state
+from finchshed.control.state.metrics import update_state_gauges
 from finchshed.link.networks import PeerNetworks
 from finchshed.observability.health import Health
 from finchshed.runtime import clock
@@ -30,24 +30,24 @@
     from finchshed.control.operators.rpc_server import RpcServer
     from finchshed.observability.admin import AdminServer
 
-ELECTION_SPREAD = 2.0
-"""The longest election timeout, as a multiple of the shortest, as in the Raft paper
+MAX_ELECTION_TIMEOUT_FACTOR = 2.0
+"""Ratio of the maximum to the minimum election timeout, as in the Raft paper
 (Ongaro and Ousterhout, 2014: 150 to 300 ms)."""
 
-TRANSFER_SECONDS = 2.0
-"""Longest wait at a stop until another node leads. Chosen, not measured."""
+LEADERSHIP_TRANSFER_SECONDS = 2.0
+"""Timeout of the leadership transfer at shutdown."""
 
-ALTERNATIVES_SECONDS = 2.0
-"""Time between looks at which control nodes daemons may move to. Chosen, not measured."""
+ALTERNATIVES_INTERVAL_SECONDS = 2.0
+"""Interval between updates of the control addresses sent to daemons."""
 
 
 class ControlNode:
-    """The parts of one control node.
+    """Components of one control node.
 
     Parameters
     ----------
     background
-        Runs the node's tasks; told of broken invariants.
+        Runs the node's tasks and receives invariant violations.
     """
 
     def __init__(self, settings: ControlSettings, background: BackgroundTasks) -> None:
@@ -81,25 +81,27 @@
         self._admin = _make_admin(settings, self._health)
 
     async def start(self) -> None:
-        """Take part in the group, then serve daemons and operators."""
+        """Join the group, then serve daemons and operators."""
         await self._links.start(self._settings.raft_address)
         self._log.start(self._links)
         await self._distribution.start(self._settings.distribution_address)
         if self._rpc is not None:
             await self._rpc.start(self._settings.rpc_address)
-        self._background.spawn(self._name_alternatives())
+        self._background.spawn(self._publish_alternatives())
         if self._settings.platform_list_url:
             self._spawn_poller()
-        self._background.spawn(observe_state(self._machine, self._distribution.connected_daemons))
+        self._background.spawn(
+            update_state_gauges(self._machine, self._distribution.connected_daemons)
+        )
         if self._admin is not None:
             await self._admin.start()
 
     async def stop(self) -> None:
-        """Finish requests in progress, hand leadership over and stop."""
+        """Finish requests in progress, transfer leadership and stop."""
         if self._rpc is not None:
             await self._rpc.stop(self._settings.stop_seconds)
         await self._distribution.stop(self._settings.stop_seconds)
-        await self._hand_over()
+        await self._transfer_leadership()
         self._background.cancel()
         self._links.stop()
         await self._host.stop()
@@ -113,7 +115,7 @@
             settings.raft_advertised_address or settings.raft_address,
             member_addresses(settings.voters),
             settings.data_folder,
-            options=_options(settings),
+            options=_raft_options(settings),
             may_form=settings.forms_group,
             zone=settings.zone,
             machine=self._machine,
@@ -133,12 +135,12 @@
         )
 
     def _distribution_address(self) -> str:
-        """Return the address where daemons reach this node."""
+        """Return the address at which daemons reach this node."""
         settings = self._settings
         return settings.distribution_advertised_address or settings.distribution_address
 
     def _make_rpc(self, credentials: Credentials | None) -> "RpcServer":
-        # Not at the import: a node without it needn't hold gRPC in memory.
+        # Imported lazily: a node without an RPC listener doesn't load gRPC.
         from finchshed.control.operators.rpc_server import RpcServer
         from finchshed.control.operators.service import OperatorService
 
@@ -158,24 +160,24 @@
         poller = PlatformPoller(self._settings, self._machine, self._distribution.send_hints)
         self._background.spawn(poller.run())
 
-    async def _hand_over(self) -> None:
-        """Transfer leadership, so that the group needs no election timeout."""
-        deadline = clock.now() + TRANSFER_SECONDS
+    async def _transfer_leadership(self) -> None:
+        """Transfer leadership, so that the group doesn't wait for an election timeout."""
+        deadline = clock.now() + LEADERSHIP_TRANSFER_SECONDS
         self._host.transfer_leadership()
         while self._host.is_leader and clock.now() < deadline:
             await self._host.wait_for_role_change(deadline - clock.now())
 
-    async def _name_alternatives(self) -> None:
+    async def _publish_alternatives(self) -> None:
         own = self._distribution_address()
         while True:
-            known = {*self._links.distribution_addresses.values(), own}
-            self._distribution.set_alternatives(tuple(sorted(known)))
-            await asyncio.sleep(ALTERNATIVES_SECONDS)
+            addresses = {*self._links.distribution_addresses.values(), own}
+            self._distribution.set_alternatives(tuple(sorted(addresses)))
+            await asyncio.sleep(ALTERNATIVES_INTERVAL_SECONDS)
 
     def _health(self) -> Health:
         if self._log.in_contact():
             return Health(healthy=True)
-        return Health(healthy=False, detail="no leader with a quorum is known")
+        return Health(healthy=False, detail="no contact with a leader that has a quorum")
 
     def _on_committed(self, committed: CommittedRevision) -> None:
         self._feed.on_committed(committed)
@@ -194,11 +196,12 @@
     return AdminServer(settings.admin_address, health)
 
 
-def _options(settings: ControlSettings) -> RaftOptions:
+def _raft_options(settings: ControlSettings) -> RaftOptions:
     return RaftOptions(
         heartbeat_interval_seconds=settings.heartbeat_seconds,
         election_timeout_min_seconds=settings.election_timeout_seconds,
-        election_timeout_max_seconds=ELECTION_SPREAD * settings.election_timeout_seconds,
+        election_timeout_max_seconds=MAX_ELECTION_TIMEOUT_FACTOR
+        * settings.election_timeout_seconds,
         standby_after_seconds=settings.standby_after_seconds,
         admits_standbys=settings.admits_standbys,
         tolerated_failures=settings.tolerated_failures,
--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -24,7 +24,7 @@
 from finchshed.control.operators.replacement import Replacement
 from finchshed.control.operators.revisions import RevisionFeed
 from finchshed.control.raft.replicated_log import ReplicatedLog
-from finchshed.control.state.commands import ApplyChange, NoteAction
+from finchshed.control.state.commands import ApplyChange, RecordAction
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.observability import ring
 from finchshed.rpc.change_results import result_to_message
@@ -187,7 +187,7 @@
         if max(len(request.remove), len(request.add)) > MAX_NAME_CHARACTERS:
             detail = f"remove, add: allowed are up to {MAX_NAME_CHARACTERS} characters"
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, detail)
-        await self._note(context, operator, "replace-member", replacement.describe())
+        await self._record_action(context, operator, "replace-member", replacement.describe())
         try:
             done, step = await self._membership.replace_member(replacement)
         except ControlUnavailableError as error:
@@ -221,7 +221,7 @@
         if len(request.signature) > MAX_NAME_CHARACTERS:
             problem = f"signature: allowed are {MAX_NAME_CHARACTERS} characters"
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, problem)
-        await self._note(context, operator, "lift quarantine", request.signature)
+        await self._record_action(context, operator, "lift quarantine", request.signature)
         if not self._distribution.quarantine.lift(request.signature):
             detail = f"nothing is held against a request {request.signature!r} here"
             await abort(context, grpc.StatusCode.NOT_FOUND, detail)
@@ -250,18 +250,18 @@
         """Read a snapshot of the whole state."""
         await self._access.barrier(context)
         operator = await self._access.operator(context)
-        await self._note(context, operator, "backup", "whole state")
+        await self._record_action(context, operator, "backup", "whole state")
         data = self._machine.snapshot()
         for start in range(0, len(data), BACKUP_PIECE_BYTES):
             yield pb.BackupPiece(data=data[start : start + BACKUP_PIECE_BYTES])
 
-    async def _note(
+    async def _record_action(
         self, context: grpc.aio.ServicerContext, operator: str, action: str, subject: str
     ) -> None:
         """Keep an action in the audit trail before it is done; without that it isn't done."""
         logger.info("{}: {} {}", operator, action, subject)
         try:
-            await self._log.propose(NoteAction(operator, action, subject))
+            await self._log.propose(RecordAction(operator, action, subject))
         except ControlUnavailableError as error:
             await abort(context, grpc.StatusCode.UNAVAILABLE, str(error))
 
--- a/src/finchshed/control/program.py
+++ b/src/finchshed/control/program.py
@@ -7,7 +7,7 @@
 
 
 def run(settings: ControlSettings) -> int:
-    """Run a control node until it is told to stop; return the process's exit code."""
+    """Run a control node until a stop is requested; return the process's exit code."""
 
     async def main(control: ProcessControl) -> None:
         node = ControlNode(settings, BackgroundTasks(control.faults.report_broken))
--- a/src/finchshed/control/settings.py
+++ b/src/finchshed/control/settings.py
@@ -170,5 +170,5 @@
         return TlsFiles(self.tls_certificate_file, self.tls_key_file, self.tls_authority_file)
 
     def file_problems(self) -> Mapping[str, str]:
-        """Return what is wrong with files named here, by setting (settings loader's part)."""
+        """Return problems with the configured files, by setting; called by the settings loader."""
         return problems_of(self.tls_files)
--- a/src/finchshed/control/state/__init__.py
+++ b/src/finchshed/control/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state: commands, the state machine they drive, and its metrics."""
+"""Replicated state: log commands, the state machine that applies them, and its metrics."""
--- a/src/finchshed/control/state/audit.py
+++ b/src/finchshed/control/state/audit.py
@@ -1,43 +1,41 @@
-"""Who did what, as part of the replicated state. Pure.
+"""Audit trail of operators' actions, as part of the replicated state. Pure.
 
-Every first application of a change and every action on the control group itself leaves an entry,
-so the trail is the same on every control node, outlives each of them, and can't be written by
-anyone who isn't a declared operator. Resends leave none.
+The first application of each change and each action on the control group adds an entry; resends add
+none. The trail is identical on every control node and survives the loss of a node.
 """
 
 import collections
 
 import msgspec
 
-RETENTION = 10_000
-"""Entries kept: about a week at 1,400 changes a day."""
+RETAINED_ENTRIES = 10_000
+"""Default number of entries kept."""
 
 MAX_SUBJECT_CHARACTERS = 200
-"""Longest subject kept: bounds the memory. Chosen, not measured."""
+"""Longer subjects are truncated, to bound memory."""
 
-REPEAT_SECONDS = 600.0
-"""Longest time after which an equal action counts as a resend. Chosen, not measured."""
+REPEAT_WINDOW_SECONDS = 600.0
+"""An equal action within this time of an earlier one counts as a resend."""
 
-REPEATS_LOOKED_AT = 32
-"""An action equal to one of the last so many, within :data:`REPEAT_SECONDS`, is a resend. Chosen,
-not measured."""
+REPEAT_WINDOW_ENTRIES = 32
+"""Number of latest entries searched for an equal action."""
 
 
 class AuditEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One thing an operator did.
+    """One action of an operator.
 
     Attributes
     ----------
     index
-        Entry of the log it came with.
+        Log index of the entry that recorded it.
     time
-        Unix seconds of that entry.
+        Time of that entry in Unix seconds.
     action
-        ``apply`` or the name of the operation on the control group.
+        ``apply``, or the name of an operation on the control group.
     subject
-        What it was done to; cut at :data:`MAX_SUBJECT_CHARACTERS`.
+        Object of the action; truncated to :data:`MAX_SUBJECT_CHARACTERS`.
     outcome
-        What came of it.
+        Result of the action.
     """
 
     index: int
@@ -49,30 +47,30 @@
 
 
 class AuditTrail:
-    """The latest entries, oldest first.
+    """Bounded list of the latest entries, oldest first.
 
     Parameters
     ----------
     retention
-        Entries kept; equal on every control node.
+        Number of entries kept; must be equal on every control node.
     """
 
-    def __init__(self, retention: int = RETENTION) -> None:
+    def __init__(self, retention: int = RETAINED_ENTRIES) -> None:
         self._entries: collections.deque[AuditEntry] = collections.deque(maxlen=retention)
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def add(self, entry: AuditEntry) -> None:
-        """Keep ``entry``; the oldest makes room."""
+        """Add ``entry``; the oldest entry is dropped if the trail is full."""
         subject = entry.subject
         if len(subject) > MAX_SUBJECT_CHARACTERS:
             subject = subject[: MAX_SUBJECT_CHARACTERS - 1] + "…"
         self._entries.append(msgspec.structs.replace(entry, subject=subject))
 
     def add_unless_repeated(self, entry: AuditEntry) -> None:
-        """Keep ``entry`` unless the same action of the same operator was kept just before."""
-        recent = list(self._entries)[-REPEATS_LOOKED_AT:]
+        """Add ``entry`` unless it repeats a recent action of the same operator."""
+        recent = list(self._entries)[-REPEAT_WINDOW_ENTRIES:]
         if not any(_is_repeat(entry, earlier) for earlier in recent):
             self.add(entry)
 
@@ -82,11 +80,11 @@
         return tuple(reversed(entries))
 
     def snapshot(self) -> tuple[AuditEntry, ...]:
-        """Return every entry kept."""
+        """Return all entries, oldest first."""
         return tuple(self._entries)
 
     def restore(self, entries: tuple[AuditEntry, ...]) -> None:
-        """Replace every entry."""
+        """Replace all entries."""
         self._entries.clear()
         self._entries.extend(entries)
 
@@ -97,4 +95,4 @@
         earlier.action,
         earlier.subject,
     )
-    return same and entry.time - earlier.time < REPEAT_SECONDS
+    return same and entry.time - earlier.time < REPEAT_WINDOW_SECONDS
--- a/src/finchshed/control/state/commands.py
+++ b/src/finchshed/control/state/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log and their results, as values."""
+"""Commands of the replicated log and their results. Pure."""
 
 from typing import TypeAlias
 
@@ -17,30 +17,29 @@
 
 
 class ApplyChange(msgspec.Struct, frozen=True, tag="apply_change"):
-    """Change the configuration."""
+    """Apply a configuration change."""
 
     change: Change
 
 
 class BeginRequest(msgspec.Struct, frozen=True, tag="begin"):
-    """Ask the ledger's leave to run a request."""
+    """Request permission from the ledger to execute a request."""
 
     key: str
     attempt: str
 
 
 class CancelRequest(msgspec.Struct, frozen=True, tag="cancel"):
-    """Tell the ledger that an attempt was never sent."""
+    """Release the key of an attempt that was never sent."""
 
     key: str
     attempt: str
 
 
 class CompleteRequest(msgspec.Struct, frozen=True, tag="complete"):
-    """Tell the ledger the whole answer of an attempt.
+    """Record the answer of an attempt in the ledger.
 
-    ``answer`` is None where it exceeds the ledger's byte limit: the log doesn't carry what the
-    ledger would not keep.
+    ``answer`` is None if it exceeds the ledger's size limit, to keep it out of the log.
     """
 
     key: str
@@ -48,18 +47,18 @@
     answer: Answered | None
 
 
-class NoteAction(msgspec.Struct, frozen=True, tag="note_action"):
-    """Keep in the audit trail what an operator does to the control group itself."""
+class RecordAction(msgspec.Struct, frozen=True, tag="note_action"):
+    """Record an operator's action on the control group in the audit trail."""
 
     operator: str
     action: str
     subject: str
 
 
-class NoteQuotaHolders(msgspec.Struct, frozen=True, tag="note_quota_holders"):
-    """Keep which daemons may hold a share of a quota, before the first is granted to them.
+class RecordQuotaHolders(msgspec.Struct, frozen=True, tag="note_quota_holders"):
+    """Record which daemons may hold a share of a quota, before a share is granted to them.
 
-    A new leader waits until all of them have told what they hold.
+    A new leader grants shares only after all recorded holders have reported what they hold.
     """
 
     added: tuple[str, ...] = ()
@@ -67,7 +66,7 @@
 
 
 Command: TypeAlias = (
-    ApplyChange | BeginRequest | CancelRequest | CompleteRequest | NoteAction | NoteQuotaHolders
+    ApplyChange | BeginRequest | CancelRequest | CompleteRequest | RecordAction | RecordQuotaHolders
 )
 
 CommandResult: TypeAlias = (
@@ -84,12 +83,12 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """What is written to the log.
+    """Entry of the replicated log.
 
     Attributes
     ----------
     time
-        Unix seconds of the leader's clock when it proposed the entry.
+        Leader's clock in Unix seconds when it proposed the entry.
     """
 
     time: float
@@ -100,10 +99,10 @@
 
 
 def encode_entry(entry: LogEntry) -> bytes:
-    """Return ``entry`` as bytes for the log."""
+    """Encode ``entry`` for the log."""
     return msgspec.json.encode(entry)
 
 
 def decode_entry(data: bytes) -> LogEntry:
-    """Return the entry in ``data``; raises msgspec.DecodeError when it holds none."""
+    """Decode a log entry; raises msgspec.DecodeError if ``data`` isn't one."""
     return _entry_decoder.decode(data)
--- a/src/finchshed/control/state/machine.py
+++ b/src/finchshed/control/state/machine.py
@@ -1,4 +1,4 @@
-"""The state every control node holds: configuration and ledger, driven by the replicated log.
+"""State machine of the control group: configuration, ledger and audit trail.
 
 Owns that state. Relies on the log to apply each entry once, in order, on every control node.
 """
@@ -20,8 +20,8 @@
     CommandResult,
     CompleteRequest,
     LogEntry,
-    NoteAction,
-    NoteQuotaHolders,
+    RecordAction,
+    RecordQuotaHolders,
     decode_entry,
 )
 from finchshed.ledger.epochs import OWN, EpochsSnapshot, LedgerEpochs
@@ -32,7 +32,7 @@
 
 
 class StateSnapshot(msgspec.Struct):
-    """Everything a control node holds at one index of the log."""
+    """Replicated state at one log index."""
 
     index: int
     store: StoreSnapshot
@@ -43,14 +43,14 @@
 
 
 class ControlStateMachine:
-    """Applies committed entries of the log in order. Takes no I/O and no clock.
+    """Applies committed log entries in order. Performs no I/O and reads no clock.
 
     Parameters
     ----------
     on_committed
-        Called with each accepted change of the configuration.
+        Called with each accepted configuration change.
     on_restored
-        Called after the whole state was replaced by a snapshot.
+        Called after the state was replaced with a snapshot.
     """
 
     def __init__(
@@ -69,18 +69,18 @@
         self.applied_index = 0
 
     def apply(self, index: int, data: bytes) -> CommandResult:
-        """Apply the committed entry ``data`` at ``index`` and return its result."""
+        """Apply the committed entry ``data`` at log index ``index`` and return its result."""
         if index <= self.applied_index:
-            raise InvariantError(f"entry {index} applied after {self.applied_index}")
+            raise InvariantError(f"log entry {index} applied after entry {self.applied_index}")
         try:
             entry = decode_entry(data)
         except msgspec.DecodeError as error:
-            raise InvariantError(f"entry {index} of the log can't be read: {error}") from error
+            raise InvariantError(f"cannot decode log entry {index}: {error}") from error
         self.applied_index = index
         return self._apply_entry(entry)
 
     def snapshot(self) -> bytes:
-        """Return the whole state as JSON."""
+        """Encode the state as JSON."""
         state = StateSnapshot(
             index=self.applied_index,
             store=self.store.snapshot(),
@@ -92,11 +92,11 @@
         return msgspec.json.encode(state)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the state with an encoded snapshot."""
         try:
             state = msgspec.json.decode(data, type=StateSnapshot)
         except msgspec.DecodeError as error:
-            raise InvariantError(f"snapshot can't be read: {error}") from error
+            raise InvariantError(f"cannot decode state snapshot: {error}") from error
         self.applied_index = state.index
         self.store.restore(state.store)
         self.ledger.restore(state.ledger)
@@ -107,7 +107,7 @@
             self._on_restored()
 
     def policy(self) -> Policy:
-        """Return the policy in force, or the defaults when none is declared."""
+        """Return the policy in force, or the default policy if none is declared."""
         policy = self.store.resources.get(POLICY_KEY)
         return policy if isinstance(policy, Policy) else Policy()
 
@@ -116,11 +116,11 @@
         command: Command = entry.command
         if isinstance(command, ApplyChange):
             return self._apply_change(command, entry.time)
-        if isinstance(command, NoteAction):
-            return self._note_action(command, entry.time)
-        if isinstance(command, NoteQuotaHolders):
-            kept = self.quota_holders.difference(command.removed)
-            self.quota_holders = kept.union(command.added)
+        if isinstance(command, RecordAction):
+            return self._record_action(command, entry.time)
+        if isinstance(command, RecordQuotaHolders):
+            remaining_holders = self.quota_holders.difference(command.removed)
+            self.quota_holders = remaining_holders.union(command.added)
             return Noted()
         return self._apply_to_ledger(command)
 
@@ -141,14 +141,14 @@
         is_first = self.store.result_of(command.change.change_id) is None
         result = self.store.apply(command.change)
         if is_first:
-            self._note_change(command.change, result, time)
+            self._record_change(command.change, result, time)
         self.epochs.declare(self.policy().ledger_shards, self.ledger.time)
         committed = self.store.last_committed
         if committed is not None and self._on_committed is not None:
             self._on_committed(committed)
         return result
 
-    def _note_change(self, change: Change, result: ChangeResult, time: float) -> None:
+    def _record_change(self, change: Change, result: ChangeResult, time: float) -> None:
         entry = AuditEntry(
             index=self.applied_index,
             time=time,
@@ -159,7 +159,7 @@
         )
         self.audit.add(entry)
 
-    def _note_action(self, command: NoteAction, time: float) -> CommandResult:
+    def _record_action(self, command: RecordAction, time: float) -> CommandResult:
         entry = AuditEntry(
             index=self.applied_index,
             time=time,
--- a/src/finchshed/control/state/metrics.py
+++ b/src/finchshed/control/state/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the replicated state as this node holds it."""
+"""Metrics of the replicated state on this node."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,8 +6,8 @@
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.observability.instruments import Gauge
 
-OBSERVE_SECONDS = 1.0
-"""Time between settings of the gauges. Chosen, not measured."""
+GAUGE_INTERVAL_SECONDS = 1.0
+"""Interval between updates of the gauges."""
 
 REVISION = Gauge("finchshed_control_revision", "Revision of the configuration applied here")
 DAEMONS = Gauge("finchshed_control_daemons", "Daemons connected to this control node")
@@ -18,14 +18,16 @@
 )
 
 
-async def observe_state(machine: ControlStateMachine, daemons: Callable[[], int]) -> None:
-    """Set the gauges every second, until cancelled."""
+async def update_state_gauges(
+    machine: ControlStateMachine, count_daemons: Callable[[], int]
+) -> None:
+    """Update the gauges periodically until cancelled."""
     while True:
         ledger = machine.ledger
         REVISION.set(machine.store.revision)
-        DAEMONS.set(daemons())
+        DAEMONS.set(count_daemons())
         for state, count in ledger.counts().items():
             LEDGER_KEYS.labels(state).set(count)
         LEDGER_ANSWER_BYTES.set(ledger.total_answer_bytes)
         LEDGER_TIME.set(ledger.time)
-        await asyncio.sleep(OBSERVE_SECONDS)
+        await asyncio.sleep(GAUGE_INTERVAL_SECONDS)
--- a/tests/control/test_audit.py
+++ b/tests/control/test_audit.py
@@ -14,7 +14,7 @@
     Command,
     CompleteRequest,
     LogEntry,
-    NoteAction,
+    RecordAction,
     encode_entry,
 )
 from finchshed.control.state.machine import ControlStateMachine, StateSnapshot
@@ -65,10 +65,10 @@
 
 def test_an_action_sent_again_within_minutes_is_one_entry() -> None:
     log = log_with_operator()
-    action = NoteAction("ana", "replace-member", "--add=c4")
+    action = RecordAction("ana", "replace-member", "--add=c4")
     for seconds in (0.0, 1.0, 599.0, 601.0):
         log.apply(action, NOW + seconds)
-    log.apply(NoteAction("ben", "replace-member", "--add=c4"), NOW + 602.0)
+    log.apply(RecordAction("ben", "replace-member", "--add=c4"), NOW + 602.0)
     times = [item.time - NOW for item in log.machine.audit.latest(3)]
     assert times == [602.0, 601.0, 0.0]
 
--- a/tests/control/test_forwarding.py
+++ b/tests/control/test_forwarding.py
@@ -59,7 +59,7 @@
 
 
 def following(links: LossyLinks) -> GroupLog:
-    background = BackgroundTasks(on_broken=lambda error: pytest.fail(str(error)))
+    background = BackgroundTasks(on_invariant_error=lambda error: pytest.fail(str(error)))
     host = cast(Any, Follower())
     log = GroupLog(cast(RaftHost, host), ControlStateMachine(), background, TIMEOUT_SECONDS)
     log.start(cast(ControlNodeLinks, links))
--- a/tests/control/test_ledger_service.py
+++ b/tests/control/test_ledger_service.py
@@ -85,7 +85,7 @@
 
 @pytest.fixture
 def background() -> BackgroundTasks:
-    return BackgroundTasks(on_broken=lambda error: pytest.fail(str(error)))
+    return BackgroundTasks(on_invariant_error=lambda error: pytest.fail(str(error)))
 
 
 async def test_a_begin_that_commits_after_its_daemon_was_refused_is_cancelled(
--- a/tests/control/test_quota_service.py
+++ b/tests/control/test_quota_service.py
@@ -13,7 +13,7 @@
     ApplyChange,
     Command,
     LogEntry,
-    NoteQuotaHolders,
+    RecordQuotaHolders,
     encode_entry,
 )
 from finchshed.control.state.machine import ControlStateMachine
@@ -164,7 +164,7 @@
 
 def test_noted_daemons_survive_a_snapshot() -> None:
     machine, restored = ControlStateMachine(), ControlStateMachine()
-    apply(machine, NoteQuotaHolders(("a", "b")))
-    apply(machine, NoteQuotaHolders((), ("a",)))
+    apply(machine, RecordQuotaHolders(("a", "b")))
+    apply(machine, RecordQuotaHolders((), ("a",)))
     restored.restore(machine.snapshot())
     assert restored.quota_holders == {"b"}
--- a/tests/control/test_raft_host.py
+++ b/tests/control/test_raft_host.py
@@ -13,7 +13,7 @@
 from finchshed.control.raft.host import RaftHost
 from finchshed.control.raft.node_links import ControlNodeLinks
 from finchshed.control.raft.node_messages import PeerHello
-from finchshed.control.state.commands import NoteAction
+from finchshed.control.state.commands import RecordAction
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.storage.log_store import LogStore, WriteOutcome
 from finchshed.storage.records import Write
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 async def log(tmp_path: Path, disk: HeldDisk) -> AsyncIterator[GroupLog]:
-    background = BackgroundTasks(on_broken=lambda error: pytest.fail(str(error)))
+    background = BackgroundTasks(on_invariant_error=lambda error: pytest.fail(str(error)))
     (address,) = free_addresses(1)
     machine = ControlStateMachine()
     host = RaftHost(
@@ -83,10 +83,10 @@
 async def test_a_node_whose_write_does_not_return_gives_its_daemons_up_until_it_does(
     log: GroupLog, disk: HeldDisk
 ) -> None:
-    await log.propose(NoteAction("ana", "test", "before"))
+    await log.propose(RecordAction("ana", "test", "before"))
     assert log.in_contact()
     disk.may_write.clear()
-    proposing = asyncio.create_task(log.propose(NoteAction("ana", "test", "held")))
+    proposing = asyncio.create_task(log.propose(RecordAction("ana", "test", "held")))
     await until(lambda: not log.in_contact())
     assert log.status().leader == "c1"
     disk.may_write.set()
@@ -95,9 +95,9 @@
 
 
 async def test_a_node_with_a_full_disk_is_not_in_contact(log: GroupLog, disk: HeldDisk) -> None:
-    await log.propose(NoteAction("ana", "test", "before"))
+    await log.propose(RecordAction("ana", "test", "before"))
     disk.is_full = True
-    proposing = asyncio.create_task(log.propose(NoteAction("ana", "test", "full")))
+    proposing = asyncio.create_task(log.propose(RecordAction("ana", "test", "full")))
     await until(lambda: not log.in_contact())
     disk.is_full = False
     await proposing
