--- a/tests/control/test_audit.py
+++ b/tests/control/test_audit.py
@@ -5,7 +5,7 @@
 from finchshed.common.outcomes import Answered
 from finchshed.configuration.changes import Accepted, Change, Conflict
 from finchshed.configuration.resources import Operator, Service
-from finchshed.control.raft.recovery import REVISION_GAP, recovered
+from finchshed.control.raft.recovery import REVISION_GAP, recovered_state
 from finchshed.control.state.audit import MAX_SUBJECT_CHARACTERS, AuditEntry, AuditTrail
 from finchshed.control.state.commands import (
     ApplyChange,
@@ -14,7 +14,7 @@
     Command,
     CompleteRequest,
     LogEntry,
-    NoteAction,
+    RecordAction,
     encode_entry,
 )
 from finchshed.control.state.machine import ControlStateMachine, StateSnapshot
@@ -65,10 +65,10 @@
 
 def test_an_action_sent_again_within_minutes_is_one_entry() -> None:
     log = log_with_operator()
-    action = NoteAction("ana", "replace-member", "--add=c4")
+    action = RecordAction("ana", "replace-member", "--add=c4")
     for seconds in (0.0, 1.0, 599.0, 601.0):
         log.apply(action, NOW + seconds)
-    log.apply(NoteAction("ben", "replace-member", "--add=c4"), NOW + 602.0)
+    log.apply(RecordAction("ben", "replace-member", "--add=c4"), NOW + 602.0)
     times = [item.time - NOW for item in log.machine.audit.latest(3)]
     assert times == [602.0, 601.0, 0.0]
 
@@ -88,7 +88,7 @@
 
 def recovered_log(log: Log) -> Log:
     state = msgspec.json.decode(log.machine.snapshot(), type=StateSnapshot)
-    after = recovered(state, state.index + 7, NOW + 1.0, "disk")
+    after = recovered_state(state, state.index + 7, NOW + 1.0, "disk")
     machine = ControlStateMachine()
     machine.restore(msgspec.json.encode(after))
     return Log(machine)
