--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -9,8 +9,8 @@
 
 No part is handed another one after it was built. Where events go against that order, the earlier
 part keeps a list of followers that the later ones put themselves on: :class:`BackendEvents` (calls
-show the state of the back end), :class:`CrashNewsLinks` (the quarantine sends over links), and the
-control client, whose messages each part subscribes to in its own constructor.
+show the state of the back end), :class:`CrashNewsBroadcaster` (the quarantine sends over
+links), and the control client, whose messages each part subscribes to in its own constructor.
 """
 
 import random
@@ -28,7 +28,15 @@
 from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.calling.daemon_links import DaemonLinks
 from finchshed.daemon.calling.endpoints import KnownEndpoints
-from finchshed.daemon.calling.platform_hints import OwnListing, PlatformHints
+from finchshed.daemon.calling.platform_hints import LocalMachineHints, PlatformHints
+from finchshed.daemon.components import (
+    BackendStateComponents,
+    DaemonComponents,
+    IngressComponents,
+    LinkComponents,
+    ServingComponents,
+    SharedState,
+)
 from finchshed.daemon.draining import DrainAnnouncer, DrainState
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.daemon.header_names import HeaderNames
@@ -37,20 +45,12 @@
 from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.ingress.service_handler import ServiceRequestHandler
 from finchshed.daemon.link_handler import LinkHandler
-from finchshed.daemon.parts import (
-    BackendStateParts,
-    DaemonParts,
-    IngressParts,
-    LinkParts,
-    ServingParts,
-    SharedState,
-)
 from finchshed.daemon.quarantine import Quarantine
+from finchshed.daemon.serving.at_most_once import AtMostOnceRunner
 from finchshed.daemon.serving.callee import Callee
 from finchshed.daemon.serving.control_ledger import ControlLedger
-from finchshed.daemon.serving.guarded import GuardedRuns
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.daemon.signatures import Signatures
+from finchshed.daemon.signatures import SignatureFactory
 from finchshed.directory.registrar import Registrar
 from finchshed.distribution.addresses import parse_control_address
 from finchshed.distribution.client import ControlClient
@@ -70,12 +70,12 @@
 """Bits of the seed of a daemon's random draws."""
 
 
-def build_parts(
+def build_components(
     settings: DaemonSettings,
     names: HeaderNames,
     follower_listener: FollowerListener,
     not_ready_reason: Callable[[], RefusalReason | None],
-) -> DaemonParts:
+) -> DaemonComponents:
     """Build the parts of a daemon; nothing runs yet.
 
     Parameters
@@ -89,13 +89,15 @@
     """
     state = _shared_state(settings, names)
     follower_runner = _follower_runner(state, follower_listener)
-    quarantine = Quarantine(follower_runner.client, state.crash_news_links.send)
+    quarantine = Quarantine(follower_runner.client, state.crash_news.send)
     serving = _serving_parts(state, follower_runner, quarantine)
     linked = _link_parts(state, follower_runner, quarantine, serving)
     backend_state = _backend_state_parts(state, follower_runner, serving, linked)
     client = follower_runner.client
     ingress = _ingress_parts(state, client, quarantine, linked, not_ready_reason)
-    return DaemonParts(state, follower_runner, quarantine, serving, linked, backend_state, ingress)
+    return DaemonComponents(
+        state, follower_runner, quarantine, serving, linked, backend_state, ingress
+    )
 
 
 def _shared_state(settings: DaemonSettings, names: HeaderNames) -> SharedState:
@@ -114,11 +116,11 @@
         rng=rng,
         started_ms=int(time.time() * MILLISECONDS),
         identity=EndpointIdentity(settings.endpoint, settings.service),
-        drain=DrainState.before_registration() if awaits_registration else DrainState(),
+        drain=DrainState.awaiting_registration() if awaits_registration else DrainState(),
         credentials=credentials_of(settings),
         table=table,
         paths=PathThresholds(table.path_threshold),
-        signatures=Signatures(names),
+        signatures=SignatureFactory(names),
     )
 
 
@@ -139,7 +141,7 @@
 
 def _serving_parts(
     state: SharedState, follower_runner: FollowerRunner, quarantine: Quarantine
-) -> ServingParts | None:
+) -> ServingComponents | None:
     settings = state.settings
     if not settings.backend_address:
         return None
@@ -152,7 +154,7 @@
     callee = Callee(
         settings,
         backend=backend,
-        guarded=GuardedRuns(settings, ControlLedger(follower_runner.client.ledger), state.rng),
+        guarded=AtMostOnceRunner(settings, ControlLedger(follower_runner.client.ledger), state.rng),
         served=state.served,
         paths=state.paths,
         rng=state.rng,
@@ -163,15 +165,15 @@
         signatures=state.signatures,
         quarantine=quarantine,
     )
-    return ServingParts(backend, callee)
+    return ServingComponents(backend, callee)
 
 
 def _link_parts(
     state: SharedState,
     follower_runner: FollowerRunner,
     quarantine: Quarantine,
-    serving: ServingParts | None,
-) -> LinkParts:
+    serving: ServingComponents | None,
+) -> LinkComponents:
     settings = state.settings
     platform = PlatformHints(state.table)
     handler = LinkHandler(
@@ -197,34 +199,34 @@
         for link in listener.links():
             link.send_crash_news(news)
 
-    state.crash_news_links.add(links.send_crash_news)
-    state.crash_news_links.add(send_to_callers)
-    return LinkParts(links, listener, platform, KnownEndpoints(state.table, links))
+    state.crash_news.add(links.send_crash_news)
+    state.crash_news.add(send_to_callers)
+    return LinkComponents(links, listener, platform, KnownEndpoints(state.table, links))
 
 
 def _backend_state_parts(
     state: SharedState,
     follower_runner: FollowerRunner,
-    serving: ServingParts | None,
-    linked: LinkParts,
-) -> BackendStateParts:
-    own_listing = OwnListing(state.settings.endpoint, clock.now())
-    announcer = DrainAnnouncer(state.drain, state.identity, own_listing, linked.listener)
+    serving: ServingComponents | None,
+    linked: LinkComponents,
+) -> BackendStateComponents:
+    local_hints = LocalMachineHints(state.settings.endpoint, clock.now())
+    announcer = DrainAnnouncer(state.drain, state.identity, local_hints, linked.listener)
     if serving is None:
-        return BackendStateParts(announcer, None, None)
+        return BackendStateComponents(announcer, None, None)
     monitor = BackendHealthMonitor(
         serving.backend, announcer.on_backend_draining, announcer.on_backend_returned
     )
     state.events.subscribe_answers(monitor.on_answer)
     registered = _registered_backend(state, follower_runner, serving, linked, announcer)
-    return BackendStateParts(announcer, monitor, registered)
+    return BackendStateComponents(announcer, monitor, registered)
 
 
 def _registered_backend(
     state: SharedState,
     follower_runner: FollowerRunner,
-    serving: ServingParts,
-    linked: LinkParts,
+    serving: ServingComponents,
+    linked: LinkComponents,
     announcer: DrainAnnouncer,
 ) -> RegisteredBackend | None:
     settings = state.settings
@@ -255,9 +257,9 @@
     state: SharedState,
     client: ControlClient,
     quarantine: Quarantine,
-    linked: LinkParts,
+    linked: LinkComponents,
     not_ready_reason: Callable[[], RefusalReason | None],
-) -> IngressParts:
+) -> IngressComponents:
     caller = Caller(
         state.table,
         linked.links,
@@ -281,7 +283,7 @@
         not_ready_reason=not_ready_reason,
     )
     spool = SpoolBudget(state.settings.max_spooled_bytes)
-    return IngressParts(
+    return IngressComponents(
         caller=caller,
         service_handler=service_handler,
         host_handler=host_handler,
--- a/src/finchshed/daemon/backend/answer_head.py
+++ b/src/finchshed/daemon/backend/answer_reader.py
@@ -16,7 +16,7 @@
     STATUS_SERVICE_UNAVAILABLE,
 )
 
-LOAD_PARTS = 3
+LOAD_HEADER_FIELDS = 3
 """Fields of a load header: requests running, requests waiting, slots."""
 
 HEADER_DRAINING = b"finchshed-draining"
@@ -42,7 +42,7 @@
     ) -> BackendAnswer | BackendBroken:
         """Return the answer, or why it can't be taken for the one to ``request``."""
         headers_by_name = dict(raw_headers)
-        if not self._is_to(request, headers_by_name):
+        if not self._answers_request(request, headers_by_name):
             return BackendBroken("the answer is another request's")
         is_success = STATUS_OK <= status < STATUS_MULTIPLE_CHOICES
         if request.request_id and self._seal and is_success and self._seal not in headers_by_name:
@@ -51,18 +51,18 @@
             status=status,
             headers=end_to_end_headers(raw_headers),
             body=body,
-            ran=not self._is_refusal(request, status, headers_by_name),
+            ran=not self._is_not_run(request, status, headers_by_name),
             draining=headers_by_name.get(HEADER_DRAINING) == b"1",
         )
 
-    def _is_to(self, request: BackendRequest, headers: dict[bytes, bytes]) -> bool:
+    def _answers_request(self, request: BackendRequest, headers: dict[bytes, bytes]) -> bool:
         account = request.account.encode("latin-1")
         if headers.get(_ACCOUNT, account) != account:
             return False
         identity = request.request_id.encode("latin-1")
         return not identity or headers.get(self._request, identity) == identity
 
-    def _is_refusal(
+    def _is_not_run(
         self, request: BackendRequest, status: int, headers: dict[bytes, bytes]
     ) -> bool:
         if not request.request_id:
@@ -70,9 +70,9 @@
         return self._not_run in headers or status == STATUS_MISDIRECTED_REQUEST
 
 
-def slots_of(load: str) -> int:
+def parse_slots(load: str) -> int:
     """Return the slots in a load header, ``running,waiting,slots``; 0 where it holds none."""
     parts = load.split(",")
-    if len(parts) != LOAD_PARTS or not parts[-1].strip().isdecimal():
+    if len(parts) != LOAD_HEADER_FIELDS or not parts[-1].strip().isdecimal():
         return 0
     return int(parts[-1])
--- a/src/finchshed/daemon/backend/connection.py
+++ b/src/finchshed/daemon/backend/connection.py
@@ -15,7 +15,7 @@
 import httptools
 import msgspec
 
-from finchshed.daemon.backend.answer_head import AnswerReader
+from finchshed.daemon.backend.answer_reader import AnswerReader
 from finchshed.daemon.backend.client import (
     BackendAnswer,
     BackendAnswerTooLarge,
@@ -61,7 +61,7 @@
     ) -> None:
         self.state = ConnectionState.IDLE
         self.idle_since = 0.0
-        self.kept_seconds: float | None = None
+        self.keep_alive_seconds: float | None = None
         self._reader = reader
         self._on_idle = on_idle
         self._on_closed = on_closed
@@ -116,7 +116,7 @@
             if not self._is_complete:
                 self._fail(f"malformed answer: {error}")
                 return
-            self._is_in_doubt = True
+            self._is_unusable = True
         if self._is_complete:
             # What followed in the same bytes decides whether the connection can be used again.
             answer = self._answer()
@@ -142,7 +142,7 @@
     def on_message_begin(self) -> None:
         """Note a second answer to one request."""
         if self._is_complete:
-            self._is_in_doubt = True
+            self._is_unusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep a header."""
@@ -163,7 +163,7 @@
         self._is_past_head = True
         self._ends_with_connection = not self._has_length
         if self._is_head:
-            self._is_in_doubt = True
+            self._is_unusable = True
             self._complete()
 
     def on_body(self, body: bytes) -> None:
@@ -197,7 +197,7 @@
         self._is_complete = False
         self._is_too_large = False
         self._keeps_alive = False
-        self._is_in_doubt = False
+        self._is_unusable = False
 
     def _complete(self) -> None:
         self._is_complete = True
@@ -207,7 +207,7 @@
     def _release(self) -> None:
         if self.state is not ConnectionState.AWAITING_ANSWER:
             return
-        if self._is_in_doubt or not self._keeps_alive:
+        if self._is_unusable or not self._keeps_alive:
             self._close()
             return
         self._note_keep_alive()
@@ -219,7 +219,7 @@
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
         answer = self._reader.read(self._request, self._status, self._raw_headers, body)
         if isinstance(answer, BackendBroken):
-            self._is_in_doubt = True
+            self._is_unusable = True
         elif self._ends_with_connection:
             return msgspec.structs.replace(answer, has_length=False)
         return answer
@@ -228,7 +228,7 @@
         """Note the time the back end says it keeps an idle connection for."""
         for name, value in self._raw_headers:
             if name == KEEP_ALIVE and (found := TIMEOUT_PARAMETER.search(value)):
-                self.kept_seconds = float(found.group(1))
+                self.keep_alive_seconds = float(found.group(1))
 
     def _fail(self, detail: str) -> None:
         self._finish(BackendBroken(detail))
--- a/src/finchshed/daemon/backend/events.py
+++ b/src/finchshed/daemon/backend/events.py
@@ -27,12 +27,12 @@
         """
         self._on_fault.append(on_fault)
 
-    def answered(self, answer: BackendAnswer) -> None:
+    def publish_answer(self, answer: BackendAnswer) -> None:
         """Pass an answer on."""
         for on_answer in self._on_answer:
             on_answer(answer)
 
-    def failed(self, instance: str, result: BackendResult) -> None:
+    def publish_fault(self, instance: str, result: BackendResult) -> None:
         """Pass a fault on."""
         for on_fault in self._on_fault:
             on_fault(instance, result)
--- a/src/finchshed/daemon/backend/health.py
+++ b/src/finchshed/daemon/backend/health.py
@@ -27,7 +27,7 @@
 """Seconds between checks of a back end that drains: so late at most it gets work again; chosen, not
 measured."""
 
-TIMEOUT_SECONDS = 1.0
+CHECK_TIMEOUT_SECONDS = 1.0
 """Longest wait for the answer to a check, seconds: with two polls it keeps the 2 s above."""
 
 MAX_HEALTH_BYTES = 65_536
@@ -57,48 +57,48 @@
         self._backend = backend
         self._on_draining = on_draining
         self._on_returned = on_returned
-        self._return = ReturnDetector()
+        self._return_detector = ReturnDetector()
         self._has_answered = False
 
     def on_answer(self, answer: BackendAnswer) -> None:
         """Note an answer to a call."""
         self._has_answered = True
         if answer.draining:
-            self._on_sign()
+            self._mark_draining()
 
     async def run(self) -> None:
         """Look regularly, for as long as the daemon runs."""
         while True:
             await asyncio.sleep(RETURN_POLL_SECONDS if self.is_draining else IDLE_POLL_SECONDS)
-            await self.look()
+            await self.poll()
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         """Look once for what the back end does not say by itself."""
         if self.is_draining:
-            await self._look_for_return()
+            await self._poll_for_return()
         elif self._has_answered:
             self._has_answered = False
         else:
-            await self._look_for_draining()
+            await self._poll_for_draining()
 
-    async def _look_for_draining(self) -> None:
+    async def _poll_for_draining(self) -> None:
         result = await check_health(self._backend)
         # An answer that came meanwhile says it more surely.
         if isinstance(result, BackendAnswer) and result.draining and not self._has_answered:
-            self._on_sign()
+            self._mark_draining()
 
-    async def _look_for_return(self) -> None:
+    async def _poll_for_return(self) -> None:
         result = await check_health(self._backend)
-        if not self._return.has_returned(result, clock.now()):
+        if not self._return_detector.has_returned(result, clock.now()):
             return
         self.is_draining = False
         self._on_returned()
 
-    def _on_sign(self) -> None:
+    def _mark_draining(self) -> None:
         if self.is_draining:
             return
         self.is_draining = True
-        self._return = ReturnDetector()
+        self._return_detector = ReturnDetector()
         self._on_draining()
 
 
@@ -110,7 +110,7 @@
         path=path,
         headers=(),
         body=b"",
-        timeout_seconds=TIMEOUT_SECONDS,
+        timeout_seconds=CHECK_TIMEOUT_SECONDS,
         max_answer_bytes=MAX_HEALTH_BYTES,
     )
     cancel: Callable[[], object] = backend.send(request, ended.set_result)
--- a/src/finchshed/daemon/backend/http_client.py
+++ b/src/finchshed/daemon/backend/http_client.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from finchshed.common.outcomes import Headers
-from finchshed.daemon.backend.answer_head import AnswerReader
+from finchshed.daemon.backend.answer_reader import AnswerReader
 from finchshed.daemon.backend.client import (
     BackendRequest,
     BackendResult,
@@ -20,24 +20,24 @@
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.runtime import clock
 
-IDLE_SECONDS = 15.0
+MAX_IDLE_SECONDS = 15.0
 """Seconds: a connection unused for this long is not used again, as the back end may be closing it;
 chosen, not measured."""
 
-IDLE_SECONDS_UNREPEATABLE = 1.0
+MAX_IDLE_SECONDS_UNREPEATABLE = 1.0
 """The same, seconds, for requests that may not be repeated, where such a race leaves the outcome
 unknown; chosen, not measured."""
 
-KEPT_FRACTION = 0.7
+KEEP_ALIVE_FRACTION = 0.7
 """Part of the time a back end says it keeps an idle connection for, in which it is used;
 chosen, not measured."""
 
-LOOKS = 3
+CLOSE_CHECKS = 3
 """Looks at the connections after one broke. Those still open after the last one show that the back
 end is there: no new one is opened, where a faulty back end breaks off single answers. Chosen, not
 measured."""
 
-LOOK_SECONDS = 0.005
+CLOSE_CHECK_INTERVAL_SECONDS = 0.005
 """Seconds between those looks; chosen, not measured."""
 
 METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
@@ -120,9 +120,9 @@
         if not idle:
             return None
         connection = idle.pop()
-        allowed = IDLE_SECONDS if is_repeatable else IDLE_SECONDS_UNREPEATABLE
-        if connection.kept_seconds is not None:
-            allowed = min(allowed, connection.kept_seconds * KEPT_FRACTION)
+        allowed = MAX_IDLE_SECONDS if is_repeatable else MAX_IDLE_SECONDS_UNREPEATABLE
+        if connection.keep_alive_seconds is not None:
+            allowed = min(allowed, connection.keep_alive_seconds * KEEP_ALIVE_FRACTION)
         if connection.idle_since >= clock.now() - allowed:
             return connection
         # It was used last, so every other one has been idle for longer still.
@@ -138,10 +138,10 @@
         A process that ended takes all its connections with it, but the loop may hear of some of
         them a little later.
         """
-        for _ in range(LOOKS):
+        for _ in range(CLOSE_CHECKS):
             if not self._open:
                 break
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CLOSE_CHECK_INTERVAL_SECONDS)
         if self._open or self._connecting >= self._max_connections:
             return False
         self._connecting += 1
@@ -157,7 +157,7 @@
         try:
             connection = await self._open_connection()
         except (OSError, TimeoutError) as error:
-            exchange.end(BackendUnreached(f"connect: {error or 'timed out'}", is_refused=True))
+            exchange.finish(BackendUnreached(f"connect: {error or 'timed out'}", is_refused=True))
             return
         if exchange.is_over:
             self._on_idle(connection)
@@ -213,33 +213,33 @@
             self.fail_later(BackendUnreached(detail))
             return
         self._connection = connection
-        connection.send(message, self._request, self.end)
+        connection.send(message, self._request, self.finish)
 
     def fail_later(self, result: BackendResult) -> None:
         """Pass ``result`` on once the caller of :meth:`HttpBackend.send` has returned."""
-        self._backend.loop.call_soon(self.end, result)
+        self._backend.loop.call_soon(self.finish, result)
 
     def cancel(self) -> None:
         """Give the request up; its connection is closed and no result is passed on."""
-        if not self._settle():
+        if not self._mark_over():
             return
         if self._connection is not None:
             self._connection.abort()
 
-    def end(self, result: BackendResult) -> None:
+    def finish(self, result: BackendResult) -> None:
         """Pass the result on."""
-        if self._settle():
+        if self._mark_over():
             self._on_result(result)
 
     def _on_timeout(self) -> None:
         connection = self._connection
         if connection is None:
-            self.end(BackendUnreached("no time left to send"))
+            self.finish(BackendUnreached("no time left to send"))
             return
-        self.end(BackendTimedOut())
+        self.finish(BackendTimedOut())
         connection.abort()
 
-    def _settle(self) -> bool:
+    def _mark_over(self) -> bool:
         if self.is_over:
             return False
         self.is_over = True
--- a/src/finchshed/daemon/backend/registration.py
+++ b/src/finchshed/daemon/backend/registration.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from finchshed.daemon.backend.answer_head import slots_of
+from finchshed.daemon.backend.answer_reader import parse_slots
 from finchshed.daemon.backend.client import (
     BackendAnswer,
     BackendClient,
@@ -97,7 +97,7 @@
             return
         headers = dict(result.headers)
         instance = headers.get(self._names.instance, "")
-        slots = slots_of(headers.get(self._names.load, ""))
+        slots = parse_slots(headers.get(self._names.load, ""))
         if not instance or not slots:
             return
         if self._registrar.on_health(instance, service, slots, clock.now()):
@@ -123,22 +123,22 @@
         logger.info(
             "back end {} of {}: {}", registration.instance, registration.service, registration.state
         )
-        self._callee.serve_instance(registration.instance, registration.service, registration.slots)
+        self._callee.set_instance(registration.instance, registration.service, registration.slots)
         is_new = registration.instance != self._identity.name
         self._identity.name = registration.instance
         self._identity.service = registration.service
         is_ready = registration.state is InstanceState.READY
         self._drain.lacks_ready_backend = not is_ready
         if is_new:
-            self._tell_new_instance()
+            self._announce_new_instance()
         if is_ready:
             self._announcer.resume()
         else:
             self._announcer.announce()
-            self._callee.turn_away_waiting()
+            self._callee.refuse_queued()
         self._client.announce()
 
-    def _tell_new_instance(self) -> None:
+    def _announce_new_instance(self) -> None:
         self._identity.renew_incarnation()
         for link in self._listener.links():
             link.send_hello()
--- a/src/finchshed/daemon/backend/request.py
+++ b/src/finchshed/daemon/backend/request.py
@@ -35,10 +35,10 @@
     BackendUnreached,
 )
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.inbound_call import InboundCall
 
 
-def backend_headers(work: Work, remaining: float) -> Headers:
+def service_headers(work: InboundCall, remaining: float) -> Headers:
     """Return the headers of the request to the back end, with ``remaining`` seconds left."""
     context = work.call.context
     account = work.served.account if work.served is not None else ""
@@ -58,22 +58,22 @@
     return tuple(headers)
 
 
-def headers_by_host(work: Work, remaining: float, names: HeaderNames, instance: str) -> Headers:
+def host_headers(work: InboundCall, remaining: float, names: HeaderNames, instance: str) -> Headers:
     """Return the headers of a request that was taken by host, meant for ``instance`` alone."""
     headers = (*work.call.headers, (names.deadline, str(max(0, int(remaining * 1000)))))
     return (*headers, (names.expected_instance, instance)) if instance else headers
 
 
 def backend_request(
-    work: Work, remaining: float, names: HeaderNames, instance: str
+    work: InboundCall, remaining: float, names: HeaderNames, instance: str
 ) -> BackendRequest:
     """Return the request to the back end's start ``instance``, with ``remaining`` seconds left."""
     call = work.call
     account = work.served.account if work.served is not None else ""
     if work.is_by_host:
-        headers = headers_by_host(work, remaining, names, instance)
+        headers = host_headers(work, remaining, names, instance)
     else:
-        headers = backend_headers(work, remaining)
+        headers = service_headers(work, remaining)
     return BackendRequest(
         method=call.method,
         path=call.path,
@@ -87,7 +87,7 @@
     )
 
 
-def outcome_of(result: BackendResult, wait: float) -> Outcome:
+def outcome_from_result(result: BackendResult, wait: float) -> Outcome:
     """Return the outcome that a result means; ``wait`` is when to come back, seconds."""
     if isinstance(result, BackendAnswer):
         if result.ran:
@@ -102,7 +102,7 @@
     return Failed(FailureReason.BACKEND_BROKEN, wait, result.detail)
 
 
-def with_downstream(outcome: Outcome, has_failed_call: bool) -> Outcome:
+def with_downstream_failure(outcome: Outcome, has_failed_call: bool) -> Outcome:
     """Return ``outcome`` marked where a server error came of a call that was not answered."""
     if not has_failed_call or not isinstance(outcome, Answered) or outcome.status < SERVER_ERROR:
         return outcome
--- a/src/finchshed/daemon/backend/return_detection.py
+++ b/src/finchshed/daemon/backend/return_detection.py
@@ -10,7 +10,7 @@
 from finchshed.daemon.backend.client import BackendAnswer, BackendResult, BackendUnreached
 from finchshed.http.status import STATUS_OK
 
-STEADY_SECONDS = 5.0
+STABLE_SECONDS = 5.0
 """Seconds that a back end that was never seen gone must say that it is well; chosen, not
 measured."""
 
@@ -19,20 +19,20 @@
     """Decides from answers to health checks whether a draining back end has returned."""
 
     def __init__(self) -> None:
-        self._was_gone = False
-        self._well_since: float | None = None
+        self._was_unreachable = False
+        self._healthy_since: float | None = None
 
     def has_returned(self, result: BackendResult, now: float) -> bool:
         """Judge the result of one check; return whether the back end takes work again."""
         if isinstance(result, BackendUnreached):
-            self._was_gone = True
-        if not _is_well(result):
-            self._well_since = None
+            self._was_unreachable = True
+        if not _is_healthy(result):
+            self._healthy_since = None
             return False
-        if self._well_since is None:
-            self._well_since = now
-        return self._was_gone or now - self._well_since >= STEADY_SECONDS
+        if self._healthy_since is None:
+            self._healthy_since = now
+        return self._was_unreachable or now - self._healthy_since >= STABLE_SECONDS
 
 
-def _is_well(result: BackendResult) -> bool:
+def _is_healthy(result: BackendResult) -> bool:
     return isinstance(result, BackendAnswer) and result.status == STATUS_OK and not result.draining
--- a/src/finchshed/daemon/calling/attempt.py
+++ b/src/finchshed/daemon/calling/attempt.py
@@ -37,6 +37,6 @@
     deadline: float
     on_reply: Callable[[Reply | None], None]
     on_unsent: Callable[[RefusalReason, str], None]
-    withdrawn: bool = False
+    is_cancelled: bool = False
     link: PeerLink | None = None
-    number: int = 0
+    call_number: int = 0
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -17,15 +17,15 @@
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
 from finchshed.daemon.calling.daemon_links import DaemonLinks
-from finchshed.daemon.calling.outgoing import OutgoingCall
-from finchshed.daemon.calling.pins import SessionPins
+from finchshed.daemon.calling.outgoing_call import OutgoingCall
+from finchshed.daemon.calling.session_pins import SessionPins
 from finchshed.daemon.catalogue import Catalogue
-from finchshed.daemon.decision_log import is_signed, log_request
-from finchshed.daemon.quarantine import Quarantine, Signer
+from finchshed.daemon.decision_log import includes_signature, log_request
+from finchshed.daemon.quarantine import LazySignature, Quarantine
 from finchshed.daemon.request import Request
-from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.ledger_port import fingerprint_of
-from finchshed.daemon.signatures import Signatures
+from finchshed.daemon.serving.served_requests import ServedRequests
+from finchshed.daemon.signatures import SignatureFactory
 from finchshed.retry.budgets import RetryBudgets
 from finchshed.retry.policy import retry_after
 from finchshed.routing.caller import CallerLogic
@@ -54,7 +54,7 @@
     account: str
     lent_attempts: int
     key: JoinKey | None
-    signature: Signer
+    signature: LazySignature
 
 
 class Caller:
@@ -80,7 +80,7 @@
         paths: PathThresholds,
         rng: random.Random,
         *,
-        signatures: Signatures,
+        signatures: SignatureFactory,
         quarantine: Quarantine,
     ) -> None:
         self._signatures = signatures
@@ -101,7 +101,7 @@
         self._catalogue = catalogue
         self._retries.configure(catalogue.policy)
 
-    def share_with(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Divide bounds by the number of daemons, this one included."""
         self._retries.share_with(daemons)
 
@@ -126,16 +126,16 @@
             Identity under which a repeat joins the request in progress, or empty.
         """
         if account:
-            request = _announcing(
+            request = _with_announced_calls(
                 request, self._paths.on_call(account, request.service, request.route)
             )
-            if self._served.is_repeat(account, _call_name(request)):
+            if self._served.is_repeat(account, _call_key(request)):
                 if request.context.spare_attempts < 1:
                     on_outcome(Refused(RefusalReason.RETRIES_SPENT, self._retry_after()))
-                    return _nothing
-                request = _paying_one(request)
+                    return _no_op
+                request = _with_one_retry_spent(request)
         if not join_identity:
-            return self._start(request, account, None).wait(on_outcome)
+            return self._start(request, account, None).add_waiter(on_outcome)
         key = JoinKey(request.service, request.context.caller, join_identity)
         fingerprint = fingerprint_of(request.method, request.path, request.body)
         held = self._joinable.get(key)
@@ -146,7 +146,7 @@
         call = self._start(request, account, key)
         if not call.is_over:
             self._joinable[key] = (call, fingerprint)
-        return call.wait(on_outcome)
+        return call.add_waiter(on_outcome)
 
     def _join(
         self,
@@ -158,32 +158,32 @@
         if held_fingerprint != fingerprint:
             detail = "another request of this identity is in progress"
             on_outcome(Refused(RefusalReason.KEY_REUSED, self._retry_after(), detail))
-            return _nothing
+            return _no_op
         metrics.JOINED.inc()
-        return call.wait(on_outcome)
+        return call.add_waiter(on_outcome)
 
     def _start(self, request: Request, account: str, key: JoinKey | None) -> OutgoingCall:
         lent_attempts = request.context.spare_attempts
         if request.in_session:
-            conditions = self._pins.conditions_for(request)
+            conditions = self._pins.range_conditions(request)
             request = msgspec.structs.replace(request, headers=request.headers + conditions)
-        signature = self._signatures.signer(request)
+        signature = self._signatures.lazy_signature(request)
         started = _StartedCall(request, account, lent_attempts, key, signature)
         call = OutgoingCall(
             request,
-            self._logic_of(request, signature),
+            self._caller_logic(request, signature),
             self._links,
             partial(self._on_finished, started),
             self._retry_after,
             on_crash_record=self._quarantine.on_answer,
         )
         self.in_progress += 1
-        call.begin()
+        call.start()
         if request.in_session and not call.is_over:
             self._pin(request, call.endpoint)
         return call
 
-    def _logic_of(self, request: Request, signature: Signer) -> CallerLogic:
+    def _caller_logic(self, request: Request, signature: LazySignature) -> CallerLogic:
         """Return what decides where the call goes, and whether it is tried again."""
         return CallerLogic(
             self._table,
@@ -192,11 +192,11 @@
             request.context,
             repeatable=request.repeatable,
             rng=self._rng,
-            pinned=self._pins.endpoint_of(request, self._table, clock.now()),
+            pinned=self._pins.pinned_endpoint(request, self._table, clock.now()),
             route=request.route,
             target_seconds=request.target_seconds,
             signature=signature,
-            judge=partial(self._quarantine.judge, signature),
+            judge=partial(self._quarantine.check, signature),
         )
 
     def _on_finished(
@@ -208,7 +208,7 @@
         if started.key is not None:
             self._joinable.pop(started.key, None)
         if request.in_session:
-            self._pins.end(request, call.endpoint, outcome, clock.now())
+            self._pins.on_request_ended(request, call.endpoint, outcome, clock.now())
         metrics.count_call(request.service, request.context.importance, outcome)
         log_request(
             request,
@@ -216,39 +216,39 @@
             call.seconds,
             call.attempts,
             self._catalogue.revision,
-            signature=started.signature() if is_signed(outcome) else "",
+            signature=started.signature() if includes_signature(outcome) else "",
         )
         if started.account:
             self._served.give_back(started.account, started.lent_attempts, spare)
             if result_of(outcome) is not CallResult.OK:
-                self._served.on_call_failed(started.account, _call_name(request))
+                self._served.on_call_failed(started.account, _call_key(request))
 
     def _pin(self, request: Request, endpoint: str) -> None:
         service = self._catalogue.service(request.service)
         if service is not None:
             idle_seconds = service.session_idle_seconds
-            self._pins.begin(request, endpoint, idle_seconds, clock.now())
+            self._pins.on_request_sent(request, endpoint, idle_seconds, clock.now())
 
     def _retry_after(self) -> float:
         return retry_after(0.0, self._rng)
 
 
-def _call_name(request: Request) -> str:
+def _call_key(request: Request) -> str:
     return f"{request.service} {request.method} {request.path}"
 
 
-def _announcing(request: Request, calls: float) -> Request:
+def _with_announced_calls(request: Request, calls: float) -> Request:
     """Return a call that stands for ``calls`` in estimates of demand."""
     context = msgspec.structs.replace(request.context, announced_calls=calls)
     return msgspec.structs.replace(request, context=context)
 
 
-def _paying_one(request: Request) -> Request:
+def _with_one_retry_spent(request: Request) -> Request:
     """Return the request with one spare attempt less: a repeat the back end makes by itself."""
     context = request.context
     paid = msgspec.structs.replace(context, spare_attempts=context.spare_attempts - 1)
     return msgspec.structs.replace(request, context=paid)
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     """Give up a call that is over."""
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -33,7 +33,7 @@
 """The same after many failures: so late at most an endpoint that is back is found. Chosen, not
 measured."""
 
-DIAL_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
+RECONNECT_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
     link: PeerLink | None = None
     waiting: list[Attempt] = field(default_factory=list)
     failures: int = 0
-    not_before: float = 0.0
+    retry_not_before: float = 0.0
 
 
 class DaemonLinks:
@@ -74,7 +74,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._closing = False
 
-    def replace(self, endpoints: dict[str, Endpoint]) -> None:
+    def set_endpoints(self, endpoints: dict[str, Endpoint]) -> None:
         """Follow the endpoints of a configuration; links to those gone or moved are closed."""
         for name, peer in list(self._peers.items()):
             declared = endpoints.get(name)
@@ -82,14 +82,14 @@
                 peer.endpoint = declared
                 continue
             del self._peers[name]
-            self._retire(peer)
+            self._close_if_unused(peer)
 
     def send(self, endpoint: Endpoint, attempt: Attempt) -> None:
         """Send an attempt, opening the link first where needed."""
         peer = self._peer(endpoint)
         link = peer.link
         if link is None:
-            if clock.now() < peer.not_before or self._closing:
+            if clock.now() < peer.retry_not_before or self._closing:
                 attempt.on_unsent(RefusalReason.CONNECT_FAILED, "the link is down")
                 return
             self._open(peer)
@@ -98,20 +98,20 @@
             return
         peer.waiting.append(attempt)
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up; neither of its callbacks is called any more."""
-        attempt.withdrawn = True
+        attempt.is_cancelled = True
         if attempt.link is not None:
-            attempt.link.cancel_call(attempt.number)
+            attempt.link.cancel_call(attempt.call_number)
 
-    def greet(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def open_links(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to endpoints, to learn their revisions."""
         for endpoint in endpoints:
             peer = self._peer(endpoint)
             if peer.link is None and not self._closing:
                 self._open(peer)
 
-    def fetch(self, endpoint_name: str, revision: int) -> bool:
+    def fetch_configuration(self, endpoint_name: str, revision: int) -> bool:
         """Ask a peer for its configuration; return whether a link was open."""
         peer = self._peers.get(endpoint_name)
         if peer is None or peer.link is None or peer.link.state is not LinkState.OPEN:
@@ -119,7 +119,7 @@
         peer.link.fetch(revision)
         return True
 
-    def ask_revisions(self) -> None:
+    def request_revisions(self) -> None:
         """Ask all peers for their revisions, without waiting for a heartbeat's turn."""
         for link in list(self._by_link):
             link.ask_revision()
@@ -132,11 +132,11 @@
             if idle and link.calls_in_progress == 0 and link.state is LinkState.OPEN:
                 link.close("idle")
 
-    def reopen_lost(self) -> None:
+    def reopen_failed(self) -> None:
         """Open the links anew that broke: an endpoint that is back shows it on its link only."""
         now = clock.now()
         for peer in self._peers.values():
-            if peer.link is None and peer.failures and now >= peer.not_before:
+            if peer.link is None and peer.failures and now >= peer.retry_not_before:
                 self._open(peer)
 
     def close(self) -> None:
@@ -163,7 +163,7 @@
         waiting = peer.waiting
         peer.waiting = []
         for attempt in waiting:
-            if not attempt.withdrawn:
+            if not attempt.is_cancelled:
                 self._send_on(link, attempt)
 
     def link_closed(self, link: PeerLink, cause: str) -> None:
@@ -178,7 +178,7 @@
         waiting = peer.waiting
         peer.waiting = []
         for attempt in waiting:
-            if not attempt.withdrawn:
+            if not attempt.is_cancelled:
                 attempt.on_unsent(RefusalReason.CONNECT_FAILED, cause)
 
     def peer_draining(self, link: PeerLink) -> None:
@@ -225,14 +225,14 @@
     def _peer(self, endpoint: Endpoint) -> _Peer:
         peer = self._peers.get(endpoint.name)
         if peer is not None and peer.endpoint.address != endpoint.address:
-            self._retire(peer)
+            self._close_if_unused(peer)
             peer = None
         if peer is None:
             peer = _Peer(endpoint)
             self._peers[endpoint.name] = peer
         return peer
 
-    def _retire(self, peer: _Peer) -> None:
+    def _close_if_unused(self, peer: _Peer) -> None:
         """Let calls in progress end, then close."""
         if peer.link is not None and peer.link.calls_in_progress == 0:
             peer.link.close("idle")
@@ -263,9 +263,9 @@
         return settings.compresses_links and is_plain and endpoint.zone != settings.zone
 
     def _back_off(self, peer: _Peer) -> None:
-        wait = DIAL_BACKOFF.half_jitter(peer.failures, self._rng)
+        wait = RECONNECT_BACKOFF.half_jitter(peer.failures, self._rng)
         peer.failures += 1
-        peer.not_before = clock.now() + wait
+        peer.retry_not_before = clock.now() + wait
 
     def _send_on(self, link: PeerLink, attempt: Attempt) -> None:
         remaining = attempt.deadline - clock.now()
@@ -291,7 +291,7 @@
         result, number = link.send_call(content, attempt.on_reply)
         if result is SendResult.SENT:
             attempt.link = link
-            attempt.number = number
+            attempt.call_number = number
         elif result is SendResult.FULL:
             attempt.on_unsent(RefusalReason.QUEUE_FULL, "the link is full")
         else:
--- a/src/finchshed/daemon/calling/endpoints.py
+++ b/src/finchshed/daemon/calling/endpoints.py
@@ -16,15 +16,15 @@
 from finchshed.routing.table import RoutingTable
 from finchshed.runtime import clock
 
-FORGET_SECONDS = 3_600.0
+REGISTRATION_RETENTION_SECONDS = 3_600.0
 """Seconds. Control says what is to be forgotten; without it a daemon goes on with what it knows.
 Chosen, not measured."""
 
-MAX_LOGGED = 8
+MAX_LOGGED_REGISTRATIONS = 8
 """Registrations of one update that are logged each by itself: a line takes 0.1 ms to make. The
 number is chosen, not measured."""
 
-MAX_GREETED = 64
+MAX_PRECONNECTED_ENDPOINTS = 64
 """Up to so many registered endpoints are linked before the first call; chosen, not measured."""
 
 
@@ -34,14 +34,14 @@
     def __init__(self, table: RoutingTable, links: DaemonLinks) -> None:
         self._table = table
         self._links = links
-        self._directory = Directory(FORGET_SECONDS)
+        self._directory = Directory(REGISTRATION_RETENTION_SECONDS)
         self._declared: dict[str, Endpoint] = {}
 
     def __len__(self) -> int:
         """Return the number of daemons that registered."""
         return len(self._directory)
 
-    def declare(self, declared: dict[str, Endpoint]) -> None:
+    def set_declared(self, declared: dict[str, Endpoint]) -> None:
         """Use the endpoints of the configuration."""
         self._declared = declared
         self._apply()
@@ -53,7 +53,7 @@
         news = self._directory.merge(update.registrations, now)
         # A daemon that has just started and knows of no back end is no news where none was known.
         reported = [item for item in news if item.instance or item.address in present]
-        _log(reported)
+        _log_registrations(reported)
         dropped = self._directory.drop(update.forgotten)
         if dropped:
             logger.info("back ends at {} are forgotten", ", ".join(update.forgotten))
@@ -68,13 +68,13 @@
         registered = self._directory.endpoints()
         endpoints = {**registered, **self._declared}
         self._table.replace(endpoints.values(), clock.now())
-        self._links.replace(endpoints)
-        if len(registered) <= MAX_GREETED:
-            self._links.greet(tuple(registered.values()))
+        self._links.set_endpoints(endpoints)
+        if len(registered) <= MAX_PRECONNECTED_ENDPOINTS:
+            self._links.open_links(tuple(registered.values()))
 
 
-def _log(reported: list[Registration]) -> None:
-    for registration in reported[:MAX_LOGGED]:
+def _log_registrations(reported: list[Registration]) -> None:
+    for registration in reported[:MAX_LOGGED_REGISTRATIONS]:
         logger.info(
             "told of back end {} of {} at {}: {}, epoch {}, serial {}",
             registration.instance,
@@ -84,7 +84,9 @@
             registration.epoch,
             registration.serial,
         )
-    if len(reported) > MAX_LOGGED:
-        counts = Counter(f"{item.service} {item.state}" for item in reported[MAX_LOGGED:])
+    if len(reported) > MAX_LOGGED_REGISTRATIONS:
+        counts = Counter(
+            f"{item.service} {item.state}" for item in reported[MAX_LOGGED_REGISTRATIONS:]
+        )
         text = ", ".join(f"{count} of {what}" for what, count in sorted(counts.items()))
-        logger.info("told of {} more back ends: {}", len(reported) - MAX_LOGGED, text)
+        logger.info("told of {} more back ends: {}", len(reported) - MAX_LOGGED_REGISTRATIONS, text)
--- a/src/finchshed/daemon/calling/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing_call.py
@@ -19,10 +19,10 @@
 from finchshed.daemon import metrics
 from finchshed.daemon.calling.attempt import Attempt
 from finchshed.daemon.calling.daemon_links import DaemonLinks
-from finchshed.daemon.calling.pins import mixes_editions, with_session_endpoint
+from finchshed.daemon.calling.session_pins import is_version_mismatch, with_session_endpoint
 from finchshed.daemon.decision_log import (
     is_logged,
-    name_of,
+    outcome_name,
 )
 from finchshed.daemon.request import Request
 from finchshed.link.digests import digest_of
@@ -80,8 +80,8 @@
         self._outcome: Outcome | None = None
         self._began = clock.now()
         self._sent_at = 0.0
-        self._sent = 0
-        self._noted = 0
+        self._sent_attempts = 0
+        self._recorded_attempts = 0
         self._report_age = -1.0
         self._in_flight = 0
         self.attempts: list[AttemptRecord] = []
@@ -96,13 +96,13 @@
         """Whether the outcome is known."""
         return self._outcome is not None
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the call."""
         now = clock.now()
         self._deadline = now + self.request.context.remaining_seconds
-        self._perform(self._logic.begin(now))
+        self._apply_effects(self._logic.begin(now))
 
-    def wait(self, on_outcome: Callable[[Outcome], None]) -> Callable[[], None]:
+    def add_waiter(self, on_outcome: Callable[[Outcome], None]) -> Callable[[], None]:
         """Have ``on_outcome`` called once, now if the call is over; return what leaves it.
 
         The call is given up when the last one that waits for it leaves.
@@ -111,16 +111,16 @@
             on_outcome(self._outcome)
         else:
             self._waiters.append(on_outcome)
-        return lambda: self._leave(on_outcome)
+        return lambda: self._remove_waiter(on_outcome)
 
-    def _leave(self, on_outcome: Callable[[Outcome], None]) -> None:
+    def _remove_waiter(self, on_outcome: Callable[[Outcome], None]) -> None:
         if on_outcome not in self._waiters:
             return
         self._waiters.remove(on_outcome)
         if not self._waiters and self._outcome is None:
-            self._perform(self._logic.cancel(clock.now()))
+            self._apply_effects(self._logic.cancel(clock.now()))
 
-    def _perform(self, effects: list[CallerEffect]) -> None:
+    def _apply_effects(self, effects: list[CallerEffect]) -> None:
         for effect in effects:
             if isinstance(effect, SendAttempt):
                 self._send(effect)
@@ -129,11 +129,11 @@
             elif isinstance(effect, Finish):
                 self._finish(effect)
             elif isinstance(effect, Withdraw) and self._attempt is not None:
-                self._links.withdraw(self._attempt)
+                self._links.cancel(self._attempt)
 
     def _send(self, effect: SendAttempt) -> None:
         number = effect.attempt
-        self._sent = number
+        self._sent_attempts = number
         if number > 1:
             metrics.RETRIES.labels(self.request.service).inc()
         attempt = Attempt(
@@ -164,7 +164,7 @@
         outcome = reply.outcome
         if isinstance(outcome, Answered) and digest_of(outcome.body) != reply.digest:
             outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after())
-        elif isinstance(outcome, Answered) and mixes_editions(self.request, outcome):
+        elif isinstance(outcome, Answered) and is_version_mismatch(self.request, outcome):
             detail = "a part of another edition than asked for"
             outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after(), detail)
         self._report(number, outcome, reply.spare_attempts, reply)
@@ -179,18 +179,18 @@
     def _report(self, number: int, outcome: Outcome, spare: int, reply: Reply | None) -> None:
         load = None if reply is None else reply.load
         now = clock.now()
-        self._note_attempt(outcome, now)
-        self._perform(self._logic.on_outcome(number, outcome, spare, load, now))
+        self._record_attempt(outcome, now)
+        self._apply_effects(self._logic.on_outcome(number, outcome, spare, load, now))
 
-    def _note_attempt(self, outcome: Outcome, now: float) -> None:
-        self._noted = self._sent
+    def _record_attempt(self, outcome: Outcome, now: float) -> None:
+        self._recorded_attempts = self._sent_attempts
         if not is_logged(self.request, outcome):
             return  # an answer, which ends the call: nothing of it is logged
         reason = "" if isinstance(outcome, Answered) else str(outcome.reason)
         self.attempts.append(
             AttemptRecord(
                 endpoint=self.endpoint,
-                outcome=name_of(outcome),
+                outcome=outcome_name(outcome),
                 ms=round((now - self._sent_at) * MILLISECONDS, 2),
                 reason=reason or (str(outcome.status) if isinstance(outcome, Answered) else ""),
                 report_ms=round(self._report_age * MILLISECONDS, 1),
@@ -206,11 +206,11 @@
     def _on_timer(self, due: float) -> None:
         # The loop's clock is coarser than the one decisions are made by.
         now = max(due, clock.now())
-        self._perform(self._logic.on_timer(now))
+        self._apply_effects(self._logic.on_timer(now))
 
     def _finish(self, effect: Finish) -> None:
-        if self._noted < self._sent:
-            self._note_attempt(effect.outcome, clock.now())
+        if self._recorded_attempts < self._sent_attempts:
+            self._record_attempt(effect.outcome, clock.now())
         outcome = with_session_endpoint(self.request, self.endpoint, effect.outcome)
         self._outcome = outcome
         # The attempt refers back to this call: without the cycle it is freed at once.
--- a/src/finchshed/daemon/calling/platform_hints.py
+++ b/src/finchshed/daemon/calling/platform_hints.py
@@ -36,14 +36,14 @@
         self._apply(now)
 
     def _apply(self, now: float) -> None:
-        meant = {hint.endpoint for hint in self._hints.leaving if self._is_meant(hint.endpoint)}
+        meant = {hint.endpoint for hint in self._hints.leaving if self._is_leaving(hint.endpoint)}
         for endpoint in self._marked - meant:
             self._table.set_drain_sign(endpoint, DrainSign.PLATFORM, False, now)
         for endpoint in meant:
             self._table.set_drain_sign(endpoint, DrainSign.PLATFORM, True, now)
         self._marked = meant
 
-    def _is_meant(self, endpoint: str) -> bool:
+    def _is_leaving(self, endpoint: str) -> bool:
         linked = self._linked.get(endpoint)
         if linked is None:
             return False
@@ -55,7 +55,7 @@
         )
 
 
-class OwnListing:
+class LocalMachineHints:
     """Whether the platform lists the machine this daemon stands on.
 
     Callers mark an endpoint only if their link to it is old enough, and links open late. The
@@ -73,7 +73,7 @@
         self._endpoint = endpoint
         self._started_at = started_at
 
-    def is_meant(self, hints: Hints, now: float) -> bool:
+    def is_leaving(self, hints: Hints, now: float) -> bool:
         """Whether ``hints`` say that this machine leaves."""
         age = now - self._started_at
         return any(
--- a/src/finchshed/daemon/calling/pins.py
+++ b/src/finchshed/daemon/calling/session_pins.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Edition:
+class _ResourceVersion:
     """The last part a session was given."""
 
     path: str
@@ -41,19 +41,19 @@
 
     def __init__(self) -> None:
         self._sessions = SessionTable()
-        self._editions: dict[str, _Edition] = {}
+        self._versions: dict[str, _ResourceVersion] = {}
 
     def __len__(self) -> int:
         """Return the number of sessions pinned."""
         return len(self._sessions)
 
-    def endpoint_of(self, request: Request, table: RoutingTable, now: float) -> str:
+    def pinned_endpoint(self, request: Request, table: RoutingTable, now: float) -> str:
         """Return the endpoint that serves the request's session, or empty.
 
         The client's claim counts where no answer has confirmed a pin, if it names an endpoint of
         the service that can be used; any other claim is ignored.
         """
-        session = session_of(request)
+        session = session_key(request)
         if not session:
             return ""
         held = self._sessions.get(session)
@@ -63,9 +63,11 @@
             return request.session_at
         return "" if held is None else held.endpoint
 
-    def begin(self, request: Request, endpoint: str, idle_seconds: float, now: float) -> None:
+    def on_request_sent(
+        self, request: Request, endpoint: str, idle_seconds: float, now: float
+    ) -> None:
         """Note a request of a session that was sent to ``endpoint``; the first one pins it."""
-        session = session_of(request)
+        session = session_key(request)
         if not session or not endpoint:
             return
         if self._sessions.get(session) is None and len(self._sessions) >= MAX_SESSIONS:
@@ -81,9 +83,11 @@
         if isinstance(opened, Opened):
             self._sessions.on_request(session, now)
 
-    def end(self, request: Request, endpoint: str, outcome: Outcome, now: float) -> None:
+    def on_request_ended(
+        self, request: Request, endpoint: str, outcome: Outcome, now: float
+    ) -> None:
         """Note the end of a request that ``endpoint`` saw last."""
-        session = session_of(request)
+        session = session_key(request)
         held = self._sessions.get(session)
         if held is None:
             return
@@ -93,57 +97,59 @@
         self._sessions.admit(session)
         if endpoint and endpoint != held.endpoint:
             self._sessions.move(session, endpoint, now)
-        validator = header_of(outcome.headers, "etag")
-        if outcome.status in {STATUS_OK, STATUS_PARTIAL_CONTENT} and is_strong(validator):
-            self._editions[session] = _Edition(request.path, validator)
+        validator = first_header_value(outcome.headers, "etag")
+        if outcome.status in {STATUS_OK, STATUS_PARTIAL_CONTENT} and is_strong_validator(validator):
+            self._versions[session] = _ResourceVersion(request.path, validator)
 
     def expire(self, now: float) -> None:
         """Forget sessions idle for longer than their service allows."""
         for session in self._sessions.expire(now):
-            self._editions.pop(session.identity, None)
+            self._versions.pop(session.identity, None)
 
-    def conditions_for(self, request: Request) -> Headers:
+    def range_conditions(self, request: Request) -> Headers:
         """Return what is added to the request so that a range comes from the session's edition."""
-        edition = self._editions.get(session_of(request))
+        edition = self._versions.get(session_key(request))
         if edition is None or edition.path != request.path or request.method != "GET":
             return ()
-        if not header_of(request.headers, "range"):
+        if not first_header_value(request.headers, "range"):
             return ()
-        if header_of(request.headers, "if-range") or header_of(request.headers, "if-match"):
+        if first_header_value(request.headers, "if-range") or first_header_value(
+            request.headers, "if-match"
+        ):
             return ()
         return (("if-range", edition.validator),)
 
 
-def mixes_editions(request: Request, answer: Answered) -> bool:
+def is_version_mismatch(request: Request, answer: Answered) -> bool:
     """Return whether a partial answer comes from another edition than was asked for."""
     if answer.status != STATUS_PARTIAL_CONTENT:
         return False
-    given = header_of(answer.headers, "etag")
+    given = first_header_value(answer.headers, "etag")
     if not given:
         return False
-    if_range = header_of(request.headers, "if-range")
-    if is_strong(if_range) and if_range != given:
+    if_range = first_header_value(request.headers, "if-range")
+    if is_strong_validator(if_range) and if_range != given:
         return True
-    allowed = [tag.strip() for tag in header_of(request.headers, "if-match").split(",")]
+    allowed = [tag.strip() for tag in first_header_value(request.headers, "if-match").split(",")]
     return allowed not in ([""], ["*"]) and given not in allowed
 
 
 def with_session_endpoint(request: Request, endpoint: str, outcome: Outcome) -> Outcome:
     """Return ``outcome`` with the endpoint that answered a session's request in its headers."""
-    if not isinstance(outcome, Answered) or not endpoint or not session_of(request):
+    if not isinstance(outcome, Answered) or not endpoint or not session_key(request):
         return outcome
     headers = tuple(item for item in outcome.headers if item[0].lower() != HEADER_SESSION_AT)
     return msgspec.structs.replace(outcome, headers=(*headers, (HEADER_SESSION_AT, endpoint)))
 
 
-def session_of(request: Request) -> str:
+def session_key(request: Request) -> str:
     """Return the identity of the request's session among all services, or empty."""
     if not request.in_session or not request.context.session:
         return ""
     return f"{request.service} {request.context.session}"
 
 
-def header_of(headers: Headers, name: str) -> str:
+def first_header_value(headers: Headers, name: str) -> str:
     """Return the first value of a header, or empty."""
     for held, value in headers:
         if held == name:
@@ -151,6 +157,6 @@
     return ""
 
 
-def is_strong(validator: str) -> bool:
+def is_strong_validator(validator: str) -> bool:
     """Return whether a validator is a strong entity tag (RFC 9110, 8.8.1)."""
     return validator.startswith('"') and not validator.startswith(WEAK_PREFIX)
--- a/src/finchshed/daemon/catalogue.py
+++ b/src/finchshed/daemon/catalogue.py
@@ -23,7 +23,7 @@
 from finchshed.tenancy.keys import TenantKeys
 
 
-class Matched(msgspec.Struct, frozen=True):
+class RouteMatch(msgspec.Struct, frozen=True):
     """The declaration a request falls under."""
 
     service: Service
@@ -71,7 +71,7 @@
                 return route
         return None
 
-    def match(self, service_name: str, path: str) -> Matched | None:
+    def match(self, service_name: str, path: str) -> RouteMatch | None:
         """Return the route of the longest prefix of ``path``, or None where none is declared.
 
         Escaped letters are compared as what they stand for, as a back end would read them.
@@ -80,7 +80,7 @@
             path = unquote(path)
         for route in self._routes.get(service_name, ()):
             if path.startswith(route.prefix):
-                return Matched(self._services[service_name], route)
+                return RouteMatch(self._services[service_name], route)
         return None
 
     def _add(self, resource: Resource) -> None:
--- a/src/finchshed/daemon/parts.py
+++ b/src/finchshed/daemon/components.py
@@ -12,7 +12,7 @@
 from finchshed.daemon.calling.daemon_links import DaemonLinks
 from finchshed.daemon.calling.endpoints import KnownEndpoints
 from finchshed.daemon.calling.platform_hints import PlatformHints
-from finchshed.daemon.crash_news_links import CrashNewsLinks
+from finchshed.daemon.crash_news_broadcaster import CrashNewsBroadcaster
 from finchshed.daemon.draining import DrainAnnouncer, DrainState
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.daemon.header_names import HeaderNames
@@ -22,10 +22,10 @@
 from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.ingress.service_handler import ServiceAdmitted, ServiceRequestHandler
 from finchshed.daemon.quarantine import Quarantine
-from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.callee import Callee
+from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.daemon.signatures import Signatures
+from finchshed.daemon.signatures import SignatureFactory
 from finchshed.distribution.follower_runner import FollowerRunner
 from finchshed.http.server import HttpServer
 from finchshed.link.listener import LinkListener
@@ -58,14 +58,14 @@
     credentials: Credentials | None
     table: RoutingTable
     paths: PathThresholds
-    signatures: Signatures
+    signatures: SignatureFactory
     served: ServedRequests = field(default_factory=ServedRequests)
     events: BackendEvents = field(default_factory=BackendEvents)
-    crash_news_links: CrashNewsLinks = field(default_factory=CrashNewsLinks)
+    crash_news: CrashNewsBroadcaster = field(default_factory=CrashNewsBroadcaster)
 
 
 @dataclass(frozen=True, slots=True)
-class ServingParts:
+class ServingComponents:
     """What serves calls with the back end."""
 
     backend: HttpBackend
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkParts:
+class LinkComponents:
     """Links to and from other daemons, and whom they lead to."""
 
     links: DaemonLinks
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BackendStateParts:
+class BackendStateComponents:
     """What follows the state of the back end.
 
     Attributes
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class IngressParts:
+class IngressComponents:
     """What takes requests and has them answered."""
 
     caller: Caller
@@ -113,13 +113,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DaemonParts:
+class DaemonComponents:
     """All parts of one daemon; ``serving`` is None on an edge."""
 
     state: SharedState
     follower_runner: FollowerRunner
     quarantine: Quarantine
-    serving: ServingParts | None
-    linked: LinkParts
-    backend_state: BackendStateParts
-    ingress: IngressParts
+    serving: ServingComponents | None
+    linked: LinkComponents
+    backend_state: BackendStateComponents
+    ingress: IngressComponents
--- a/src/finchshed/daemon/crash_news_links.py
+++ b/src/finchshed/daemon/crash_news_broadcaster.py
@@ -9,7 +9,7 @@
 from finchshed.quarantine.messages import CrashNews
 
 
-class CrashNewsLinks:
+class CrashNewsBroadcaster:
     """Senders are called in the order in which they were added."""
 
     def __init__(self) -> None:
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -13,7 +13,7 @@
 from finchshed.common.outcomes import RefusalReason
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon import metrics
-from finchshed.daemon.assembly import build_parts
+from finchshed.daemon.assembly import build_components
 from finchshed.daemon.backend.registration import RegisteredBackend
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.header_names import HeaderNames
@@ -26,11 +26,11 @@
 from finchshed.runtime import clock, garbage
 from finchshed.runtime.waiting import wait_while
 
-UPKEEP_SECONDS = 0.5
+MAINTENANCE_INTERVAL_SECONDS = 0.5
 """Seconds between rounds of upkeep (idle connections, lost links, silence); chosen, not
 measured."""
 
-IDLE_SLACK_SECONDS = 2.0
+IDLE_GRACE_SECONDS = 2.0
 """Seconds that a connection is kept longer than callers were told, so that none of their requests
 crosses its end; chosen, not measured."""
 
@@ -49,7 +49,7 @@
         self._is_serving = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._listeners = Listeners()
-        parts = build_parts(settings, names or HeaderNames(), self, self._not_ready_reason)
+        parts = build_components(settings, names or HeaderNames(), self, self._not_ready_reason)
         self._parts = parts
         self._drain = parts.state.drain
         self._links = parts.linked.links
@@ -85,7 +85,7 @@
         settings = self._settings
         parts = self._parts
         self._spawn(parts.follower_runner.run())
-        self._spawn(self._keep_up())
+        self._spawn(self._maintain())
         monitor = parts.backend_state.monitor
         if monitor is not None and self.registered_backend is None:
             self._spawn(monitor.run())
@@ -132,7 +132,7 @@
         metrics.REVISION.set(current.revision)
         catalogue = Catalogue(current.resources.values(), current.revision)
         logger.info("configuration {} in force, before {}", current.revision, previous.revision)
-        self._parts.linked.endpoints.declare(catalogue.endpoints)
+        self._parts.linked.endpoints.set_declared(catalogue.endpoints)
         ingress = self._ingress
         ingress.caller.configure(catalogue)
         ingress.service_handler.catalogue = catalogue
@@ -142,13 +142,13 @@
         limits = ingress.host_server.limits
         limits.max_head_bytes = catalogue.limits.max_head_bytes
         limits.read_seconds = catalogue.limits.head_seconds
-        limits.idle_seconds = catalogue.limits.idle_seconds + IDLE_SLACK_SECONDS
+        limits.idle_seconds = catalogue.limits.idle_seconds + IDLE_GRACE_SECONDS
         if self._callee is not None:
             self._callee.configure(catalogue)
 
     def fetch_from_peer(self, peer: str, revision: int) -> None:
         """Ask a peer for its configuration."""
-        if self._links.fetch(peer, revision):
+        if self._links.fetch_configuration(peer, revision):
             return
         for link in self._parts.linked.listener.links():
             if link.peer is not None and link.peer.node == peer:
@@ -157,7 +157,7 @@
 
     def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to peers, to learn their revisions."""
-        self._links.greet(endpoints)
+        self._links.open_links(endpoints)
 
     def start_serving(self, basis: ServingBasis) -> None:
         """Take calls from now on."""
@@ -179,7 +179,7 @@
     def _on_directory(self, update: DirectoryUpdate) -> None:
         endpoints = self._parts.linked.endpoints
         endpoints.on_update(update)
-        self._ingress.caller.share_with(len(endpoints))
+        self._ingress.caller.set_daemon_count(len(endpoints))
         held = endpoints.registration_of(self._settings.link_address)
         if self.registered_backend is not None and held is not None:
             self.registered_backend.on_own_registration(held)
@@ -203,9 +203,9 @@
             self._callee.in_progress > 0 or self._callee.sessions > 0
         )
 
-    async def _keep_up(self) -> None:
+    async def _maintain(self) -> None:
         while True:
-            await asyncio.sleep(UPKEEP_SECONDS)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_SECONDS)
             self._ingress.service_server.sweep()
             self._ingress.host_server.sweep()
             if self.registered_backend is not None:
@@ -213,10 +213,10 @@
             self._ingress.caller.expire_sessions()
             self._parts.quarantine.tick()
             self._links.close_idle()
-            self._links.reopen_lost()
+            self._links.reopen_failed()
             if not self._parts.follower_runner.client.is_connected:
                 # Other daemons are the only source of configuration then.
-                self._links.ask_revisions()
+                self._links.request_revisions()
             self._parts.linked.listener.close_silent(clock.now())
             if self._callee is not None:
                 self._callee.expire_sessions()
@@ -246,9 +246,9 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         """Surface the error of a task that was to run as long as the daemon."""
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
--- a/src/finchshed/daemon/decision_log.py
+++ b/src/finchshed/daemon/decision_log.py
@@ -14,19 +14,19 @@
 from finchshed.common.units import MILLISECONDS
 from finchshed.configuration.resources import HostRoute
 from finchshed.daemon.request import Request
-from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.inbound_call import InboundCall
 from finchshed.observability import log_stream
 from finchshed.observability.decisions import AttemptRecord, BackendEnded, CallEnded, RequestEnded
 from finchshed.runtime import clock
 
-SIGNED_REFUSALS = frozenset({RefusalReason.QUARANTINED, RefusalReason.SUSPECTS_WAIT})
+REFUSALS_WITH_SIGNATURE = frozenset({RefusalReason.QUARANTINED, RefusalReason.SUSPECTS_WAIT})
 """Refusals that are due to the request itself."""
 
-MAX_NAMED_SIGNATURES = 64
+MAX_LOGGED_SIGNATURES = 64
 """Requests that a line about a back end's end names; it stays under 2 kB. Chosen, not measured."""
 
 
-def name_of(outcome: Outcome) -> str:
+def outcome_name(outcome: Outcome) -> str:
     """Return the word for an outcome."""
     if isinstance(outcome, Answered):
         return "answered"
@@ -45,10 +45,10 @@
     return is_failure(outcome) or log_stream.is_sampled(request.context.root)
 
 
-def is_signed(outcome: Outcome) -> bool:
+def includes_signature(outcome: Outcome) -> bool:
     """Return whether the line of an end names the request's signature: it may be due to it."""
     if isinstance(outcome, Refused):
-        return outcome.reason in SIGNED_REFUSALS
+        return outcome.reason in REFUSALS_WITH_SIGNATURE
     return isinstance(outcome, Failed)
 
 
@@ -72,7 +72,7 @@
         service=request.service,
         route=request.route,
         importance=int(request.context.importance),
-        outcome=name_of(outcome),
+        outcome=outcome_name(outcome),
         ms=round(seconds * MILLISECONDS, 2),
         reason=reason,
         detail=detail,
@@ -100,7 +100,7 @@
         service="",
         route="" if route is None else route.name,
         importance=-1 if route is None else int(route.importance),
-        outcome=name_of(refused),
+        outcome=outcome_name(refused),
         ms=0.0,
         reason=str(refused.reason),
         detail=refused.detail,
@@ -112,7 +112,7 @@
 
 
 def log_call(
-    work: Work,
+    work: InboundCall,
     outcome: Outcome,
     instance: str,
     load: LoadReport,
@@ -134,7 +134,7 @@
         root=context.root,
         service=work.call.service,
         instance=instance,
-        outcome=name_of(outcome),
+        outcome=outcome_name(outcome),
         queued_ms=round(((started or now) - work.arrived) * MILLISECONDS, 2),
         ran_ms=round((now - started) * MILLISECONDS, 2) if started else -1.0,
         reason=reason,
@@ -153,7 +153,7 @@
 
 def log_backend_ended(instance: str, service: str, signatures: Sequence[str]) -> None:
     """Log that the back end beside this daemon ended, and what it was running."""
-    named = tuple(signatures[:MAX_NAMED_SIGNATURES])
+    named = tuple(signatures[:MAX_LOGGED_SIGNATURES])
     record = BackendEnded(time.time(), instance, service, len(signatures), named)
     log_stream.emit(record, is_failure=True)
 
--- a/src/finchshed/daemon/draining.py
+++ b/src/finchshed/daemon/draining.py
@@ -18,7 +18,7 @@
 
 from loguru import logger
 
-from finchshed.daemon.calling.platform_hints import OwnListing
+from finchshed.daemon.calling.platform_hints import LocalMachineHints
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.distribution.messages import Hints
 from finchshed.link.listener import LinkListener
@@ -44,13 +44,13 @@
     """
 
     is_stopping: bool = False
-    is_listed: bool = False
-    backend_says_so: bool = False
+    is_machine_leaving: bool = False
+    is_backend_draining: bool = False
     lacks_ready_backend: bool = False
     is_announced: bool = False
 
     @classmethod
-    def before_registration(cls) -> "DrainState":
+    def awaiting_registration(cls) -> "DrainState":
         """Return the state beside a back end that registers and hasn't done so yet."""
         return cls(lacks_ready_backend=True, is_announced=True)
 
@@ -58,7 +58,10 @@
     def is_draining(self) -> bool:
         """Whether any sign is there, announced or not."""
         return (
-            self.is_stopping or self.is_listed or self.backend_says_so or self.lacks_ready_backend
+            self.is_stopping
+            or self.is_machine_leaving
+            or self.is_backend_draining
+            or self.lacks_ready_backend
         )
 
 
@@ -67,7 +70,7 @@
 
     Parameters
     ----------
-    own_listing
+    local_hints
         Judges whether the platform's list means this machine.
     listener
         Holds the links of callers.
@@ -77,12 +80,12 @@
         self,
         state: DrainState,
         identity: EndpointIdentity,
-        own_listing: OwnListing,
+        local_hints: LocalMachineHints,
         listener: LinkListener,
     ) -> None:
         self._state = state
         self._identity = identity
-        self._own_listing = own_listing
+        self._local_hints = local_hints
         self._listener = listener
 
     def announce(self) -> None:
@@ -101,10 +104,10 @@
 
     def on_hints(self, hints: Hints) -> None:
         """Follow the platform's list."""
-        is_listed = self._own_listing.is_meant(hints, clock.now())
-        if is_listed == self._state.is_listed:
+        is_listed = self._local_hints.is_leaving(hints, clock.now())
+        if is_listed == self._state.is_machine_leaving:
             return
-        self._state.is_listed = is_listed
+        self._state.is_machine_leaving = is_listed
         if is_listed:
             logger.info("the platform lists this machine as leaving")
             self.announce()
@@ -113,13 +116,13 @@
 
     def on_backend_draining(self) -> None:
         """Drain: the back end said so."""
-        self._state.backend_says_so = True
+        self._state.is_backend_draining = True
         logger.info("the back end says that it is draining")
         self.announce()
 
     def on_backend_returned(self) -> None:
         """Take calls again, if no other sign is left; to peers this is another back end."""
-        self._state.backend_says_so = False
+        self._state.is_backend_draining = False
         logger.info("the back end has returned")
         if self._state.is_draining:
             return
--- a/src/finchshed/daemon/header_names.py
+++ b/src/finchshed/daemon/header_names.py
@@ -48,10 +48,10 @@
     tenant: str = "finchshed-tenant"
     call_separator: str = ""
 
-    def set_here(self) -> frozenset[str]:
+    def set_by_daemons(self) -> frozenset[str]:
         """Return the names that daemons set; what a caller sent under them is dropped."""
         return frozenset({self.deadline, self.caller_service, self.expected_instance})
 
-    def of_tenants(self) -> frozenset[str]:
+    def tenant_headers(self) -> frozenset[str]:
         """Return the names that are dropped as well where tenants are declared."""
         return frozenset({self.api_key, self.tenant})
--- a/src/finchshed/daemon/ingress/host_access.py
+++ b/src/finchshed/daemon/ingress/host_access.py
@@ -9,7 +9,7 @@
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.configuration.resources import HostRoute, Tenant
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
+from finchshed.daemon.serving.served_requests import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest
 from finchshed.retry.policy import retry_after
 from finchshed.runtime import clock
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -19,7 +19,7 @@
 from finchshed.daemon.ingress.host_requests import HostAdmitted, HostRequests
 from finchshed.daemon.ingress.quota_gate import QuotaGate
 from finchshed.daemon.ingress.responses import malformed_by_host, response_by_host
-from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.retry.policy import retry_after
 from finchshed.routing.weights import WeightedChoice
--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -15,7 +15,7 @@
 from finchshed.configuration.resources import HostRoute, Tenant
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.request import MAX_ANSWER_BYTES_BY_HOST, Request, end_to_end_headers
-from finchshed.daemon.serving.accounts import ServedRequest
+from finchshed.daemon.serving.served_requests import ServedRequest
 from finchshed.http.message import InboundRequest
 from finchshed.runtime import clock
 
@@ -47,7 +47,7 @@
     def __init__(self, names: HeaderNames, own_service: Callable[[], str]) -> None:
         self._names = names
         self._own_service = own_service
-        self._always_dropped = names.set_here()
+        self._always_dropped = names.set_by_daemons()
         self._dropped = self._always_dropped
         self._deadline = names.deadline.encode("ascii")
 
@@ -55,7 +55,7 @@
         """Drop what callers may not set, by whether tenants are declared."""
         self._dropped = self._always_dropped
         if has_tenants:
-            self._dropped |= self._names.of_tenants()
+            self._dropped |= self._names.tenant_headers()
 
     def remaining_seconds(self, request: InboundRequest, route: HostRoute) -> float:
         """Return the seconds until its deadline: what the caller will wait, at most the route's."""
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -28,10 +28,10 @@
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon.calling.caller import Caller
-from finchshed.daemon.catalogue import Catalogue, Matched
+from finchshed.daemon.catalogue import Catalogue, RouteMatch
 from finchshed.daemon.ingress.responses import malformed_by_service, response_by_service
 from finchshed.daemon.request import Request, end_to_end_headers
-from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
+from finchshed.daemon.serving.served_requests import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.ledger.keys import issued_at
 from finchshed.retry.policy import retry_after
@@ -57,7 +57,7 @@
     ``served`` is the request of the local back end that calls on, or None for a root request.
     """
 
-    matched: Matched
+    matched: RouteMatch
     served: ServedRequest | None
 
 
@@ -152,7 +152,7 @@
         """Return the response to bytes that are no request, or no allowed one."""
         return malformed_by_service(detail, status)
 
-    def _root_context(self, request: InboundRequest, matched: Matched) -> CallContext:
+    def _root_context(self, request: InboundRequest, matched: RouteMatch) -> CallContext:
         # The account of a request that is over has nothing left to lend.
         is_late = _ACCOUNT in request.first
         root = request.header(_ROOT) or self._new_root()
@@ -173,7 +173,7 @@
         return f"{self._root_prefix}-{next(self._roots):x}"
 
     def _nested_context(
-        self, request: InboundRequest, matched: Matched, served: ServedRequest
+        self, request: InboundRequest, matched: RouteMatch, served: ServedRequest
     ) -> CallContext:
         inherited = served.context
         session = inherited.session
--- a/src/finchshed/daemon/link_handler.py
+++ b/src/finchshed/daemon/link_handler.py
@@ -84,7 +84,7 @@
 
     def crash_news_received(self, news: CrashNews) -> None:
         """Merge what a peer reports of requests that crash back ends."""
-        self._quarantine.on_link_news(news.records)
+        self._quarantine.on_peer_news(news.records)
 
     def crash_news(self) -> CrashNews | None:
         """Return what a peer is told when a link opens."""
@@ -108,7 +108,7 @@
     def call_cancelled(self, link: AcceptedLink, call: int) -> None:
         """Drop a call of another daemon."""
         if self._callee is not None:
-            self._callee.give_up(link, call)
+            self._callee.cancel(link, call)
 
     def accepted_revision_seen(self, link: AcceptedLink, revision: int) -> None:
         """Note the revision a calling daemon holds; fetch it if it is higher."""
--- a/src/finchshed/daemon/quarantine.py
+++ b/src/finchshed/daemon/quarantine.py
@@ -16,14 +16,14 @@
 from finchshed.quarantine.register import FREE, Judgement, QuarantineRegister, Suspicion
 from finchshed.runtime import clock
 
-Signer: TypeAlias = Callable[[], str]
+LazySignature: TypeAlias = Callable[[], str]
 """Returns a request's signature, computed at the first call; a large body takes milliseconds."""
 
-EXPIRE_SECONDS = 10.0
+EXPIRE_INTERVAL_SECONDS = 10.0
 """Seconds between looks for what is over; what is over is judged so at each use anyway. Chosen, not
 measured."""
 
-MAX_LOGGED = 8
+MAX_LOGGED_RECORDS = 8
 """Records of one piece of news that are logged each by itself: a line takes 0.1 ms to make. The
 number is chosen, not measured."""
 
@@ -43,7 +43,7 @@
         send_on_links: Callable[[CrashNews], None],
     ) -> None:
         self._client = client
-        self._tell_links = send_on_links
+        self._send_on_links = send_on_links
         self._register = QuarantineRegister()
         self._reported_to_control = QuarantineRegister()
         self._had_control = False
@@ -52,13 +52,13 @@
         self._expire_due = 0.0
         client.on_crash_news = self._on_control_news
 
-    def judge(self, signature: Signer) -> Judgement:
+    def check(self, signature: LazySignature) -> Judgement:
         """Return what may be done with a request; it costs nothing while none is held."""
         if not self._register:
             return FREE
         return self._register.judge(signature(), clock.now())
 
-    def record_of(self, signature: Signer) -> CrashRecord | None:
+    def crash_record(self, signature: LazySignature) -> CrashRecord | None:
         """Return what is held of a request, to be sent with its answer."""
         if not self._register:
             return None
@@ -70,7 +70,7 @@
         metrics.QUARANTINE_SUSPECTED.inc(len(changed))
         self._publish(changed, f"back end {instance} ended under {len(signatures)} requests")
 
-    def on_completed(self, signature: Signer) -> None:
+    def on_completed(self, signature: LazySignature) -> None:
         """Note that a request has run to an end."""
         if not self._register:
             return
@@ -81,15 +81,15 @@
 
     def on_answer(self, record: CrashRecord) -> None:
         """Merge what an answer of a peer says of its request."""
-        self.on_link_news((record,))
+        self.on_peer_news((record,))
 
-    def on_link_news(self, records: Sequence[CrashRecord]) -> None:
+    def on_peer_news(self, records: Sequence[CrashRecord]) -> None:
         """Merge what a peer reports; without control pass it on, as nobody else does."""
         changed = self._register.merge(records, clock.now())
         self._has_unsent = self._has_unsent or bool(changed)
         self._log_reported(changed, "a peer reports it")
         if changed and not self._client.is_connected:
-            self._tell_links(CrashNews(changed))
+            self._send_on_links(CrashNews(changed))
 
     def news_for_link(self) -> CrashNews | None:
         """Return the news that a peer is sent when its link opens."""
@@ -104,7 +104,7 @@
             return
         now = clock.now()
         if now >= self._expire_due:
-            self._expire_due = now + EXPIRE_SECONDS
+            self._expire_due = now + EXPIRE_INTERVAL_SECONDS
             self._register.expire(now)
             self._reported_to_control.expire(now)
         has_control = self._client.is_connected
@@ -119,7 +119,7 @@
         elif self._had_control and not has_control:
             # What was sent last may not have come through.
             self._has_unsent = True
-            self._tell_links(CrashNews(self._register.records(now)))
+            self._send_on_links(CrashNews(self._register.records(now)))
         self._had_control = has_control
 
     def _on_control_news(self, news: CrashNews) -> None:
@@ -135,7 +135,7 @@
             self._send_to_control(changed)
         else:
             self._has_unsent = True
-            self._tell_links(CrashNews(tuple(changed)))
+            self._send_on_links(CrashNews(tuple(changed)))
 
     def _send_to_control(self, records: Iterable[CrashRecord]) -> None:
         unknown = self._reported_to_control.merge(records, clock.now())
@@ -164,7 +164,7 @@
         now = clock.now()
         judged = [(record, self._register.judge(record.signature, now)) for record in changed]
         judged.sort(key=lambda item: item[1].suspicion is not Suspicion.QUARANTINED)
-        for record, judgement in judged[:MAX_LOGGED]:
+        for record, judgement in judged[:MAX_LOGGED_RECORDS]:
             logger.info(
                 "request {} is {}: {}; back ends that ended under it: {}, not held against it: {}, "
                 "last {:.1f} s ago, refused for {:.0f} s more",
@@ -176,5 +176,5 @@
                 record.age_seconds,
                 judgement.seconds,
             )
-        if len(judged) > MAX_LOGGED:
-            logger.info("{} more requests: {}", len(judged) - MAX_LOGGED, cause)
+        if len(judged) > MAX_LOGGED_RECORDS:
+            logger.info("{} more requests: {}", len(judged) - MAX_LOGGED_RECORDS, cause)
--- a/src/finchshed/daemon/request.py
+++ b/src/finchshed/daemon/request.py
@@ -79,11 +79,11 @@
         return bool(self.identity)
 
 
-LONGEST_KNOWN_NAME = 64
+MAX_CACHED_NAME_BYTES = 64
 """Names up to this length, bytes, are remembered; the others are read anew each time. Chosen, not
 measured."""
 
-KNOWN_NAMES = 512
+HEADER_NAME_CACHE_SIZE = 512
 """Names of headers that are remembered; chosen, not measured."""
 
 
@@ -95,8 +95,8 @@
     kept: list[tuple[str, str]] = []
     nominated: set[str] = set()
     for name_bytes, value_bytes in raw:
-        is_short = len(name_bytes) <= LONGEST_KNOWN_NAME
-        name, is_passed_on = _known_name(name_bytes) if is_short else _read_name(name_bytes)
+        is_short = len(name_bytes) <= MAX_CACHED_NAME_BYTES
+        name, is_passed_on = _cached_name(name_bytes) if is_short else _parse_name(name_bytes)
         if is_passed_on:
             kept.append((name, value_bytes.decode("latin-1")))
         elif name == "connection":
@@ -107,10 +107,10 @@
     return tuple(kept)
 
 
-def _read_name(raw: bytes) -> tuple[str, bool]:
+def _parse_name(raw: bytes) -> tuple[str, bool]:
     """Return a header's name in lower case, and whether it is passed on."""
     name = raw.decode("latin-1").lower()
     return name, name not in HOP_BY_HOP_HEADERS and not name.startswith(INTERNAL_PREFIX)
 
 
-_known_name = lru_cache(maxsize=KNOWN_NAMES)(_read_name)
+_cached_name = lru_cache(maxsize=HEADER_NAME_CACHE_SIZE)(_parse_name)
--- a/src/finchshed/daemon/serving/guarded.py
+++ b/src/finchshed/daemon/serving/at_most_once.py
@@ -25,6 +25,7 @@
     Refused,
 )
 from finchshed.daemon import metrics
+from finchshed.daemon.serving.inbound_call import InboundCall
 from finchshed.daemon.serving.ledger_port import (
     LedgerAnswer,
     LedgerPort,
@@ -32,7 +33,6 @@
     stored_answer,
     with_fingerprint,
 )
-from finchshed.daemon.serving.work import Work
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.distribution.messages import (
     LedgerCompleted,
@@ -44,7 +44,7 @@
 from finchshed.retry.policy import retry_after
 from finchshed.runtime import clock
 
-ATTEMPT_BYTES = 12
+ATTEMPT_ID_BYTES = 12
 """Random bytes of an attempt's identity in the ledger: no two attempts have the same."""
 
 CANCEL_TIMEOUT_SECONDS = 30.0
@@ -54,11 +54,11 @@
     {LedgerRefusalReason.NO_TIME_IN_KEY.value, LedgerRefusalReason.MADE_IN_THE_FUTURE.value}
 )
 
-SendCallback: TypeAlias = Callable[[Work], None]
-FinishCallback: TypeAlias = Callable[[Work, Outcome], None]
+SendCallback: TypeAlias = Callable[[InboundCall], None]
+FinishCallback: TypeAlias = Callable[[InboundCall, Outcome], None]
 
 
-class GuardedRuns:
+class AtMostOnceRunner:
     """Asks the ledger on behalf of calls that may not be repeated."""
 
     def __init__(self, settings: DaemonSettings, ledger: LedgerPort, rng: random.Random) -> None:
@@ -66,9 +66,9 @@
         self._ledger = ledger
         self._rng = rng
 
-    def begin(self, work: Work, send: SendCallback, finish: FinishCallback) -> None:
+    def begin(self, work: InboundCall, send: SendCallback, finish: FinishCallback) -> None:
         """Ask leave to run ``work``; call ``send`` if granted, ``finish`` if not."""
-        work.attempt = secrets.token_hex(ATTEMPT_BYTES)
+        work.attempt = secrets.token_hex(ATTEMPT_ID_BYTES)
         asked_at = clock.now()
         timeout = min(self._settings.ledger_timeout_seconds, max(0.0, work.deadline - asked_at))
 
@@ -78,7 +78,7 @@
 
         self._ledger.begin(work.ledger_key, work.attempt, timeout, answered)
 
-    def settle(self, work: Work, outcome: Outcome, finish: FinishCallback) -> None:
+    def record(self, work: InboundCall, outcome: Outcome, finish: FinishCallback) -> None:
         """Record what became of a sent attempt, then call ``finish``.
 
         The answer waits for the record, so that a resend made after it gets the same answer; it
@@ -100,7 +100,7 @@
 
     def _on_answer(
         self,
-        work: Work,
+        work: InboundCall,
         answer: LedgerAnswer | None,
         asked_at: float,
         send: SendCallback,
@@ -113,13 +113,13 @@
         elif isinstance(answer, LedgerUnknown):
             finish(work, Failed(FailureReason.OUTCOME_UNKNOWN, retry_after(1.0, self._rng)))
         elif isinstance(answer, LedgerRefused):
-            finish(work, self._refused(_reason_of(answer), answer.detail))
+            finish(work, self._refused(_refusal_reason(answer), answer.detail))
         else:
             # Nothing was granted in time: the attempt is never sent, and the port frees its key.
             finish(work, self._refused(RefusalReason.LEDGER_UNAVAILABLE, "no answer in time"))
 
     def _on_granted(
-        self, work: Work, asked_at: float, send: SendCallback, finish: FinishCallback
+        self, work: InboundCall, asked_at: float, send: SendCallback, finish: FinishCallback
     ) -> None:
         now = clock.now()
         if work.abandoned:
@@ -134,23 +134,23 @@
         self._cancel(work)
         finish(work, self._refused(reason, "the grant was not used"))
 
-    def _replayed(self, work: Work, answer: Answered) -> Outcome:
+    def _replayed(self, work: InboundCall, answer: Answered) -> Outcome:
         replayed = stored_answer(answer, self._fingerprint(work))
         if replayed is not None:
             return replayed
         return self._refused(RefusalReason.KEY_REUSED, "the key was used for another request")
 
-    def _cancel(self, work: Work) -> None:
+    def _cancel(self, work: InboundCall) -> None:
         self._ledger.cancel(work.ledger_key, work.attempt, CANCEL_TIMEOUT_SECONDS)
 
-    def _fingerprint(self, work: Work) -> str:
+    def _fingerprint(self, work: InboundCall) -> str:
         return fingerprint_of(work.call.method, work.call.path, work.call.body)
 
     def _refused(self, reason: RefusalReason, detail: str) -> Refused:
         return Refused(reason, retry_after(0.0, self._rng), detail)
 
 
-def _reason_of(refused: LedgerRefused) -> RefusalReason:
+def _refusal_reason(refused: LedgerRefused) -> RefusalReason:
     """Return the reason for the caller; what the ledger says of a key is final."""
     if refused.detail in _INVALID_KEY:
         return RefusalReason.KEY_INVALID
--- a/src/finchshed/daemon/serving/backend_runs.py
+++ b/src/finchshed/daemon/serving/backend_runs.py
@@ -21,26 +21,30 @@
     BackendUnreached,
 )
 from finchshed.daemon.backend.events import BackendEvents
-from finchshed.daemon.backend.request import backend_request, outcome_of, with_downstream
+from finchshed.daemon.backend.request import (
+    backend_request,
+    outcome_from_result,
+    with_downstream_failure,
+)
 from finchshed.daemon.decision_log import log_backend_ended
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
-from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.at_most_once import AtMostOnceRunner
 from finchshed.daemon.serving.call_admission import CallAdmission
-from finchshed.daemon.serving.crash_detection import BrokenRun, CrashDetector
-from finchshed.daemon.serving.guarded import GuardedRuns
-from finchshed.daemon.serving.work import Work
-from finchshed.daemon.serving.work_state import WorkState
+from finchshed.daemon.serving.crash_detection import CrashDetector, InterruptedRequest
+from finchshed.daemon.serving.inbound_call import InboundCall
+from finchshed.daemon.serving.inbound_call_state import InboundCallState
+from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.http.status import STATUS_MISDIRECTED_REQUEST
 from finchshed.quarantine.register import Suspicion
 from finchshed.retry.policy import retry_after
 from finchshed.runtime import clock
 
-CRASH_BYTES = 6
+CRASH_ID_BYTES = 6
 """Random bytes in the name of a crash where back ends don't tell who they are."""
 
 
-class BackendRuns:
+class BackendRunner:
     """Calls on their way to the back end and back.
 
     Parameters
@@ -51,7 +55,7 @@
         Knows the instance that calls are served by.
     events
         Is told of answers and faults.
-    on_run_over
+    on_slot_free
         Called where the slot of a call is free before the call is answered.
     on_finished
         Called with each call that was started, and its outcome.
@@ -62,7 +66,7 @@
         endpoint: str,
         *,
         backend: BackendClient,
-        guarded: GuardedRuns,
+        guarded: AtMostOnceRunner,
         served: ServedRequests,
         paths: PathThresholds,
         admission: CallAdmission,
@@ -70,8 +74,8 @@
         quarantine: Quarantine,
         names: HeaderNames,
         rng: random.Random,
-        on_run_over: Callable[[Work, CallResult], None],
-        on_finished: Callable[[Work, Outcome], None],
+        on_slot_free: Callable[[InboundCall, CallResult], None],
+        on_finished: Callable[[InboundCall, Outcome], None],
     ) -> None:
         self._endpoint = endpoint
         self._backend = backend
@@ -83,13 +87,13 @@
         self._quarantine = quarantine
         self._names = names
         self._rng = rng
-        self._on_run_over = on_run_over
+        self._on_slot_free = on_slot_free
         self._on_finished = on_finished
         self._crash_detector = CrashDetector(backend, self._on_crash)
 
-    def start(self, work: Work) -> None:
+    def start(self, work: InboundCall) -> None:
         """Run a call that the gate started."""
-        judgement = self._quarantine.judge(work.signature)
+        judgement = self._quarantine.check(work.signature)
         if judgement.suspicion is Suspicion.QUARANTINED:
             # Back ends ended under its other tries while it was queued here.
             self._on_finished(work, Refused(RefusalReason.QUARANTINED, judgement.seconds))
@@ -98,12 +102,12 @@
         if work.repeatable or work.is_by_host:
             self._send(work)
         else:
-            work.state = WorkState.ASKING_LEDGER
+            work.state = InboundCallState.ASKING_LEDGER
             self._guarded.begin(work, self._send, self._on_finished)
 
-    def _send(self, work: Work) -> None:
+    def _send(self, work: InboundCall) -> None:
         call = work.call
-        work.state = WorkState.AT_BACKEND
+        work.state = InboundCallState.AT_BACKEND
         work.started = clock.now()
         work.served = self._served.open(work.context, work.deadline, call.identity)
         self._paths.on_start(work.served.account, work.route)
@@ -114,41 +118,43 @@
             request, lambda result: self._on_result(work, instance, result)
         )
 
-    def _on_result(self, work: Work, instance: str, result: BackendResult) -> None:
+    def _on_result(self, work: InboundCall, instance: str, result: BackendResult) -> None:
         if not isinstance(result, BackendBroken):
-            self._settle(work, instance, result)
+            self._finish(work, instance, result)
             return
-        then = partial(self._settle, work, instance, result)
-        self._crash_detector.on_broken(instance, BrokenRun(work.signature(), then))
+        then = partial(self._finish, work, instance, result)
+        self._crash_detector.on_interrupted(instance, InterruptedRequest(work.signature(), then))
 
     def _on_crash(self, instance: str, signatures: list[str]) -> None:
         """Note that the back end ended while it ran these."""
         metrics.BACKEND_ENDED.inc()
-        crash = instance or f"{self._endpoint}-{secrets.token_hex(CRASH_BYTES)}"
+        crash = instance or f"{self._endpoint}-{secrets.token_hex(CRASH_ID_BYTES)}"
         log_backend_ended(crash, self._admission.service, signatures)
         self._quarantine.on_crash(crash, signatures)
-        self._events.failed(instance, BackendUnreached("it ended", is_refused=True))
+        self._events.publish_fault(instance, BackendUnreached("it ended", is_refused=True))
 
-    def _settle(self, work: Work, instance: str, result: BackendResult) -> None:
-        if work.state is not WorkState.AT_BACKEND:
+    def _finish(self, work: InboundCall, instance: str, result: BackendResult) -> None:
+        if work.state is not InboundCallState.AT_BACKEND:
             return
         self._report(work, instance, result)
-        outcome = outcome_of(result, retry_after(0.0, self._rng))
+        outcome = outcome_from_result(result, retry_after(0.0, self._rng))
         if work.is_by_host and work.served is not None:
-            outcome = with_downstream(outcome, self._served.has_failed_call(work.served.account))
+            outcome = with_downstream_failure(
+                outcome, self._served.has_failed_call(work.served.account)
+            )
         if work.repeatable or work.is_by_host:
             self._on_finished(work, outcome)
             return
-        work.state = WorkState.RECORDING
+        work.state = InboundCallState.RECORDING
         # The back end is done with the request; waiting for the ledger must not hold its slot.
-        self._on_run_over(work, result_of(outcome))
-        self._guarded.settle(work, outcome, self._on_finished)
+        self._on_slot_free(work, result_of(outcome))
+        self._guarded.record(work, outcome, self._on_finished)
 
-    def _report(self, work: Work, instance: str, result: BackendResult) -> None:
+    def _report(self, work: InboundCall, instance: str, result: BackendResult) -> None:
         """Pass on what a result shows of the back end and of the request."""
         if isinstance(result, BackendAnswer):
-            self._events.answered(result)
+            self._events.publish_answer(result)
             if result.ran:
                 self._quarantine.on_completed(work.signature)
         if not isinstance(result, BackendAnswer) or result.status == STATUS_MISDIRECTED_REQUEST:
-            self._events.failed(instance, result)
+            self._events.publish_fault(instance, result)
--- a/src/finchshed/daemon/serving/call_admission.py
+++ b/src/finchshed/daemon/serving/call_admission.py
@@ -10,11 +10,11 @@
 
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.configuration.resources import Service
-from finchshed.daemon.catalogue import Catalogue, Matched
+from finchshed.daemon.catalogue import Catalogue, RouteMatch
 from finchshed.daemon.draining import DrainState
 from finchshed.daemon.request import MAX_ANSWER_BYTES_BY_HOST
+from finchshed.daemon.serving.inbound_call import InboundCall
 from finchshed.daemon.serving.ledger_port import scoped_key
-from finchshed.daemon.serving.work import Work
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
@@ -50,39 +50,39 @@
         self._rng = rng
         self._next_token = 1
 
-    def admit(self, link: AcceptedLink, call: Call, now: float) -> Work | Refused:
+    def admit(self, link: AcceptedLink, call: Call, now: float) -> InboundCall | Refused:
         """Return the work a call means, or why it is refused. ``now`` is monotonic seconds."""
         if call.route:
             # Its route was found by a configuration that is confirmed to the calling daemon.
             return self._admit_by_host(link, call, now)
         if not self.may_serve:
-            return self.refused(RefusalReason.NO_CONFIGURATION)
+            return self.refusal(RefusalReason.NO_CONFIGURATION)
         matched = self.catalogue.match(call.service, call.path)
         if matched is None or call.service != self.service:
-            return self.refused(RefusalReason.UNKNOWN_ROUTE)
+            return self.refusal(RefusalReason.UNKNOWN_ROUTE)
         return self._admit_by_service(link, call, matched, now)
 
     def _admit_by_service(
-        self, link: AcceptedLink, call: Call, matched: Matched, now: float
-    ) -> Work | Refused:
+        self, link: AcceptedLink, call: Call, matched: RouteMatch, now: float
+    ) -> InboundCall | Refused:
         """Judge a call under a route of its service: size, key, drain, session."""
         route, service = matched.route, matched.service
         if len(call.body) > service.max_body_bytes:
-            return self.refused(RefusalReason.REQUEST_TOO_LARGE)
+            return self.refusal(RefusalReason.REQUEST_TOO_LARGE)
         ledger_key = "" if route.repeatable else scoped_key(call.context.key, service.name)
         if ledger_key is None:
-            return self.refused(RefusalReason.KEY_INVALID, "a UUID of version 7 is needed")
+            return self.refusal(RefusalReason.KEY_INVALID, "a UUID of version 7 is needed")
         session = call.context.session if route.session else ""
         if self._drain.is_announced and not (session and self.sessions.get(session)):
-            return self.refused(RefusalReason.DRAINING)
-        opens_session = self._enter_session(session, service, now) if session else False
+            return self.refusal(RefusalReason.DRAINING)
+        opens_session = self._open_session(session, service, now) if session else False
         if isinstance(opens_session, Refused):
             return opens_session
         context = call.context
         if opens_session:
             # A session that it opens is not running yet.
             context = msgspec.structs.replace(context, session="")
-        return Work(
+        return InboundCall(
             token=self._new_token(),
             link=link,
             call=call,
@@ -97,7 +97,7 @@
             ledger_key=ledger_key,
         )
 
-    def _enter_session(self, session: str, service: Service, now: float) -> bool | Refused:
+    def _open_session(self, session: str, service: Service, now: float) -> bool | Refused:
         """Note a request of a session; return whether it opens it, or why it may not."""
         if self.sessions.get(session) is None:
             self.sessions.expire(now)
@@ -110,16 +110,16 @@
             now=now,
         )
         if isinstance(opened, NotOpened):
-            return self.refused(opened.reason)
+            return self.refusal(opened.reason)
         self.sessions.on_request(session, now)
         return opened.is_new
 
-    def _admit_by_host(self, link: AcceptedLink, call: Call, now: float) -> Work | Refused:
+    def _admit_by_host(self, link: AcceptedLink, call: Call, now: float) -> InboundCall | Refused:
         """Judge a call that the calling daemon found the route of."""
         if self._drain.is_announced or not self.instance or call.service != self.service:
             # What was called here has gone: whatever is here now was not meant.
-            return self.refused(RefusalReason.DRAINING)
-        return Work(
+            return self.refusal(RefusalReason.DRAINING)
+        return InboundCall(
             token=self._new_token(),
             link=link,
             call=call,
@@ -138,6 +138,6 @@
         self._next_token += 1
         return token
 
-    def refused(self, reason: RefusalReason, detail: str = "") -> Refused:
+    def refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
         """Return a refusal for ``reason``."""
         return Refused(reason, retry_after(0.0, self._rng), detail)
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -19,17 +19,17 @@
 from finchshed.daemon.draining import DrainState
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
-from finchshed.daemon.serving.accounts import ServedRequests
-from finchshed.daemon.serving.backend_runs import BackendRuns
+from finchshed.daemon.serving.at_most_once import AtMostOnceRunner
+from finchshed.daemon.serving.backend_runs import BackendRunner
 from finchshed.daemon.serving.call_admission import CallAdmission
 from finchshed.daemon.serving.gate_runner import GateRunner
-from finchshed.daemon.serving.guarded import GuardedRuns
+from finchshed.daemon.serving.inbound_call import InboundCall
+from finchshed.daemon.serving.inbound_call_state import InboundCallState
 from finchshed.daemon.serving.replies import ReplySender
-from finchshed.daemon.serving.suspect_queue import SuspectQueue, Turn
-from finchshed.daemon.serving.work import Work
-from finchshed.daemon.serving.work_state import WorkState
+from finchshed.daemon.serving.served_requests import ServedRequests
+from finchshed.daemon.serving.suspect_queue import SuspectDecision, SuspectQueue
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.daemon.signatures import Signatures
+from finchshed.daemon.signatures import SignatureFactory
 from finchshed.limit.concurrency import slots_to_use
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
@@ -66,7 +66,7 @@
         settings: DaemonSettings,
         *,
         backend: BackendClient,
-        guarded: GuardedRuns,
+        guarded: AtMostOnceRunner,
         served: ServedRequests,
         paths: PathThresholds,
         rng: random.Random,
@@ -74,7 +74,7 @@
         events: BackendEvents,
         revision: Callable[[], int],
         names: HeaderNames,
-        signatures: Signatures,
+        signatures: SignatureFactory,
         quarantine: Quarantine,
     ) -> None:
         self._endpoint = settings.endpoint
@@ -88,7 +88,7 @@
         self._replies = ReplySender(
             self._admission, self._gate, drain=drain, quarantine=quarantine, revision=revision
         )
-        self._runs = BackendRuns(
+        self._runner = BackendRunner(
             settings.endpoint,
             backend=backend,
             guarded=guarded,
@@ -99,11 +99,11 @@
             quarantine=quarantine,
             names=names,
             rng=rng,
-            on_run_over=self._on_run_over,
+            on_slot_free=self._on_slot_free,
             on_finished=self._finish,
         )
-        self._works: dict[int, Work] = {}
-        self._by_call: dict[tuple[str, int], Work] = {}
+        self._calls: dict[int, InboundCall] = {}
+        self._by_call: dict[tuple[str, int], InboundCall] = {}
 
     def start_serving(self) -> None:
         """Take calls from now on."""
@@ -112,7 +112,7 @@
     @property
     def in_progress(self) -> int:
         """Calls not answered yet."""
-        return len(self._works)
+        return len(self._calls)
 
     @property
     def sessions(self) -> int:
@@ -130,19 +130,19 @@
         if endpoint is not None:
             self._gate.set_slots(endpoint.slots)
 
-    def serve_instance(self, instance: str, service: str, slots: int) -> None:
+    def set_instance(self, instance: str, service: str, slots: int) -> None:
         """Serve with this start of the back end from now on."""
         self._admission.service = service
         self._admission.instance = instance
         if slots:
             self._gate.set_slots(slots_to_use(slots))
 
-    def turn_away_waiting(self) -> None:
+    def refuse_queued(self) -> None:
         """Send what waits for the back end elsewhere; it has not run."""
-        for work in list(self._works.values()):
-            if work.state is WorkState.QUEUED and work.is_by_host:
+        for work in list(self._calls.values()):
+            if work.state is InboundCallState.QUEUED and work.is_by_host:
                 self._dequeue(work)
-                self._refuse(work, self._admission.refused(RefusalReason.DRAINING))
+                self._refuse(work, self._admission.refusal(RefusalReason.DRAINING))
 
     def load_report(self) -> LoadReport:
         """Return the load that is reported to callers."""
@@ -159,10 +159,10 @@
         if isinstance(work, Refused):
             self._replies.refuse(link, call, work)
             return
-        self._works[work.token] = work
+        self._calls[work.token] = work
         self._by_call[call.epoch, call.call] = work
-        work.signature = self._signatures.signer(call)
-        judgement = self._quarantine.judge(work.signature)
+        work.signature = self._signatures.lazy_signature(call)
+        judgement = self._quarantine.check(work.signature)
         if judgement.suspicion is Suspicion.QUARANTINED:
             detail = f"{judgement.crashes} back ends ended under it"
             self._refuse(work, Refused(RefusalReason.QUARANTINED, judgement.seconds, detail))
@@ -171,80 +171,80 @@
         else:
             self._gate.enter(work, now)
 
-    def give_up(self, link: AcceptedLink, call_identity: int) -> None:
+    def cancel(self, link: AcceptedLink, call_identity: int) -> None:
         """Drop a call whose caller has given up or is gone."""
         work = self._by_call.get((link.epoch, call_identity))
         if work is None:
             return
         work.abandoned = True
-        if work.state is WorkState.QUEUED:
+        if work.state is InboundCallState.QUEUED:
             self._dequeue(work)
-            self._forget(work)
-        elif work.state is WorkState.AT_BACKEND and work.repeatable:
+            self._remove(work)
+        elif work.state is InboundCallState.AT_BACKEND and work.repeatable:
             if work.cancel_backend is not None:
                 work.cancel_backend()
             self._end(work, CallResult.CANCELLED)
 
-    def _enter_suspect(self, work: Work) -> None:
+    def _enter_suspect(self, work: InboundCall) -> None:
         """Have a suspect wait until no other one runs here."""
         match self._suspects.enter(work.token):
-            case Turn.RUNS:
+            case SuspectDecision.RUNS:
                 self._gate.enter(work, clock.now())
-            case Turn.REFUSED:
-                self._refuse(work, self._admission.refused(RefusalReason.SUSPECTS_WAIT))
-            case Turn.WAITS:
+            case SuspectDecision.REFUSED:
+                self._refuse(work, self._admission.refusal(RefusalReason.SUSPECTS_WAIT))
+            case SuspectDecision.WAITS:
                 pass  # until its turn comes, in _forget
 
-    def _dequeue(self, work: Work) -> None:
+    def _dequeue(self, work: InboundCall) -> None:
         """Take a call that was not started out of what waits."""
         if not self._suspects.is_waiting(work.token):
             self._gate.cancel(work.token)
 
     def _on_effect(self, effect: GateEffect) -> None:
-        work = self._works.get(effect.token)
+        work = self._calls.get(effect.token)
         if work is None:
             return
         if isinstance(effect, Start):
             if work.in_session:
                 self._admission.sessions.admit(work.call.context.session)
-            self._runs.start(work)
+            self._runner.start(work)
         else:
             self._refuse(work, Refused(effect.reason, effect.retry_after))
 
-    def _on_run_over(self, work: Work, result: CallResult) -> None:
+    def _on_slot_free(self, work: InboundCall, result: CallResult) -> None:
         self._gate.finish(work.token, result)
 
-    def _finish(self, work: Work, outcome: Outcome) -> None:
+    def _finish(self, work: InboundCall, outcome: Outcome) -> None:
         """Answer a call that was started, and free its slot."""
-        if work.state is WorkState.DONE:
+        if work.state is InboundCallState.DONE:
             return
         spare = self._end(work, result_of(outcome))
         self._replies.reply(work, outcome, spare)
 
-    def _refuse(self, work: Work, refused: Refused) -> None:
+    def _refuse(self, work: InboundCall, refused: Refused) -> None:
         """Answer a call that was never started."""
-        self._forget(work)
+        self._remove(work)
         if work.opens_session:
             self._admission.sessions.refuse(work.call.context.session)
         self._replies.reply(work, refused, work.call.context.spare_attempts)
 
-    def _end(self, work: Work, result: CallResult) -> int:
+    def _end(self, work: InboundCall, result: CallResult) -> int:
         """Forget a started call and free its slot; return the spare attempts left."""
         spare = work.call.context.spare_attempts
         if work.served is not None:
             spare = self._served.close(work.served.account)
             self._paths.on_end(work.served.account, answered=result is CallResult.OK)
-        self._forget(work)
+        self._remove(work)
         self._gate.finish(work.token, result)
         return spare
 
-    def _forget(self, work: Work) -> None:
-        work.state = WorkState.DONE
+    def _remove(self, work: InboundCall) -> None:
+        work.state = InboundCallState.DONE
         work.cancel_backend = None
-        self._works.pop(work.token, None)
+        self._calls.pop(work.token, None)
         self._by_call.pop((work.call.epoch, work.call.call), None)
         if work.in_session:
             self._admission.sessions.on_answer(work.call.context.session, clock.now())
-        due = self._works.get(self._suspects.leave(work.token) or 0)
+        due = self._calls.get(self._suspects.leave(work.token) or 0)
         if due is not None:
             self._gate.enter(due, clock.now())
--- a/src/finchshed/daemon/serving/crash_detection.py
+++ b/src/finchshed/daemon/serving/crash_detection.py
@@ -11,18 +11,18 @@
 
 from finchshed.daemon.backend.client import BackendClient
 
-COLLECT_SECONDS = 0.005
+CORRELATION_WINDOW_SECONDS = 0.005
 """Connections of one process that ended break within this time of each other; the look at the back
 end comes after it. A request whose connection broke is answered so much later. Seconds; chosen, not
 measured."""
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenRun:
+class InterruptedRequest:
     """A request whose connection to the back end broke, and what goes on once it is known why."""
 
     signature: str
-    then: Callable[[], None]
+    on_checked: Callable[[], None]
 
 
 class CrashDetector:
@@ -37,25 +37,25 @@
     def __init__(self, backend: BackendClient, on_crash: Callable[[str, list[str]], None]) -> None:
         self._backend = backend
         self._on_crash = on_crash
-        self._broken: dict[str, list[BrokenRun]] = {}
-        self._looks: set[asyncio.Task[None]] = set()
+        self._interrupted: dict[str, list[InterruptedRequest]] = {}
+        self._checks: set[asyncio.Task[None]] = set()
 
-    def on_broken(self, instance: str, run: BrokenRun) -> None:
+    def on_interrupted(self, instance: str, run: InterruptedRequest) -> None:
         """Note a run whose connection broke; its ``then`` is called once, soon."""
-        collected = self._broken.get(instance)
+        collected = self._interrupted.get(instance)
         if collected is not None:
             collected.append(run)
             return
-        self._broken[instance] = [run]
-        look = asyncio.get_running_loop().create_task(self._look(instance))
-        self._looks.add(look)
-        look.add_done_callback(self._looks.discard)
+        self._interrupted[instance] = [run]
+        look = asyncio.get_running_loop().create_task(self._check(instance))
+        self._checks.add(look)
+        look.add_done_callback(self._checks.discard)
 
-    async def _look(self, instance: str) -> None:
-        await asyncio.sleep(COLLECT_SECONDS)
+    async def _check(self, instance: str) -> None:
+        await asyncio.sleep(CORRELATION_WINDOW_SECONDS)
         has_ended = await self._backend.refuses_connections()
-        runs = self._broken.pop(instance)
+        runs = self._interrupted.pop(instance)
         if has_ended:
             self._on_crash(instance, [run.signature for run in runs])
         for run in runs:
-            run.then()
+            run.on_checked()
--- a/src/finchshed/daemon/serving/gate_runner.py
+++ b/src/finchshed/daemon/serving/gate_runner.py
@@ -15,7 +15,7 @@
 from finchshed.admission.rank import with_admitted_fraction
 from finchshed.admission.threshold_rule import ThresholdRule
 from finchshed.common.results import CallResult
-from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.inbound_call import InboundCall
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.runtime import clock
 
@@ -23,12 +23,12 @@
 """Seconds between looks at deadlines in the queue and at the threshold, while there is a queue;
 chosen, not measured."""
 
-UNDECLARED_SLOTS = 1
+INITIAL_SLOTS = 1
 """Slots until the endpoint's declaration or the back end's registration names them; chosen, not
 measured."""
 
 
-def threshold_rule_of(settings: DaemonSettings) -> ThresholdRule:
+def threshold_rule_for(settings: DaemonSettings) -> ThresholdRule:
     """Return which admission rule is in force at the gate.
 
     It follows from how the back end is known. The threshold by demand was compared and is measured
@@ -55,11 +55,11 @@
         rng: random.Random,
         on_effect: Callable[[GateEffect], None],
     ) -> None:
-        rule = threshold_rule_of(settings)
-        self._gate = Gate(UNDECLARED_SLOTS, rng, clock.now(), threshold_rule=rule)
+        rule = threshold_rule_for(settings)
+        self._gate = Gate(INITIAL_SLOTS, rng, clock.now(), threshold_rule=rule)
         self._paths = paths
         self._on_effect = on_effect
-        self._ticker: asyncio.TimerHandle | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
 
     @property
     def running(self) -> int:
@@ -75,13 +75,13 @@
         now = clock.now()
         return self._gate.load_report(now, self._paths.report(now))
 
-    def enter(self, work: Work, now: float) -> None:
+    def enter(self, work: InboundCall, now: float) -> None:
         """Have a call started, queued or refused."""
         path_threshold = self._paths.threshold(work.route, now)
         work.context = with_admitted_fraction(work.context, path_threshold)
         self._apply(self._gate.arrive(work.token, work.context, now, path_threshold))
         if self._gate.queued:
-            self._arm_tick()
+            self._schedule_tick()
 
     def cancel(self, token: int) -> None:
         """Take a call out of the queue."""
@@ -95,15 +95,15 @@
         for effect in effects:
             self._on_effect(effect)
 
-    def _arm_tick(self) -> None:
+    def _schedule_tick(self) -> None:
         """Look after the queue and the threshold for as long as there is either."""
-        if self._ticker is None:
+        if self._tick_timer is None:
             loop = asyncio.get_running_loop()
-            self._ticker = loop.call_later(TICK_SECONDS, self._on_tick)
+            self._tick_timer = loop.call_later(TICK_SECONDS, self._on_tick)
 
     def _on_tick(self) -> None:
-        self._ticker = None
+        self._tick_timer = None
         now = clock.now()
         self._apply(self._gate.tick(now))
         if self._gate.queued or self._gate.load_report(now).threshold:
-            self._arm_tick()
+            self._schedule_tick()
--- a/src/finchshed/daemon/serving/work.py
+++ b/src/finchshed/daemon/serving/inbound_call.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass
 
 from finchshed.common.context import CallContext
-from finchshed.daemon.serving.accounts import ServedRequest
-from finchshed.daemon.serving.work_state import WorkState
+from finchshed.daemon.serving.inbound_call_state import InboundCallState
+from finchshed.daemon.serving.served_requests import ServedRequest
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
 
 
 @dataclass(slots=True)
-class Work:
+class InboundCall:
     """A call in progress. Times are monotonic seconds; ``started`` is 0 until it was sent.
 
     ``context`` is what it is ranked by and what its own calls inherit. ``route`` is the prefix of
@@ -32,7 +32,7 @@
     in_session: bool
     opens_session: bool
     max_body_bytes: int
-    state: WorkState = WorkState.QUEUED
+    state: InboundCallState = InboundCallState.QUEUED
     abandoned: bool = False
     served: ServedRequest | None = None
     cancel_backend: Callable[[], object] | None = None
--- a/src/finchshed/daemon/serving/work_state.py
+++ b/src/finchshed/daemon/serving/inbound_call_state.py
@@ -3,7 +3,7 @@
 import enum
 
 
-class WorkState(enum.Enum):
+class InboundCallState(enum.Enum):
     """How far a call has come."""
 
     QUEUED = "queued"
--- a/src/finchshed/daemon/serving/replies.py
+++ b/src/finchshed/daemon/serving/replies.py
@@ -7,12 +7,12 @@
 from finchshed.admission.load_report import LoadReport
 from finchshed.common.outcomes import Answered, Outcome, Refused
 from finchshed.daemon import metrics
-from finchshed.daemon.decision_log import is_signed, log_call
+from finchshed.daemon.decision_log import includes_signature, log_call
 from finchshed.daemon.draining import DrainState
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.serving.call_admission import CallAdmission
 from finchshed.daemon.serving.gate_runner import GateRunner
-from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.inbound_call import InboundCall
 from finchshed.link.digests import digest_of
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call, Reply
@@ -58,14 +58,14 @@
         """Answer a call that was not admitted."""
         self._send(link, call, refused, call.context.spare_attempts, self.load_report())
 
-    def reply(self, work: Work, outcome: Outcome, spare: int) -> None:
+    def reply(self, work: InboundCall, outcome: Outcome, spare: int) -> None:
         """Answer an admitted call; ``spare`` are the spare attempts that are left of it."""
         load = self.load_report()
-        signature = work.signature() if is_signed(outcome) else ""
+        signature = work.signature() if includes_signature(outcome) else ""
         log_call(
             work, outcome, self._admission.instance, load, self._gate.running, signature=signature
         )
-        record = self._quarantine.record_of(work.signature)
+        record = self._quarantine.crash_record(work.signature)
         self._send(work.link, work.call, outcome, spare, load, crash_record=record)
 
     def _send(
--- a/src/finchshed/daemon/serving/accounts.py
+++ b/src/finchshed/daemon/serving/served_requests.py
@@ -12,7 +12,7 @@
 from finchshed.common.context import CallContext
 from finchshed.retry.account import RetryAccounts
 
-_PREFIX_BYTES = 6
+_ACCOUNT_PREFIX_BYTES = 6
 """Random bytes in the accounts of one start: a late back end's account of another start isn't
 known."""
 
@@ -36,7 +36,7 @@
         self._accounts = RetryAccounts()
         self._served: dict[str, ServedRequest] = {}
         self._by_identity: dict[str, ServedRequest] = {}
-        self._prefix = secrets.token_hex(_PREFIX_BYTES)
+        self._prefix = secrets.token_hex(_ACCOUNT_PREFIX_BYTES)
         self._next = 0
 
     def __len__(self) -> int:
--- a/src/finchshed/daemon/serving/suspect_queue.py
+++ b/src/finchshed/daemon/serving/suspect_queue.py
@@ -6,12 +6,12 @@
 import enum
 from collections import deque
 
-MAX_WAITING = 4
+MAX_WAITING_SUSPECTS = 4
 """Suspects that wait for their turn; each waits for as many runs at most. Others are refused and
 told when to come back. Chosen, not measured."""
 
 
-class Turn(enum.Enum):
+class SuspectDecision(enum.Enum):
     """What becomes of a suspect that came in."""
 
     RUNS = "runs"
@@ -26,15 +26,15 @@
         self._running: int | None = None
         self._waiting: deque[int] = deque()
 
-    def enter(self, token: int) -> Turn:
+    def enter(self, token: int) -> SuspectDecision:
         """Judge a suspect that came in."""
         if self._running is None:
             self._running = token
-            return Turn.RUNS
-        if len(self._waiting) >= MAX_WAITING:
-            return Turn.REFUSED
+            return SuspectDecision.RUNS
+        if len(self._waiting) >= MAX_WAITING_SUSPECTS:
+            return SuspectDecision.REFUSED
         self._waiting.append(token)
-        return Turn.WAITS
+        return SuspectDecision.WAITS
 
     def is_waiting(self, token: int) -> bool:
         """Return whether a suspect still waits for its turn."""
--- a/src/finchshed/daemon/signatures.py
+++ b/src/finchshed/daemon/signatures.py
@@ -18,7 +18,7 @@
 alone."""
 
 
-class SignedRequest(Protocol):
+class SignableRequest(Protocol):
     """A request at the daemon that took it, or a call at the daemon beside the back end."""
 
     @property
@@ -46,7 +46,7 @@
         """What it inherits from its root request."""
 
 
-class Signatures:
+class SignatureFactory:
     """Gives requests their signatures, the same at every daemon.
 
     The service beside which a root request entered is left out: a client comes again at any
@@ -57,11 +57,11 @@
         self._of_roots = CREDENTIAL_HEADERS | {"host", names.tenant}
         self._of_calls = self._of_roots | {names.caller_service}
 
-    def signer(self, request: SignedRequest) -> Callable[[], str]:
+    def lazy_signature(self, request: SignableRequest) -> Callable[[], str]:
         """Return what gives a request's signature, computed when it is first asked for."""
-        return cache(lambda: self.of(request))
+        return cache(lambda: self.compute(request))
 
-    def of(self, request: SignedRequest) -> str:
+    def compute(self, request: SignableRequest) -> str:
         """Return the signature of a request."""
         context = request.context
         kept = self._of_calls if context.depth else self._of_roots
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -1,6 +1,7 @@
 """The serving side of a daemon: admission, the ledger, and the back end.
 
-Counterpart of :mod:`finchshed.daemon.serving.callee` and :mod:`finchshed.daemon.serving.guarded`.
+Counterpart of :mod:`finchshed.daemon.serving.callee` and
+:mod:`finchshed.daemon.serving.at_most_once`.
 """
 
 import random
@@ -22,8 +23,8 @@
     Refused,
 )
 from finchshed.common.results import SERVER_ERROR, CallResult, result_of
-from finchshed.daemon.serving.accounts import ServedRequest
-from finchshed.daemon.serving.work_state import WorkState
+from finchshed.daemon.serving.inbound_call_state import InboundCallState
+from finchshed.daemon.serving.served_requests import ServedRequest
 from finchshed.emulator.backend import HEADER_DRAINING, BackEnd
 from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.daemons.guarded import LEDGER_TIMEOUT_SECONDS, GuardedStart
@@ -144,11 +145,11 @@
         if work is None:
             return
         work.abandoned = True
-        if work.state is WorkState.QUEUED:
+        if work.state is InboundCallState.QUEUED:
             effects = self._gate.cancel(work.token, self._process.now)
             self._forget(work)
             self._apply(effects)
-        elif work.state is WorkState.AT_BACKEND and work.repeatable:
+        elif work.state is InboundCallState.AT_BACKEND and work.repeatable:
             if work.cancel_back_end is not None:
                 work.cancel_back_end()
             self._end(work, CallResult.CANCELLED)
@@ -156,7 +157,7 @@
     def abort(self) -> None:
         """Close the connections to the back end, because the process is gone."""
         for work in list(self._works.values()):
-            if work.state is WorkState.AT_BACKEND and work.cancel_back_end is not None:
+            if work.state is InboundCallState.AT_BACKEND and work.cancel_back_end is not None:
                 work.cancel_back_end()
 
     def _tick(self) -> None:
@@ -202,7 +203,7 @@
         self._guarded.ask(work)
 
     def _send_to_back_end(self, work: SimulatedWork) -> None:
-        work.state = WorkState.AT_BACKEND
+        work.state = InboundCallState.AT_BACKEND
         context = work.message.context
         work.account = f"{self._process.name}.{self._process.life}.{work.token}"
         self._accounts.open(work.account, context.spare_attempts)
@@ -220,7 +221,7 @@
         work.cancel_back_end = self._back_end.serve(served, returned)
 
     def _returned(self, work: SimulatedWork, outcome: Outcome) -> None:
-        if work.state is not WorkState.AT_BACKEND:
+        if work.state is not InboundCallState.AT_BACKEND:
             return
         if isinstance(outcome, Answered) and (HEADER_DRAINING, "1") in outcome.headers:
             self.drain()
@@ -228,7 +229,7 @@
         if work.repeatable:
             self._finish(work, outcome)
             return
-        work.state = WorkState.RECORDING
+        work.state = InboundCallState.RECORDING
         self._apply(self._gate.finish(work.token, result_of(outcome), self._process.now))
         key = work.message.context.key
         if isinstance(outcome, Answered):
@@ -254,7 +255,7 @@
         return Answered(outcome.status, headers, outcome.body)
 
     def _finish(self, work: SimulatedWork, outcome: Outcome) -> None:
-        if work.state is WorkState.DONE:
+        if work.state is InboundCallState.DONE:
             return
         spare = self._end(work, result_of(outcome))
         self._reply(work.link, work.message, outcome, spare)
@@ -270,7 +271,7 @@
         return spare
 
     def _forget(self, work: SimulatedWork) -> None:
-        work.state = WorkState.DONE
+        work.state = InboundCallState.DONE
         self._works.pop(work.token, None)
         self._by_call.pop((work.message.epoch, work.message.call), None)
         self._sessions.answered(work)
--- a/src/finchshed/emulator/daemons/guarded.py
+++ b/src/finchshed/emulator/daemons/guarded.py
@@ -1,13 +1,14 @@
 """How an emulated daemon asks the ledger before a request that may not be repeated runs.
 
-Counterpart of :mod:`finchshed.daemon.serving.guarded`. The ledger itself is the production one.
+Counterpart of :mod:`finchshed.daemon.serving.at_most_once`. The ledger itself is the production
+one.
 """
 
 from collections.abc import Callable
 from typing import Final
 
 from finchshed.common.outcomes import Failed, FailureReason, Outcome, RefusalReason, Refused
-from finchshed.daemon.serving.work_state import WorkState
+from finchshed.daemon.serving.inbound_call_state import InboundCallState
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.daemons.work import SimulatedWork
@@ -40,7 +41,7 @@
 
     def ask(self, work: SimulatedWork) -> None:
         """Ask the ledger for leave to run ``work``."""
-        work.state = WorkState.ASKING_LEDGER
+        work.state = InboundCallState.ASKING_LEDGER
         work.asked_at = self._process.now
         work.ledger_attempt = f"{self._process.name}.{self._process.life}.{work.token}"
         timeout = min(LEDGER_TIMEOUT_SECONDS, max(0.0, work.deadline - work.asked_at))
--- a/src/finchshed/emulator/daemons/incoming.py
+++ b/src/finchshed/emulator/daemons/incoming.py
@@ -12,7 +12,7 @@
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Policy
-from finchshed.daemon.calling.pins import SessionPins
+from finchshed.daemon.calling.session_pins import SessionPins
 from finchshed.daemon.request import Request as DaemonRequest
 from finchshed.emulator.daemons.callee import SimulatedCallee
 from finchshed.emulator.daemons.outgoing import CallingProcess, OnFinish, SimulatedOutgoingCall
@@ -94,20 +94,24 @@
         def finished(outcome: Outcome, _spare: int) -> None:
             self.in_progress -= 1
             self._joined.pop(request.root, None)
-            self._pins.end(pinned, joined.outgoing.endpoint, outcome, self._process.now)
+            self._pins.on_request_ended(
+                pinned, joined.outgoing.endpoint, outcome, self._process.now
+            )
             waiting = list(joined.waiting.values())
             joined.waiting.clear()
             for waiter in waiting:
                 waiter(outcome)
 
         pinned = _as_pinned(request, context)
-        endpoint = self._pins.endpoint_of(pinned, self._table, self._process.now)
+        endpoint = self._pins.pinned_endpoint(pinned, self._table, self._process.now)
         joined = _Joined(self._outgoing(request, context, endpoint, finished))
         joined.waiting[request.call] = answer
         self._joined[request.root] = joined
         self.in_progress += 1
         joined.outgoing.begin()
-        self._pins.begin(pinned, joined.outgoing.endpoint, SESSION_IDLE_SECONDS, self._process.now)
+        self._pins.on_request_sent(
+            pinned, joined.outgoing.endpoint, SESSION_IDLE_SECONDS, self._process.now
+        )
         return joined
 
     def _leave(self, joined: _Joined, call: str) -> None:
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -1,6 +1,7 @@
 """The calling side of a daemon: one state machine a call, and what it asks for.
 
-Counterpart of :mod:`finchshed.daemon.calling.caller` and :mod:`finchshed.daemon.calling.outgoing`.
+Counterpart of :mod:`finchshed.daemon.calling.caller` and
+:mod:`finchshed.daemon.calling.outgoing_call`.
 """
 
 import random
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/work.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from finchshed.common.context import CallContext
-from finchshed.daemon.serving.work_state import WorkState
+from finchshed.daemon.serving.inbound_call_state import InboundCallState
 from finchshed.emulator.daemons.accepted_link import CallMessage, SimulatedAcceptedLink
 from finchshed.emulator.request import Cancel
 
@@ -18,7 +18,7 @@
     link: SimulatedAcceptedLink
     message: CallMessage
     deadline: float
-    state: WorkState = WorkState.QUEUED
+    state: InboundCallState = InboundCallState.QUEUED
     abandoned: bool = False
     account: str = ""
     opens_session: bool = False
--- a/tests/daemon/lone_callee.py
+++ b/tests/daemon/lone_callee.py
@@ -8,10 +8,10 @@
 from finchshed.daemon.draining import DrainState
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
-from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.callee import Callee
+from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.daemon.settings import DaemonSettings
-from finchshed.daemon.signatures import Signatures
+from finchshed.daemon.signatures import SignatureFactory
 
 
 def lone_callee(served: ServedRequests, paths: PathThresholds) -> Callee:
@@ -28,7 +28,7 @@
         control_addresses=("127.0.0.1:9002",),
         registers_backend=True,
     )
-    signatures = Signatures(HeaderNames())
+    signatures = SignatureFactory(HeaderNames())
     return Callee(
         settings,
         backend=Mock(),
--- a/tests/daemon/test_admitted_share.py
+++ b/tests/daemon/test_admitted_share.py
@@ -8,8 +8,8 @@
 from finchshed.admission.rank import POSITIONS, lowest_rank_of
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
-from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.callee import Callee
+from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.link.messages import Call
 from tests.daemon.lone_callee import lone_callee
 
@@ -25,7 +25,7 @@
     paths.on_end("earlier", answered=True)
     made = lone_callee(served, paths)
     made.start_serving()
-    made.serve_instance("i-1", "sales", 8)
+    made.set_instance("i-1", "sales", 8)
     return made
 
 
--- a/tests/daemon/test_backend_watch.py
+++ b/tests/daemon/test_backend_watch.py
@@ -11,8 +11,8 @@
     BackendUnreached,
 )
 from finchshed.daemon.backend.health import (
+    CHECK_TIMEOUT_SECONDS,
     IDLE_POLL_SECONDS,
-    TIMEOUT_SECONDS,
     BackendHealthMonitor,
 )
 from tests.daemon.deployment import deployment, eventually
@@ -51,13 +51,13 @@
 
 
 def test_the_slowest_check_ends_within_the_bound() -> None:
-    assert 2 * IDLE_POLL_SECONDS + TIMEOUT_SECONDS <= HEARD_WITHIN_SECONDS
+    assert 2 * IDLE_POLL_SECONDS + CHECK_TIMEOUT_SECONDS <= HEARD_WITHIN_SECONDS
 
 
 async def test_an_idle_back_end_is_asked_and_its_sign_told_once() -> None:
     backend = Checked(LEAVING)
-    await backend.watch.look()
-    await backend.watch.look()
+    await backend.watch.poll()
+    await backend.watch.poll()
     assert backend.told == ["leaving"]
     assert backend.watch.is_draining
 
@@ -66,21 +66,21 @@
     backend = Checked(LEAVING)
     for _ in range(3):
         backend.watch.on_answer(WELL)
-        await backend.watch.look()
+        await backend.watch.poll()
     assert (backend.checks, backend.told) == (0, [])
 
 
 async def test_an_answer_that_came_during_the_check_counts_more() -> None:
     backend = Checked(LEAVING)
     backend.meanwhile = lambda: backend.watch.on_answer(WELL)
-    await backend.watch.look()
+    await backend.watch.poll()
     assert (backend.checks, backend.told) == (1, [])
 
 
 async def test_health_says_nothing_but_the_sign() -> None:
     for result in (BackendUnreached("refused"), BackendBroken("reset"), WELL):
         backend = Checked(result)
-        await backend.watch.look()
+        await backend.watch.poll()
         assert not backend.told
 
 
@@ -88,9 +88,9 @@
     backend = Checked(WELL)
     backend.watch.on_answer(LEAVING)
     backend.result = BackendUnreached("refused")
-    await backend.watch.look()
+    await backend.watch.poll()
     backend.result = WELL
-    await backend.watch.look()
+    await backend.watch.poll()
     assert backend.told == ["leaving", "returned"]
     assert not backend.watch.is_draining
 
--- a/tests/daemon/test_crash_watch.py
+++ b/tests/daemon/test_crash_watch.py
@@ -6,7 +6,7 @@
 from unittest.mock import AsyncMock, Mock
 
 from finchshed.daemon.backend.http_client import HttpBackend
-from finchshed.daemon.serving.crash_detection import BrokenRun, CrashDetector
+from finchshed.daemon.serving.crash_detection import CrashDetector, InterruptedRequest
 from tests.daemon.scripted_backend import ScriptedBackend, echo, well
 
 
@@ -21,7 +21,9 @@
     ends: list[tuple[str, int]] = []
     watching = watch(True, crashes)
     for name in ("a", "b"):
-        watching.on_broken("i-1", BrokenRun(name, lambda n=name: ends.append((n, len(crashes)))))
+        watching.on_interrupted(
+            "i-1", InterruptedRequest(name, lambda n=name: ends.append((n, len(crashes))))
+        )
     assert not ends
     await asyncio.sleep(0.1)
     assert crashes == [("i-1", ["a", "b"])]
@@ -32,7 +34,7 @@
     crashes: list[Any] = []
     ends: list[str] = []
     watching = watch(False, crashes)
-    watching.on_broken("i-1", BrokenRun("a", lambda: ends.append("a")))
+    watching.on_interrupted("i-1", InterruptedRequest("a", lambda: ends.append("a")))
     await asyncio.sleep(0.1)
     assert not crashes
     assert ends == ["a"]
--- a/tests/daemon/test_draining.py
+++ b/tests/daemon/test_draining.py
@@ -2,7 +2,7 @@
 
 from unittest.mock import Mock
 
-from finchshed.daemon.calling.platform_hints import OwnListing
+from finchshed.daemon.calling.platform_hints import LocalMachineHints
 from finchshed.daemon.draining import DrainAnnouncer, DrainState
 from finchshed.daemon.endpoint_identity import EndpointIdentity
 from finchshed.distribution.messages import Hints, LeavingHint
@@ -20,8 +20,8 @@
         self.link = Mock()
         listener = Mock()
         listener.links.return_value = [self.link]
-        listing = Mock(spec=OwnListing)
-        listing.is_meant.side_effect = lambda hints, now: bool(hints.leaving)
+        listing = Mock(spec=LocalMachineHints)
+        listing.is_leaving.side_effect = lambda hints, now: bool(hints.leaving)
         self.announcer = DrainAnnouncer(self.state, self.identity, listing, listener)
 
     def sent(self) -> list[str]:
@@ -78,6 +78,6 @@
 
 
 def test_calls_are_refused_from_the_start_until_a_back_end_registers() -> None:
-    state = DrainState.before_registration()
+    state = DrainState.awaiting_registration()
     assert state.is_draining
     assert state.is_announced
--- a/tests/daemon/test_host_front.py
+++ b/tests/daemon/test_host_front.py
@@ -19,7 +19,7 @@
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.ingress.host_handler import HostRequestHandler
 from finchshed.daemon.request import Request
-from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.runtime import clock
 from finchshed.tenancy.lease import KeyLease
--- a/tests/daemon/test_known_endpoints.py
+++ b/tests/daemon/test_known_endpoints.py
@@ -4,7 +4,7 @@
 
 from loguru import logger
 
-from finchshed.daemon.calling.endpoints import MAX_LOGGED, KnownEndpoints
+from finchshed.daemon.calling.endpoints import MAX_LOGGED_REGISTRATIONS, KnownEndpoints
 from finchshed.directory.registration import InstanceState, Registration
 from finchshed.distribution.messages import DirectoryUpdate
 
@@ -37,7 +37,7 @@
     endpoints = KnownEndpoints(table, links)
     update = DirectoryUpdate(tuple(registration(host) for host in range(188)))
     lines = logged(endpoints, update)
-    assert len(lines) == MAX_LOGGED + 1
+    assert len(lines) == MAX_LOGGED_REGISTRATIONS + 1
     assert lines[-1] == "told of 180 more back ends: 180 of sales ready"
     table.replace.assert_called_once()
 
@@ -48,7 +48,7 @@
     endpoints.on_update(DirectoryUpdate((registration(1), registration(2))))
     gone = Registration("10.0.0.1:7000", 1, 2, "i-1", "sales", state=InstanceState.GONE)
     assert len(logged(endpoints, DirectoryUpdate((gone,)))) == 1
-    assert set(links.replace.call_args.args[0]) == {"i-2"}
+    assert set(links.set_endpoints.call_args.args[0]) == {"i-2"}
 
 
 def test_a_daemon_that_starts_anew_takes_its_former_back_end_out() -> None:
@@ -57,4 +57,4 @@
     endpoints.on_update(DirectoryUpdate((registration(1), registration(2))))
     anew = Registration("10.0.0.1:7000", 2, 0)
     assert len(logged(endpoints, DirectoryUpdate((anew,)))) == 1
-    assert set(links.replace.call_args.args[0]) == {"i-2"}
+    assert set(links.set_endpoints.call_args.args[0]) == {"i-2"}
--- a/tests/daemon/test_pins.py
+++ b/tests/daemon/test_pins.py
@@ -8,7 +8,7 @@
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered, RefusalReason, Refused
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.calling.pins import SessionPins, with_session_endpoint
+from finchshed.daemon.calling.session_pins import SessionPins, with_session_endpoint
 from finchshed.daemon.request import Request
 from finchshed.routing.table import RoutingTable
 
@@ -38,34 +38,34 @@
 
 
 def test_without_a_pin_the_claimed_endpoint_is_taken() -> None:
-    assert SessionPins().endpoint_of(request("b"), table(), 0.0) == "b"
+    assert SessionPins().pinned_endpoint(request("b"), table(), 0.0) == "b"
 
 
 def test_claims_are_ignored_unless_they_name_a_usable_endpoint_of_the_service() -> None:
     routes, pins = table(), SessionPins()
     for place in ("", "c", "unknown", "a,b", "A", "a ", "\x00", "x" * 10_000):
-        assert pins.endpoint_of(request(place), routes, 0.0) == ""
-    assert pins.endpoint_of(request("a", in_session=False), routes, 0.0) == ""
-    assert pins.endpoint_of(request("a", session=""), routes, 0.0) == ""
+        assert pins.pinned_endpoint(request(place), routes, 0.0) == ""
+    assert pins.pinned_endpoint(request("a", in_session=False), routes, 0.0) == ""
+    assert pins.pinned_endpoint(request("a", session=""), routes, 0.0) == ""
     routes.on_link_down("a", 0.0)
-    assert pins.endpoint_of(request("a"), routes, 0.0) == ""
+    assert pins.pinned_endpoint(request("a"), routes, 0.0) == ""
 
 
 def test_an_answered_pin_goes_before_a_claim() -> None:
     pins = SessionPins()
-    pins.begin(request(), "a", 10.0, 0.0)
-    pins.end(request(), "a", SERVED, 1.0)
-    assert pins.endpoint_of(request("b"), table(), 1.0) == "a"
+    pins.on_request_sent(request(), "a", 10.0, 0.0)
+    pins.on_request_ended(request(), "a", SERVED, 1.0)
+    assert pins.pinned_endpoint(request("b"), table(), 1.0) == "a"
 
 
 def test_a_pin_whose_request_was_refused_gives_way_to_a_claim() -> None:
     pins = SessionPins()
-    pins.begin(request(), "a", 10.0, 0.0)
-    pins.end(request(), "a", Refused(RefusalReason.OVERLOAD, 0.1), 1.0)
-    assert pins.endpoint_of(request(), table(), 1.0) == "a"
-    assert pins.endpoint_of(request("b"), table(), 1.0) == "b"
-    pins.end(request("b"), "b", SERVED, 2.0)
-    assert pins.endpoint_of(request(), table(), 2.0) == "b"
+    pins.on_request_sent(request(), "a", 10.0, 0.0)
+    pins.on_request_ended(request(), "a", Refused(RefusalReason.OVERLOAD, 0.1), 1.0)
+    assert pins.pinned_endpoint(request(), table(), 1.0) == "a"
+    assert pins.pinned_endpoint(request("b"), table(), 1.0) == "b"
+    pins.on_request_ended(request("b"), "b", SERVED, 2.0)
+    assert pins.pinned_endpoint(request(), table(), 2.0) == "b"
 
 
 def test_the_answer_tells_the_place_and_not_what_the_back_end_says() -> None:
--- a/tests/daemon/test_platform_hints.py
+++ b/tests/daemon/test_platform_hints.py
@@ -3,7 +3,7 @@
 import signal
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.daemon.calling.platform_hints import OwnListing, PlatformHints
+from finchshed.daemon.calling.platform_hints import LocalMachineHints, PlatformHints
 from finchshed.distribution.messages import Hints, LeavingHint
 from finchshed.routing.endpoint import DrainSign
 from finchshed.routing.table import RoutingTable
@@ -77,12 +77,12 @@
 
 
 def test_own_listing_counts_for_a_daemon_older_than_the_lag_only() -> None:
-    own = OwnListing("a", 100.0)
+    own = LocalMachineHints("a", 100.0)
     hint = Hints((LeavingHint("a", 1.0),), 30.0)
-    assert not own.is_meant(hint, 130.0)
-    assert own.is_meant(hint, 131.5)
-    assert not own.is_meant(Hints((LeavingHint("b", 1.0),), 30.0), 200.0)
-    assert not OwnListing("", 100.0).is_meant(hint, 200.0)
+    assert not own.is_leaving(hint, 130.0)
+    assert own.is_leaving(hint, 131.5)
+    assert not own.is_leaving(Hints((LeavingHint("b", 1.0),), 30.0), 200.0)
+    assert not LocalMachineHints("", 100.0).is_leaving(hint, 200.0)
 
 
 async def test_a_listed_machine_tells_callers_whose_link_is_new() -> None:
--- a/tests/daemon/test_quarantine.py
+++ b/tests/daemon/test_quarantine.py
@@ -8,15 +8,19 @@
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.request import Request
-from finchshed.daemon.serving.suspect_queue import MAX_WAITING, SuspectQueue, Turn
-from finchshed.daemon.signatures import Signatures
+from finchshed.daemon.serving.suspect_queue import (
+    MAX_WAITING_SUSPECTS,
+    SuspectDecision,
+    SuspectQueue,
+)
+from finchshed.daemon.signatures import SignatureFactory
 from finchshed.quarantine.messages import CrashNews
 from finchshed.quarantine.register import Suspicion
 
-SIGNATURES = Signatures(HeaderNames())
+SIGNATURES = SignatureFactory(HeaderNames())
 REQUEST = Request("s", "GET", "/p", (), b"", CallContext("r", Importance.NORMAL, 1.0, 1))
-SIGNATURE = SIGNATURES.of(REQUEST)
-SIGNER = SIGNATURES.signer(REQUEST)
+SIGNATURE = SIGNATURES.compute(REQUEST)
+SIGNER = SIGNATURES.lazy_signature(REQUEST)
 
 
 class Node:
@@ -50,12 +54,12 @@
     first, second = Node(is_connected=False), Node(is_connected=False)
     first.crash("i-1", "i-2", "i-3")
     for news in first.to_links:
-        second.quarantine.on_link_news(news.records)
-    assert second.quarantine.judge(SIGNER).suspicion is Suspicion.QUARANTINED
+        second.quarantine.on_peer_news(news.records)
+    assert second.quarantine.check(SIGNER).suspicion is Suspicion.QUARANTINED
     passed_on = len(second.to_links)
     assert passed_on == len(first.to_links) == 3
     for news in first.to_links:
-        second.quarantine.on_link_news(news.records)
+        second.quarantine.on_peer_news(news.records)
     assert len(second.to_links) == passed_on
 
 
@@ -89,30 +93,32 @@
 def test_an_answer_tells_the_daemon_that_sent_the_request() -> None:
     beside, sender = Node(is_connected=True), Node(is_connected=True)
     beside.crash("i-1", "i-2", "i-3")
-    record = beside.quarantine.record_of(SIGNER)
+    record = beside.quarantine.crash_record(SIGNER)
     assert record is not None
     sender.quarantine.on_answer(record)
-    assert sender.quarantine.judge(SIGNER).suspicion is Suspicion.QUARANTINED
+    assert sender.quarantine.check(SIGNER).suspicion is Suspicion.QUARANTINED
 
 
 def test_a_request_that_ran_to_an_end_is_free_again_everywhere() -> None:
     node = Node(is_connected=True)
     node.crash("i-1")
-    assert node.quarantine.judge(SIGNER).suspicion is Suspicion.SUSPECT
+    assert node.quarantine.check(SIGNER).suspicion is Suspicion.SUSPECT
     node.quarantine.on_completed(SIGNER)
-    assert node.quarantine.judge(SIGNER).suspicion is Suspicion.FREE
+    assert node.quarantine.check(SIGNER).suspicion is Suspicion.FREE
     assert node.to_control[-1].records[0].refuted == ("i-1",)
 
 
 def test_suspects_take_turns_and_few_of_them_wait() -> None:
     queue = SuspectQueue()
-    assert queue.enter(1) is Turn.RUNS
-    assert [queue.enter(token) for token in range(2, 2 + MAX_WAITING)] == [Turn.WAITS] * MAX_WAITING
-    assert queue.enter(99) is Turn.REFUSED
+    assert queue.enter(1) is SuspectDecision.RUNS
+    assert [queue.enter(token) for token in range(2, 2 + MAX_WAITING_SUSPECTS)] == [
+        SuspectDecision.WAITS
+    ] * MAX_WAITING_SUSPECTS
+    assert queue.enter(99) is SuspectDecision.REFUSED
     assert queue.leave(3) is None
     assert not queue.is_waiting(3)
     assert queue.leave(1) == 2
     assert queue.leave(2) == 4
     for token in (5, 4):
         queue.leave(token)
-    assert queue.enter(100) is Turn.RUNS
+    assert queue.enter(100) is SuspectDecision.RUNS
--- a/tests/daemon/test_return_after_leaving.py
+++ b/tests/daemon/test_return_after_leaving.py
@@ -4,7 +4,7 @@
 import signal
 
 from finchshed.daemon.backend.client import BackendAnswer, BackendBroken, BackendUnreached
-from finchshed.daemon.backend.return_detection import STEADY_SECONDS, ReturnDetector
+from finchshed.daemon.backend.return_detection import STABLE_SECONDS, ReturnDetector
 from tests.daemon.deployment import Deployment, deployment, eventually
 from tests.daemon.scripted_backend import Received, answer
 
@@ -35,10 +35,10 @@
 def test_good_answers_of_a_back_end_never_seen_gone_must_last() -> None:
     watch = ReturnDetector()
     assert not watch.has_returned(WELL, 1.0)
-    assert not watch.has_returned(LEAVING, 1.0 + STEADY_SECONDS - 0.1)
-    assert not watch.has_returned(WELL, 1.0 + STEADY_SECONDS)
-    assert not watch.has_returned(WELL, 1.0 + 2 * STEADY_SECONDS - 0.1)
-    assert watch.has_returned(WELL, 1.0 + 2 * STEADY_SECONDS)
+    assert not watch.has_returned(LEAVING, 1.0 + STABLE_SECONDS - 0.1)
+    assert not watch.has_returned(WELL, 1.0 + STABLE_SECONDS)
+    assert not watch.has_returned(WELL, 1.0 + 2 * STABLE_SECONDS - 0.1)
+    assert watch.has_returned(WELL, 1.0 + 2 * STABLE_SECONDS)
 
 
 async def test_restarted_daemon_gets_work_of_callers_that_saw_it_leave() -> None:
--- a/tests/daemon/test_suspension.py
+++ b/tests/daemon/test_suspension.py
@@ -15,8 +15,8 @@
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.configuration.resources import Policy
 from finchshed.daemon.ingress.lease_renewal import LeaseRenewal
-from finchshed.daemon.serving.guarded import GuardedRuns
-from finchshed.daemon.serving.work import Work
+from finchshed.daemon.serving.at_most_once import AtMostOnceRunner
+from finchshed.daemon.serving.inbound_call import InboundCall
 from finchshed.distribution.messages import LeaseRenewed, LedgerGranted
 from finchshed.quota.messages import GrantedShare, QuotaReport, QuotaShares
 from tests.daemon.test_host_front import Front, route
@@ -78,9 +78,11 @@
     ledger = Mock()
     ledger.begin = lambda key, attempt, timeout, done: answers.append(done)
     settings = Mock(ledger_timeout_seconds=2.0, grant_lease_seconds=1.0)
-    runs = GuardedRuns(settings, ledger, random.Random(1))
-    work = Mock(spec=Work, deadline=float("inf"), abandoned=False, ledger_key="k", attempt="")
-    sent: list[Work] = []
+    runs = AtMostOnceRunner(settings, ledger, random.Random(1))
+    work = Mock(
+        spec=InboundCall, deadline=float("inf"), abandoned=False, ledger_key="k", attempt=""
+    )
+    sent: list[InboundCall] = []
     ended: list[Outcome] = []
     runs.begin(work, sent.append, lambda _work, outcome: ended.append(outcome))
     machine.asleep = ASLEEP_SECONDS
--- a/tests/daemon/test_unconfirmed_daemon.py
+++ b/tests/daemon/test_unconfirmed_daemon.py
@@ -11,7 +11,7 @@
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import RefusalReason, Refused
-from finchshed.daemon.serving.accounts import ServedRequests
+from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.link.messages import Call, Reply
 from finchshed.retry.policy import is_redirect
 from tests.daemon.lone_callee import lone_callee
@@ -33,7 +33,7 @@
 async def test_a_call_whose_route_the_caller_found_is_served_without_a_configuration() -> None:
     served = ServedRequests()
     callee = lone_callee(served, PathThresholds(lambda *_: NO_THRESHOLD))
-    callee.serve_instance("i-1", "sales", 8)
+    callee.set_instance("i-1", "sales", 8)
     link = Mock(epoch="e")
     callee.on_call(link, call("host/look/"))
     assert served.get_by_identity("r1") is not None
@@ -51,7 +51,7 @@
 
 async def test_a_call_under_a_route_of_its_service_still_needs_a_configuration() -> None:
     callee = lone_callee(ServedRequests(), PathThresholds(lambda *_: NO_THRESHOLD))
-    callee.serve_instance("i-1", "sales", 8)
+    callee.set_instance("i-1", "sales", 8)
     link = Mock(epoch="e")
     callee.on_call(link, call(""))
     assert outcome_of(link).reason is RefusalReason.NO_CONFIGURATION
--- a/tests/daemon/test_unframed_answers.py
+++ b/tests/daemon/test_unframed_answers.py
@@ -12,7 +12,7 @@
     BackendResult,
 )
 from finchshed.daemon.backend.http_client import HttpBackend
-from finchshed.daemon.backend.request import outcome_of
+from finchshed.daemon.backend.request import outcome_from_result
 from finchshed.http.message import Response, encode_response
 from tests.daemon.scripted_backend import Received, ScriptedBackend, well
 
@@ -48,7 +48,7 @@
     result = await result_of(is_reset=False)
     assert isinstance(result, BackendAnswer)
     assert not result.has_length
-    outcome = outcome_of(result, 0.0)
+    outcome = outcome_from_result(result, 0.0)
     assert isinstance(outcome, Answered)
     assert not outcome.has_length
 
--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -14,7 +14,7 @@
 from finchshed.admission import rank
 from finchshed.common.outcomes import FailureReason, RefusalReason, Refused
 from finchshed.configuration.store import ConfigurationStore
-from finchshed.daemon.calling.pins import SessionPins
+from finchshed.daemon.calling.session_pins import SessionPins
 from finchshed.distribution.effects import ServingBasis
 from finchshed.distribution.follower import Follower
 from finchshed.emulator.daemons.accepted_link import SimulatedAcceptedLink
@@ -77,7 +77,7 @@
 
 def sessions_are_not_pinned(patch: pytest.MonkeyPatch) -> None:
     """Send each request of a session to any endpoint, which may not know the session."""
-    patch.setattr(SessionPins, "endpoint_of", lambda self, request, table, now: "")
+    patch.setattr(SessionPins, "pinned_endpoint", lambda self, request, table, now: "")
 
 
 def call_identities_are_used_again(patch: pytest.MonkeyPatch) -> None:
--- a/tests/quarantine/test_signature.py
+++ b/tests/quarantine/test_signature.py
@@ -8,11 +8,11 @@
 from finchshed.common.importance import Importance
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.request import Request
-from finchshed.daemon.signatures import Signatures
+from finchshed.daemon.signatures import SignatureFactory
 from finchshed.quarantine.signature import SIGNATURE_BYTES, signature_of
 
 NAMES = HeaderNames()
-SIGNATURES = Signatures(NAMES)
+SIGNATURES = SignatureFactory(NAMES)
 
 
 def request(
@@ -31,10 +31,10 @@
 
 
 def test_tries_of_one_request_are_alike_under_other_identities_and_at_other_machines() -> None:
-    first = SIGNATURES.of(request())
+    first = SIGNATURES.compute(request())
     assert len(first) == 2 * SIGNATURE_BYTES
     elsewhere = {NAMES.caller_service.replace("-", "_"): "ledger"}
-    assert SIGNATURES.of(request(root="r2", **elsewhere)) == first
+    assert SIGNATURES.compute(request(root="r2", **elsewhere)) == first
 
 
 @pytest.mark.parametrize(
@@ -51,14 +51,14 @@
     ],
 )
 def test_other_work_and_other_callers_have_other_signatures(other: Request) -> None:
-    assert SIGNATURES.of(other) != SIGNATURES.of(request())
+    assert SIGNATURES.compute(other) != SIGNATURES.compute(request())
 
 
 def test_a_call_belongs_to_the_service_that_makes_it() -> None:
     name = NAMES.caller_service.replace("-", "_")
-    first = SIGNATURES.of(request(depth=1, **{name: "sales"}))
-    assert SIGNATURES.of(request(depth=2, root="r2", **{name: "sales"})) == first
-    assert SIGNATURES.of(request(depth=1, **{name: "ledger"})) != first
+    first = SIGNATURES.compute(request(depth=1, **{name: "sales"}))
+    assert SIGNATURES.compute(request(depth=2, root="r2", **{name: "sales"})) == first
+    assert SIGNATURES.compute(request(depth=1, **{name: "ledger"})) != first
 
 
 def test_neighbouring_parts_are_not_mixed_up() -> None:
