--- a/tests/daemon/deployment.py
+++ b/tests/daemon/deployment.py
@@ -14,7 +14,7 @@
 from finchshed.configuration.resources import Endpoint, Policy, Resource, Route, Service
 from finchshed.ledger.keys import new_key
 from tests.daemon.processes import DaemonProcess
-from tests.daemon.scripted_backend import Handler, ScriptedBackend, echo, well
+from tests.daemon.scripted_backend import Handler, ScriptedBackend, echo, healthy
 from tests.daemon.scripted_control import ScriptedControl
 
 SERVICE = "licence"
@@ -133,7 +133,7 @@
     *handlers: Handler,
     flags: dict[str, str] | None = None,
     retry_budget: int = 3,
-    health: Handler = well,
+    health: Handler = healthy,
     service: Service = SERVICE_DECLARATION,
 ) -> AsyncIterator[Deployment]:
     """Run one back end and daemon for each handler (by default one that echoes), and an edge.
--- a/tests/daemon/scripted_backend.py
+++ b/tests/daemon/scripted_backend.py
@@ -120,6 +120,6 @@
     writer.write(answer(f"{received.method} {received.path} ".encode() + received.body))
 
 
-async def well(_: Received, writer: asyncio.StreamWriter) -> None:
+async def healthy(_: Received, writer: asyncio.StreamWriter) -> None:
     """Answer a check of the health."""
     writer.write(answer(b"well"))
--- a/tests/daemon/test_crash_watch.py
+++ b/tests/daemon/test_crash_watch.py
@@ -7,7 +7,7 @@
 
 from finchshed.daemon.backend.http_client import HttpBackend
 from finchshed.daemon.serving.crash_detection import CrashDetector, InterruptedRequest
-from tests.daemon.scripted_backend import ScriptedBackend, echo, well
+from tests.daemon.scripted_backend import ScriptedBackend, echo, healthy
 
 
 def watch(refuses: bool | Callable[[], bool], crashes: list[Any]) -> CrashDetector:
@@ -41,7 +41,7 @@
 
 
 async def test_a_back_end_refuses_connections_only_once_it_has_ended() -> None:
-    async with ScriptedBackend(echo, well) as backend:
+    async with ScriptedBackend(echo, healthy) as backend:
         client = HttpBackend(backend.address, 2, 1.0)
         for _ in range(2):
             assert not await client.refuses_connections()
--- a/tests/daemon/test_unframed_answers.py
+++ b/tests/daemon/test_unframed_answers.py
@@ -14,7 +14,7 @@
 from finchshed.daemon.backend.http_client import HttpBackend
 from finchshed.daemon.backend.request import outcome_from_result
 from finchshed.http.message import Response, encode_response
-from tests.daemon.scripted_backend import Received, ScriptedBackend, well
+from tests.daemon.scripted_backend import Received, ScriptedBackend, healthy
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """``struct linger``: a close sends a reset (socket(7))."""
@@ -34,7 +34,7 @@
         await asyncio.sleep(0.05)
         writer.transport.abort()
 
-    async with ScriptedBackend(handler, well) as backend:
+    async with ScriptedBackend(handler, healthy) as backend:
         client = HttpBackend(backend.address, 4, 1.0)
         ended: asyncio.Future[BackendResult] = asyncio.get_running_loop().create_future()
         request = BackendRequest("GET", "/", (), b"", 2.0, 1000, request_id="r1")
--- a/tests/tls/test_deployment.py
+++ b/tests/tls/test_deployment.py
@@ -30,7 +30,7 @@
 from tests.control.group import OPERATOR_TOKEN, Group, Node, apply_one
 from tests.daemon.deployment import SERVICE, resources_for
 from tests.daemon.processes import DaemonProcess
-from tests.daemon.scripted_backend import ScriptedBackend, echo, well
+from tests.daemon.scripted_backend import ScriptedBackend, echo, healthy
 from tests.tls.keys import Deployment, flags, settings_text
 
 ANSWER_SECONDS = 20.0
@@ -99,7 +99,7 @@
     group: SecuredGroup, keys: Deployment
 ) -> None:
     async with AsyncExitStack() as stack:
-        backend = await stack.enter_async_context(ScriptedBackend(echo, well))
+        backend = await stack.enter_async_context(ScriptedBackend(echo, healthy))
         beside = DaemonProcess(
             node="licence-1",
             control_address=control_addresses(group),
