--- a/src/finchshed/daemon/calling/__init__.py
+++ b/src/finchshed/daemon/calling/__init__.py
@@ -1,1 +1,1 @@
-"""The calling side of the daemon: requests that are sent to endpoints of other daemons."""
+"""Client side of the daemon: sends requests to endpoints behind other daemons."""
--- a/src/finchshed/daemon/calling/attempt.py
+++ b/src/finchshed/daemon/calling/attempt.py
@@ -1,7 +1,4 @@
-"""One attempt of a call, as it is handed to the links.
-
-Owned by the call; the links fill in the last fields when they send it.
-"""
+"""One attempt of a call, as passed from the call to :class:`DaemonLinks`."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,21 +11,26 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a call on its way to an endpoint.
+    """One attempt to send a request to an endpoint.
 
-    ``on_reply`` is called with the reply, or None if the link broke after the send;
-    ``on_unsent`` if it was never sent. Exactly one of them is called, unless it is withdrawn.
+    Exactly one of ``on_reply`` and ``on_unsent`` is called, or neither if the attempt is cancelled.
 
     Attributes
     ----------
     lent_attempts
-        Spare attempts of the root request that go with it.
+        Retries from the root request's budget that the callee may spend.
     admitted_fraction
-        Least fraction of its class that was admitted on the way.
+        Lowest admitted fraction of the request's class along the path so far.
     deadline
         Monotonic seconds.
-    number
-        That of the call on ``link``.
+    on_reply
+        Called with the reply, or with None if the link broke after the request was sent.
+    on_unsent
+        Called with the reason and detail if the request was never sent.
+    link
+        Link the request was sent on; set by :class:`DaemonLinks`.
+    call_number
+        Number of the call on ``link``; set by :class:`DaemonLinks`.
     """
 
     request: Request
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -1,8 +1,7 @@
-"""The caller's side of the daemon: has requests that came in over HTTP answered by endpoints.
+"""Sends requests received over HTTP to endpoints and returns their outcomes.
 
-Owns the calls in progress that repeats may join, and the pins of sessions. Relies on
-:mod:`finchshed.routing` for the choice of an endpoint and on the retry budgets for what is tried
-again.
+Duplicate requests in progress are coalesced here, and session pins are kept here. Endpoint
+selection is in :mod:`finchshed.routing`, retry policy in :mod:`finchshed.retry`.
 """
 
 import random
@@ -35,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinKey:
-    """What makes two requests of a caller the same one."""
+    """Identifies a request, so that a duplicate joins the one in progress."""
 
     service: str
     caller: str
@@ -44,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _StartedCall:
-    """What the end of a call needs of its start.
+    """State captured when a call starts and used when it ends.
 
-    ``account`` is that of the request it is made for, or empty; ``lent_attempts`` are the spare
-    attempts that account lent it.
+    ``account`` is the retry account of the parent request, or empty for a root request;
+    ``lent_attempts`` is the number of retries that account lent to the call.
     """
 
     request: Request
@@ -58,18 +57,18 @@
 
 
 class Caller:
-    """Starts calls and joins repeats.
+    """Starts calls and coalesces duplicates.
 
     Parameters
     ----------
     table
-        Endpoints as this daemon sees them.
+        Routing state of the known endpoints.
     served
-        Retry accounts of requests the local back end is serving.
+        Requests the local back end is serving, with their retry accounts.
     paths
-        Learns what those requests call on.
+        Records which routes those requests call.
     quarantine
-        Tells which requests crash back ends.
+        Decides whether a request may be sent, given the back ends that crashed while running it.
     """
 
     def __init__(
@@ -97,16 +96,16 @@
         self.in_progress = 0
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Act on a new configuration."""
+        """Apply a new configuration."""
         self._catalogue = catalogue
         self._retries.configure(catalogue.policy)
 
     def set_daemon_count(self, daemons: int) -> None:
-        """Divide bounds by the number of daemons, this one included."""
+        """Set the number of daemons, including this one, that share the retry budgets."""
         self._retries.share_with(daemons)
 
     def expire_sessions(self) -> None:
-        """Forget sessions that have been idle for long."""
+        """Drop sessions that exceeded their idle timeout."""
         self._pins.expire(clock.now())
 
     def call(
@@ -116,14 +115,14 @@
         join_identity: str,
         on_outcome: Callable[[Outcome], None],
     ) -> Callable[[], None]:
-        """Have ``request`` answered; ``on_outcome`` is called once. Return what gives it up.
+        """Send ``request`` and call ``on_outcome`` once; return a function that cancels it.
 
         Parameters
         ----------
         account
-            Account of the request being served that calls on, or empty for a root request.
+            Retry account of the parent request, or empty for a root request.
         join_identity
-            Identity under which a repeat joins the request in progress, or empty.
+            Identity under which duplicates join the request in progress, or empty.
         """
         if account:
             request = _with_announced_calls(
@@ -138,11 +137,11 @@
             return self._start(request, account, None).add_waiter(on_outcome)
         key = JoinKey(request.service, request.context.caller, join_identity)
         fingerprint = fingerprint_of(request.method, request.path, request.body)
-        held = self._joinable.get(key)
-        if held is not None:
+        existing = self._joinable.get(key)
+        if existing is not None:
             lent = request.context.spare_attempts
             self._served.give_back(account, lent, lent)
-            return self._join(held, fingerprint, on_outcome)
+            return self._join(existing, fingerprint, on_outcome)
         call = self._start(request, account, key)
         if not call.is_over:
             self._joinable[key] = (call, fingerprint)
@@ -150,13 +149,13 @@
 
     def _join(
         self,
-        held: tuple[OutgoingCall, str],
+        existing: tuple[OutgoingCall, str],
         fingerprint: str,
         on_outcome: Callable[[Outcome], None],
     ) -> Callable[[], None]:
-        call, held_fingerprint = held
-        if held_fingerprint != fingerprint:
-            detail = "another request of this identity is in progress"
+        call, existing_fingerprint = existing
+        if existing_fingerprint != fingerprint:
+            detail = "a different request with this identity is in progress"
             on_outcome(Refused(RefusalReason.KEY_REUSED, self._retry_after(), detail))
             return _no_op
         metrics.JOINED.inc()
@@ -184,7 +183,7 @@
         return call
 
     def _caller_logic(self, request: Request, signature: LazySignature) -> CallerLogic:
-        """Return what decides where the call goes, and whether it is tried again."""
+        """Return the state machine that selects endpoints and decides on retries."""
         return CallerLogic(
             self._table,
             self._retries.bucket(request.service, clock.now()),
@@ -202,7 +201,7 @@
     def _on_finished(
         self, started: _StartedCall, call: OutgoingCall, outcome: Outcome, spare: int
     ) -> None:
-        """Count and log the end of a call, and give back the spare attempts that are left."""
+        """Count and log a finished call, and return its unused retries."""
         request = started.request
         self.in_progress -= 1
         if started.key is not None:
@@ -238,17 +237,17 @@
 
 
 def _with_announced_calls(request: Request, calls: float) -> Request:
-    """Return a call that stands for ``calls`` in estimates of demand."""
+    """Return the request weighted as ``calls`` calls in demand estimates."""
     context = msgspec.structs.replace(request.context, announced_calls=calls)
     return msgspec.structs.replace(request, context=context)
 
 
 def _with_one_retry_spent(request: Request) -> Request:
-    """Return the request with one spare attempt less: a repeat the back end makes by itself."""
+    """Return the request with one retry fewer, spent on a retry made by the back end itself."""
     context = request.context
     paid = msgspec.structs.replace(context, spare_attempts=context.spare_attempts - 1)
     return msgspec.structs.replace(request, context=paid)
 
 
 def _no_op() -> None:
-    """Give up a call that is over."""
+    """Cancel nothing: the call is over."""
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -1,8 +1,7 @@
-"""The links this daemon holds to other daemons: opened on demand, reopened with jittered backoff.
+"""Outgoing links to other daemons: opened on demand, reopened with jittered backoff.
 
-A call for an endpoint whose link is being opened waits for it; if the link can't be opened, the
-call was never sent. Owns the links and what waits for them. Relies on its owner for what peers are
-told and for what becomes of what they say.
+Attempts for an endpoint whose link is being opened wait for it, and fail as not sent if it can't
+be opened.
 """
 
 import asyncio
@@ -26,18 +25,18 @@
 from finchshed.runtime import clock
 
 BACKOFF_FIRST_SECONDS = 0.05
-"""Longest wait, seconds, before a link that failed once is opened again, at least half of it;
-chosen, not measured."""
+"""Maximum delay before reconnecting after the first failure; the minimum is half of it."""
 
 BACKOFF_MAX_SECONDS = 2.0
-"""The same after many failures: so late at most an endpoint that is back is found. Chosen, not
-measured."""
+"""Upper bound of the reconnect delay, and so of the time until a recovered endpoint is used."""
 
 RECONNECT_BACKOFF = Backoff(BACKOFF_FIRST_SECONDS, BACKOFF_MAX_SECONDS)
 
 
 @dataclass(slots=True)
 class _Peer:
+    """An endpoint with its link, the attempts waiting for it, and its reconnect backoff."""
+
     endpoint: Endpoint
     link: PeerLink | None = None
     waiting: list[Attempt] = field(default_factory=list)
@@ -46,15 +45,18 @@
 
 
 class DaemonLinks:
-    """Links to the daemons of endpoints, by endpoint name.
+    """Links to the daemons of endpoints, keyed by endpoint name.
 
-    ``connect`` opens connections; None: the event loop does.
+    Parameters
+    ----------
+    connect
+        Opens connections; None uses the event loop's own method.
 
     Attributes
     ----------
     loop
-        The loop that links and calls run on. It is kept, as asking for it is a system call in
-        CPython 3.11 (asyncio looks whether the process is a fork).
+        Event loop of links and calls, cached because ``asyncio.get_running_loop`` makes a system
+        call (``getpid``) in CPython 3.11.
     """
 
     def __init__(
@@ -75,7 +77,7 @@
         self._closing = False
 
     def set_endpoints(self, endpoints: dict[str, Endpoint]) -> None:
-        """Follow the endpoints of a configuration; links to those gone or moved are closed."""
+        """Replace the set of endpoints; links to removed or moved endpoints are closed."""
         for name, peer in list(self._peers.items()):
             declared = endpoints.get(name)
             if declared is not None and declared.address == peer.endpoint.address:
@@ -85,7 +87,7 @@
             self._close_if_unused(peer)
 
     def send(self, endpoint: Endpoint, attempt: Attempt) -> None:
-        """Send an attempt, opening the link first where needed."""
+        """Send an attempt, opening the link first if necessary."""
         peer = self._peer(endpoint)
         link = peer.link
         if link is None:
@@ -99,20 +101,20 @@
         peer.waiting.append(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up; neither of its callbacks is called any more."""
+        """Cancel an attempt; neither of its callbacks is called any more."""
         attempt.is_cancelled = True
         if attempt.link is not None:
             attempt.link.cancel_call(attempt.call_number)
 
     def open_links(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Open links to endpoints, to learn their revisions."""
+        """Open links to endpoints that have none; peers report their revisions on them."""
         for endpoint in endpoints:
             peer = self._peer(endpoint)
             if peer.link is None and not self._closing:
                 self._open(peer)
 
     def fetch_configuration(self, endpoint_name: str, revision: int) -> bool:
-        """Ask a peer for its configuration; return whether a link was open."""
+        """Request a peer's configuration; return False if no link to it is open."""
         peer = self._peers.get(endpoint_name)
         if peer is None or peer.link is None or peer.link.state is not LinkState.OPEN:
             return False
@@ -120,12 +122,12 @@
         return True
 
     def request_revisions(self) -> None:
-        """Ask all peers for their revisions, without waiting for a heartbeat's turn."""
+        """Request the revisions of all peers at once, ahead of their next heartbeats."""
         for link in list(self._by_link):
             link.ask_revision()
 
     def close_idle(self) -> None:
-        """Close links that carried no call for a long time."""
+        """Close links without a call for longer than ``link_idle_seconds``."""
         now = self.loop.time()
         for link in list(self._by_link):
             idle = now - link.last_call_at > self._settings.link_idle_seconds
@@ -133,7 +135,7 @@
                 link.close("idle")
 
     def reopen_failed(self) -> None:
-        """Open the links anew that broke: an endpoint that is back shows it on its link only."""
+        """Reopen broken links whose backoff has passed, to detect endpoints that recovered."""
         now = clock.now()
         for peer in self._peers.values():
             if peer.link is None and peer.failures and now >= peer.retry_not_before:
@@ -147,11 +149,11 @@
             link.close("stopped")
 
     def hello(self, epoch: str) -> Hello:
-        """Return the first line of a link (link owner's part)."""
+        """Return the Hello that opens a link (``LinkOwner`` callback)."""
         return self._owner.hello(epoch)
 
     def link_opened(self, link: PeerLink, hello: Hello) -> None:
-        """Send what waited for the link (link owner's part)."""
+        """Send the attempts that waited for the link (``LinkOwner`` callback)."""
         peer = self._by_link.get(link)
         if peer is None:
             return
@@ -167,7 +169,7 @@
                 self._send_on(link, attempt)
 
     def link_closed(self, link: PeerLink, cause: str) -> None:
-        """Fail what waited for the link (link owner's part)."""
+        """Fail the attempts that waited for the link (``LinkOwner`` callback)."""
         peer = self._by_link.pop(link, None)
         if peer is None:
             return
@@ -182,43 +184,43 @@
                 attempt.on_unsent(RefusalReason.CONNECT_FAILED, cause)
 
     def peer_draining(self, link: PeerLink) -> None:
-        """Pass the sign on (link owner's part)."""
+        """Forward a peer's drain notice (``LinkOwner`` callback)."""
         peer = self._by_link.get(link)
         if peer is not None:
             self._owner.peer_draining(peer.endpoint.name)
 
     def load_reported(self, link: PeerLink, load: LoadReport) -> None:
-        """Pass the report on (link owner's part)."""
+        """Forward a peer's load report (``LinkOwner`` callback)."""
         peer = self._by_link.get(link)
         if peer is not None:
             self._owner.peer_load(peer.endpoint.name, load)
 
     def revision_seen(self, link: PeerLink, revision: int) -> None:
-        """Pass the revision on (link owner's part)."""
+        """Forward a peer's revision (``LinkOwner`` callback)."""
         peer = self._by_link.get(link)
         if peer is not None:
             self._owner.peer_revision(peer.endpoint.name, revision)
 
     def delta_received(self, link: PeerLink, delta: Delta) -> None:
-        """Pass configuration on (link owner's part)."""
+        """Forward configuration received from a peer (``LinkOwner`` callback)."""
         peer = self._by_link.get(link)
         if peer is not None:
             self._owner.peer_delta(peer.endpoint.name, delta)
 
     def delta_for(self, revision: int) -> Delta | None:
-        """Return configuration for a peer (link owner's part)."""
+        """Return the configuration for a peer at ``revision`` (``LinkOwner`` callback)."""
         return self._owner.delta_for(revision)
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Pass the news on (link owner's part)."""
+        """Forward crash records received from a peer (``LinkOwner`` callback)."""
         self._owner.crash_news_received(news)
 
     def crash_news(self) -> CrashNews | None:
-        """Return news for a peer (link owner's part)."""
+        """Return the crash records to send on a new link (``LinkOwner`` callback)."""
         return self._owner.crash_news()
 
     def send_crash_news(self, news: CrashNews) -> None:
-        """Send news to every peer whose link is open."""
+        """Send crash records to every peer with an open link."""
         for link in list(self._by_link):
             link.send_crash_news(news)
 
@@ -233,7 +235,7 @@
         return peer
 
     def _close_if_unused(self, peer: _Peer) -> None:
-        """Let calls in progress end, then close."""
+        """Close the link of a removed peer, or leave it to its calls in progress."""
         if peer.link is not None and peer.link.calls_in_progress == 0:
             peer.link.close("idle")
 
@@ -257,7 +259,10 @@
         task.add_done_callback(self._tasks.discard)
 
     def _asks_compression(self, endpoint: Endpoint) -> bool:
-        """Return whether the link is compressed; under TLS sizes would tell of what is inside."""
+        """Return whether to compress the link: across zones only, and never under TLS.
+
+        The sizes of compressed records would leak information about their contents.
+        """
         settings = self._settings
         is_plain = settings.tls_files.is_plain
         return settings.compresses_links and is_plain and endpoint.zone != settings.zone
@@ -270,7 +275,7 @@
     def _send_on(self, link: PeerLink, attempt: Attempt) -> None:
         remaining = attempt.deadline - clock.now()
         if remaining <= 0.0:
-            attempt.on_unsent(RefusalReason.DEADLINE, "no time left to send")
+            attempt.on_unsent(RefusalReason.DEADLINE, "the deadline passed before the send")
             return
         request = attempt.request
         context = request.context.for_attempt(
@@ -293,6 +298,6 @@
             attempt.link = link
             attempt.call_number = number
         elif result is SendResult.FULL:
-            attempt.on_unsent(RefusalReason.QUEUE_FULL, "the link is full")
+            attempt.on_unsent(RefusalReason.QUEUE_FULL, "the link's send buffer is full")
         else:
             attempt.on_unsent(RefusalReason.CONNECT_FAILED, "the link is closed")
--- a/src/finchshed/daemon/calling/daemon_links_owner.py
+++ b/src/finchshed/daemon/calling/daemon_links_owner.py
@@ -1,4 +1,4 @@
-"""What the holder of the links to other daemons reports and asks."""
+"""Callback interface of :class:`~finchshed.daemon.calling.daemon_links.DaemonLinks`."""
 
 from typing import Protocol
 
@@ -11,37 +11,37 @@
 
 
 class DaemonLinksOwner(Protocol):
-    """What the owner of the links does for them."""
+    """Receives peer events and supplies the data sent to peers."""
 
     def hello(self, epoch: str) -> Hello:
-        """Return the first line of a link."""
+        """Return the Hello that opens a link."""
 
     def peer_up(self, endpoint: str, incarnation: str) -> None:
-        """Note that the link to an endpoint is open, or that its back end was restarted."""
+        """Handle an opened link, or a restarted back end behind an open one."""
 
     def peer_down(self, endpoint: str) -> None:
-        """Note that the link to an endpoint broke or could not be opened."""
+        """Handle a link that broke or could not be opened."""
 
     def peer_draining(self, endpoint: str) -> None:
-        """Note that an endpoint takes no new calls."""
+        """Handle an endpoint that accepts no new calls."""
 
     def peer_load(self, endpoint: str, load: LoadReport) -> None:
-        """Note the load that an endpoint reported with a heartbeat."""
+        """Handle a load report from an endpoint's heartbeat."""
 
     def peer_revision(self, peer: str, revision: int) -> None:
-        """Note the revision a peer holds."""
+        """Handle the configuration revision reported by a peer."""
 
     def peer_delta(self, peer: str, delta: Delta) -> None:
-        """Use configuration that a peer sent."""
+        """Handle configuration sent by a peer."""
 
     def delta_for(self, revision: int) -> Delta | None:
-        """Return the configuration for a peer that holds ``revision``."""
+        """Return the configuration for a peer at ``revision``, or None."""
 
     def revision(self) -> int:
-        """Return the revision in force."""
+        """Return the active configuration revision."""
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Merge news of requests that crash back ends."""
+        """Merge crash records received from a peer."""
 
     def crash_news(self) -> CrashNews | None:
-        """Return the news that a peer is sent when a link to it opens; None: there is none."""
+        """Return the crash records to send on a new link, or None."""
--- a/src/finchshed/daemon/calling/endpoints.py
+++ b/src/finchshed/daemon/calling/endpoints.py
@@ -1,7 +1,6 @@
-"""All endpoints a daemon may call: those declared, and those that registered themselves.
+"""Endpoints a daemon may call: those in the configuration and those registered by heartbeat.
 
-Owns the directory of registrations. Relies on control for both, and keeps routing table and links
-in step with them.
+Changes to either set are applied to the routing table and the links.
 """
 
 from collections import Counter
@@ -17,19 +16,19 @@
 from finchshed.runtime import clock
 
 REGISTRATION_RETENTION_SECONDS = 3_600.0
-"""Seconds. Control says what is to be forgotten; without it a daemon goes on with what it knows.
-Chosen, not measured."""
+"""How long a registration is kept. Control normally removes registrations earlier; a daemon cut off
+from control goes on with those it has."""
 
 MAX_LOGGED_REGISTRATIONS = 8
-"""Registrations of one update that are logged each by itself: a line takes 0.1 ms to make. The
-number is chosen, not measured."""
+"""Registrations of one update that get a log line each; the rest are summarized, since formatting
+lines blocks the event loop."""
 
 MAX_PRECONNECTED_ENDPOINTS = 64
-"""Up to so many registered endpoints are linked before the first call; chosen, not measured."""
+"""With at most this many registered endpoints, links are opened before the first call."""
 
 
 class KnownEndpoints:
-    """Keeps routing table and links in step with declarations and registrations."""
+    """Applies declared and registered endpoints to the routing table and the links."""
 
     def __init__(self, table: RoutingTable, links: DaemonLinks) -> None:
         self._table = table
@@ -38,30 +37,30 @@
         self._declared: dict[str, Endpoint] = {}
 
     def __len__(self) -> int:
-        """Return the number of daemons that registered."""
+        """Return the number of registered daemons."""
         return len(self._directory)
 
     def set_declared(self, declared: dict[str, Endpoint]) -> None:
-        """Use the endpoints of the configuration."""
+        """Replace the endpoints declared in the configuration."""
         self._declared = declared
         self._apply()
 
     def on_update(self, update: DirectoryUpdate) -> None:
-        """Merge registrations. A control node that just started doesn't know them all yet."""
+        """Merge an update; registrations it lacks are kept, as control may have just started."""
         now = clock.now()
         present = self._directory.present_at(update.registrations)
-        news = self._directory.merge(update.registrations, now)
-        # A daemon that has just started and knows of no back end is no news where none was known.
-        reported = [item for item in news if item.instance or item.address in present]
+        changed = self._directory.merge(update.registrations, now)
+        # A daemon that reports no back end matters only if one was registered there before.
+        reported = [item for item in changed if item.instance or item.address in present]
         _log_registrations(reported)
         dropped = self._directory.drop(update.forgotten)
         if dropped:
-            logger.info("back ends at {} are forgotten", ", ".join(update.forgotten))
+            logger.info("removed the registrations of back ends at {}", ", ".join(update.forgotten))
         if reported or dropped:
             self._apply()
 
     def registration_of(self, address: str) -> Registration | None:
-        """Return what is held of the daemon at ``address``."""
+        """Return the registration of the daemon at ``address``, if any."""
         return self._directory.get(address)
 
     def _apply(self) -> None:
--- a/src/finchshed/daemon/calling/outgoing_call.py
+++ b/src/finchshed/daemon/calling/outgoing_call.py
@@ -1,7 +1,6 @@
-"""One call at the caller's side: performs the effects of the call's state machine.
+"""One outgoing call: executes the effects of its state machine.
 
-Several requests may wait for one call: a repeat of a request in progress joins it. The call is
-given up once nobody waits for it any more.
+Several requests may wait for the same call. It is cancelled when the last of them leaves.
 """
 
 import asyncio
@@ -46,13 +45,14 @@
     Parameters
     ----------
     logic
-        Decides about choice, retries and the end.
+        State machine that selects endpoints, retries and ends the call.
     on_finish
-        Called once with the outcome and the spare attempts left.
+        Called once with the outcome and the number of unused retries.
     retry_after
-        Draws the time after which a client may come back, seconds.
+        Returns a randomized retry delay for the client, in seconds.
     on_crash_record
-        Called with what an answer tells of back ends that ended under the request.
+        Called with the crash record attached to a reply: back ends that crashed while running the
+        request.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
 
     @property
     def seconds(self) -> float:
-        """Time since the call began."""
+        """Time since the call started."""
         return clock.now() - self._began
 
     @property
@@ -103,9 +103,9 @@
         self._apply_effects(self._logic.begin(now))
 
     def add_waiter(self, on_outcome: Callable[[Outcome], None]) -> Callable[[], None]:
-        """Have ``on_outcome`` called once, now if the call is over; return what leaves it.
+        """Call ``on_outcome`` once, now if the call is over; return a function that stops waiting.
 
-        The call is given up when the last one that waits for it leaves.
+        The call is cancelled when its last waiter stops waiting.
         """
         if self._outcome is not None:
             on_outcome(self._outcome)
@@ -159,13 +159,13 @@
             self._report(number, broken, 0, None)
             return
         if reply.crash_record is not None:
-            # Before the outcome: whether it is tried again hangs on it.
+            # Merged before the outcome, because the retry decision depends on it.
             self._on_crash_record(reply.crash_record)
         outcome = reply.outcome
         if isinstance(outcome, Answered) and digest_of(outcome.body) != reply.digest:
             outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after())
         elif isinstance(outcome, Answered) and is_version_mismatch(self.request, outcome):
-            detail = "a part of another edition than asked for"
+            detail = "partial content of a different version than requested"
             outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after(), detail)
         self._report(number, outcome, reply.spare_attempts, reply)
 
@@ -173,7 +173,7 @@
         self, number: int, lent_attempts: int, reason: RefusalReason, detail: str
     ) -> None:
         refused = Refused(reason, self._retry_after(), detail)
-        # The state machine may still be performing the effects of the send.
+        # Deferred, because effects of the state machine may still be executing.
         self._loop.call_soon(self._report, number, refused, lent_attempts, None)
 
     def _report(self, number: int, outcome: Outcome, spare: int, reply: Reply | None) -> None:
@@ -185,7 +185,7 @@
     def _record_attempt(self, outcome: Outcome, now: float) -> None:
         self._recorded_attempts = self._sent_attempts
         if not is_logged(self.request, outcome):
-            return  # an answer, which ends the call: nothing of it is logged
+            return  # successful and not sampled
         reason = "" if isinstance(outcome, Answered) else str(outcome.reason)
         self.attempts.append(
             AttemptRecord(
@@ -204,7 +204,7 @@
         self._timer = self._loop.call_later(max(0.0, at - clock.now()), self._on_timer, at)
 
     def _on_timer(self, due: float) -> None:
-        # The loop's clock is coarser than the one decisions are made by.
+        # The loop may fire slightly early by the clock that the state machine uses.
         now = max(due, clock.now())
         self._apply_effects(self._logic.on_timer(now))
 
@@ -213,7 +213,7 @@
             self._record_attempt(effect.outcome, clock.now())
         outcome = with_session_endpoint(self.request, self.endpoint, effect.outcome)
         self._outcome = outcome
-        # The attempt refers back to this call: without the cycle it is freed at once.
+        # Breaks the reference cycle through the attempt's callbacks, so no collection is needed.
         self._attempt = None
         if self._timer is not None:
             self._timer.cancel()
--- a/src/finchshed/daemon/calling/platform_hints.py
+++ b/src/finchshed/daemon/calling/platform_hints.py
@@ -1,8 +1,7 @@
-"""The platform's list of leaving machines, as it reaches the routing table.
+"""Applies the platform's list of machines scheduled for removal.
 
-The list lags, so a hint may mean an earlier machine at the same address: it counts for an
-incarnation that was linked before the machine can have been listed, and for no later one. Owns the
-marks it made; relies on the links to say when each incarnation was linked.
+The list is delayed, so an entry may refer to an earlier machine at the same address. An entry
+applies only to an incarnation linked for longer than that delay.
 """
 
 from finchshed.distribution.messages import Hints
@@ -13,7 +12,7 @@
 
 
 class PlatformHints:
-    """Marks endpoints in ``table`` as the platform lists them."""
+    """Marks listed endpoints as draining in ``table``."""
 
     def __init__(self, table: RoutingTable) -> None:
         self._table = table
@@ -23,14 +22,14 @@
         self._marked: set[str] = set()
 
     def on_linked(self, endpoint: str, incarnation: str, now: float) -> None:
-        """Note that a link to an endpoint is open."""
+        """Record when an incarnation of an endpoint was first linked."""
         held = self._linked.get(endpoint)
         if held is None or held[0] != incarnation:
             self._linked[endpoint] = (incarnation, now)
         self._apply(now)
 
     def on_hints(self, hints: Hints, now: float) -> None:
-        """Follow the list in place of the one held."""
+        """Replace the list."""
         self._hints = hints
         self._received_at = now
         self._apply(now)
@@ -56,17 +55,17 @@
 
 
 class LocalMachineHints:
-    """Whether the platform lists the machine this daemon stands on.
+    """Decides whether the list contains the machine this daemon runs on.
 
-    Callers mark an endpoint only if their link to it is old enough, and links open late. The
-    daemon beside the back end has stood there longest and tells all of them.
+    Callers with recent links can't tell whether an entry applies to an endpoint. Its own daemon has
+    run on the machine the longest, so it decides for them and announces the drain.
 
     Parameters
     ----------
     endpoint
-        Name of its own endpoint; empty for an edge.
+        Name of the local endpoint; empty on an edge.
     started_at
-        When the daemon started, monotonic seconds.
+        Start time of the daemon, in monotonic seconds.
     """
 
     def __init__(self, endpoint: str, started_at: float) -> None:
@@ -74,7 +73,7 @@
         self._started_at = started_at
 
     def is_leaving(self, hints: Hints, now: float) -> bool:
-        """Whether ``hints`` say that this machine leaves."""
+        """Return whether ``hints`` list this machine for removal."""
         age = now - self._started_at
         return any(
             hint.endpoint == self._endpoint and hints.applies_to(hint, age)
--- a/src/finchshed/daemon/calling/session_pins.py
+++ b/src/finchshed/daemon/calling/session_pins.py
@@ -1,13 +1,13 @@
-"""Sessions at the caller's side: which endpoint serves each, and which edition it was given.
+"""Session affinity at the caller: the endpoint of each session and its last entity tag.
 
-A session's requests go to the endpoint that admitted it, also while that drains; it moves only
-when the endpoint is lost or sends it away. A download that goes on elsewhere must not mix editions:
-a range is asked for under the validator of the last part (RFC 9110, 13.1.5), and a part that
-carries another validator than asked for is not handed on (RFC 9110, 15.3.7.3).
+A session stays on the endpoint that admitted it, even while that drains, and moves only if the
+endpoint is lost or refuses it. A download resumed on another endpoint must not mix versions of a
+resource: range requests are made conditional on the last entity tag (RFC 9110, 13.1.5), and partial
+content with a different tag is rejected (RFC 9110, 15.3.7.3).
 
-A client may come in at another edge, which has no pin. So answers say where the session runs and
-clients send it back. That claim proves nothing: it chooses the endpoint alone, and the daemon there
-judges the request by the sessions it has admitted itself.
+Responses name the session's endpoint and clients send the name back, so that an edge without the
+pin can route to it. The name is untrusted: it only selects the endpoint, whose daemon checks its
+own admitted sessions.
 """
 
 import sys
@@ -23,35 +23,35 @@
 from finchshed.session.table import Opened, SessionTable
 
 MAX_SESSIONS = 100_000
-"""Sessions remembered; further ones run without being pinned. Chosen, not measured."""
+"""Maximum number of pinned sessions; further sessions run without a pin."""
 
 WEAK_PREFIX = "W/"
 
 
 @dataclass(frozen=True, slots=True)
 class _ResourceVersion:
-    """The last part a session was given."""
+    """The path and entity tag of the last response in a session."""
 
     path: str
     validator: str
 
 
 class SessionPins:
-    """Endpoints and editions of the sessions whose requests come in here."""
+    """Endpoints and resource versions of the sessions whose requests arrive at this daemon."""
 
     def __init__(self) -> None:
         self._sessions = SessionTable()
         self._versions: dict[str, _ResourceVersion] = {}
 
     def __len__(self) -> int:
-        """Return the number of sessions pinned."""
+        """Return the number of pinned sessions."""
         return len(self._sessions)
 
     def pinned_endpoint(self, request: Request, table: RoutingTable, now: float) -> str:
-        """Return the endpoint that serves the request's session, or empty.
+        """Return the endpoint for the request's session, or an empty string.
 
-        The client's claim counts where no answer has confirmed a pin, if it names an endpoint of
-        the service that can be used; any other claim is ignored.
+        An endpoint named by the client is used only if no answer has confirmed a pin and it is a
+        usable endpoint of the service.
         """
         session = session_key(request)
         if not session:
@@ -66,7 +66,7 @@
     def on_request_sent(
         self, request: Request, endpoint: str, idle_seconds: float, now: float
     ) -> None:
-        """Note a request of a session that was sent to ``endpoint``; the first one pins it."""
+        """Record a request sent to ``endpoint``; the first request of a session pins it."""
         session = session_key(request)
         if not session or not endpoint:
             return
@@ -86,7 +86,7 @@
     def on_request_ended(
         self, request: Request, endpoint: str, outcome: Outcome, now: float
     ) -> None:
-        """Note the end of a request that ``endpoint`` saw last."""
+        """Record the outcome of a request last sent to ``endpoint``, and move the pin if needed."""
         session = session_key(request)
         held = self._sessions.get(session)
         if held is None:
@@ -102,12 +102,12 @@
             self._versions[session] = _ResourceVersion(request.path, validator)
 
     def expire(self, now: float) -> None:
-        """Forget sessions idle for longer than their service allows."""
+        """Drop sessions idle for longer than their service allows."""
         for session in self._sessions.expire(now):
             self._versions.pop(session.identity, None)
 
     def range_conditions(self, request: Request) -> Headers:
-        """Return what is added to the request so that a range comes from the session's edition."""
+        """Return an If-Range header for a range request within the session's resource version."""
         edition = self._versions.get(session_key(request))
         if edition is None or edition.path != request.path or request.method != "GET":
             return ()
@@ -121,7 +121,7 @@
 
 
 def is_version_mismatch(request: Request, answer: Answered) -> bool:
-    """Return whether a partial answer comes from another edition than was asked for."""
+    """Return whether partial content has a different entity tag than the request's condition."""
     if answer.status != STATUS_PARTIAL_CONTENT:
         return False
     given = first_header_value(answer.headers, "etag")
@@ -135,7 +135,7 @@
 
 
 def with_session_endpoint(request: Request, endpoint: str, outcome: Outcome) -> Outcome:
-    """Return ``outcome`` with the endpoint that answered a session's request in its headers."""
+    """Return ``outcome`` with a header naming the endpoint, for an answered session request."""
     if not isinstance(outcome, Answered) or not endpoint or not session_key(request):
         return outcome
     headers = tuple(item for item in outcome.headers if item[0].lower() != HEADER_SESSION_AT)
@@ -143,14 +143,14 @@
 
 
 def session_key(request: Request) -> str:
-    """Return the identity of the request's session among all services, or empty."""
+    """Return a key of the request's session that is unique across services, or an empty string."""
     if not request.in_session or not request.context.session:
         return ""
     return f"{request.service} {request.context.session}"
 
 
 def first_header_value(headers: Headers, name: str) -> str:
-    """Return the first value of a header, or empty."""
+    """Return the first value of a header, or an empty string."""
     for held, value in headers:
         if held == name:
             return value
