--- a/src/finchshed/daemon/serving/__init__.py
+++ b/src/finchshed/daemon/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The serving side of the daemon: calls that come in for the back end beside it."""
+"""Server side of the daemon: runs calls from other daemons at the local back end."""
--- a/src/finchshed/daemon/serving/at_most_once.py
+++ b/src/finchshed/daemon/serving/at_most_once.py
@@ -1,14 +1,14 @@
-"""Requests that may not be repeated: leave from the ledger before the send, a record after it.
+"""At-most-once execution of non-repeatable requests, based on the ledger.
 
-The order of steps is what makes "at most once" and "did not run" true:
+The order of steps guarantees that a request runs at most once and that "did not run" is true:
 
-1. ``begin`` is committed by a quorum for this attempt alone, before any byte goes to the back end.
-2. After the grant the deadline, the grant's age and the caller are looked at again: a process that
-   was frozen in between doesn't send late. An attempt not sent is cancelled.
-3. ``complete`` is recorded with the whole answer; a resend gets that answer.
+1. A quorum commits ``begin`` for this attempt before any byte is sent to the back end.
+2. After the grant, deadline, grant age and cancellation are checked again, in case the process was
+   suspended. An attempt that isn't sent is cancelled in the ledger.
+3. ``complete`` records the complete answer, which any resend receives.
 
-An attempt that was sent and has no whole answer stays begun: a resend is answered that the outcome
-is unknown and nothing runs again.
+An attempt that was sent without a complete answer stays begun: a resend fails with an unknown
+outcome and doesn't run.
 """
 
 import random
@@ -45,10 +45,10 @@
 from finchshed.runtime import clock
 
 ATTEMPT_ID_BYTES = 12
-"""Random bytes of an attempt's identity in the ledger: no two attempts have the same."""
+"""Random bytes in an attempt's identity; enough to make collisions negligible."""
 
 CANCEL_TIMEOUT_SECONDS = 30.0
-"""Seconds for which the cancel of an attempt that was not sent is tried; chosen, not measured."""
+"""How long cancelling an unsent attempt is retried."""
 
 _INVALID_KEY = frozenset(
     {LedgerRefusalReason.NO_TIME_IN_KEY.value, LedgerRefusalReason.MADE_IN_THE_FUTURE.value}
@@ -59,99 +59,106 @@
 
 
 class AtMostOnceRunner:
-    """Asks the ledger on behalf of calls that may not be repeated."""
+    """Obtains ledger grants for non-repeatable calls and records their answers."""
 
     def __init__(self, settings: DaemonSettings, ledger: LedgerPort, rng: random.Random) -> None:
         self._settings = settings
         self._ledger = ledger
         self._rng = rng
 
-    def begin(self, work: InboundCall, send: SendCallback, finish: FinishCallback) -> None:
-        """Ask leave to run ``work``; call ``send`` if granted, ``finish`` if not."""
-        work.attempt = secrets.token_hex(ATTEMPT_ID_BYTES)
+    def begin(self, inbound: InboundCall, send: SendCallback, finish: FinishCallback) -> None:
+        """Request a grant for a call; call ``send`` if granted, ``finish`` if not."""
+        inbound.attempt = secrets.token_hex(ATTEMPT_ID_BYTES)
         asked_at = clock.now()
-        timeout = min(self._settings.ledger_timeout_seconds, max(0.0, work.deadline - asked_at))
+        timeout = min(self._settings.ledger_timeout_seconds, max(0.0, inbound.deadline - asked_at))
 
         def answered(answer: LedgerAnswer | None) -> None:
             metrics.LEDGER_DELAY.observe(clock.now() - asked_at)
-            self._on_answer(work, answer, asked_at, send, finish)
+            self._on_answer(inbound, answer, asked_at, send, finish)
 
-        self._ledger.begin(work.ledger_key, work.attempt, timeout, answered)
+        self._ledger.begin(inbound.ledger_key, inbound.attempt, timeout, answered)
 
-    def record(self, work: InboundCall, outcome: Outcome, finish: FinishCallback) -> None:
-        """Record what became of a sent attempt, then call ``finish``.
+    def record(self, inbound: InboundCall, outcome: Outcome, finish: FinishCallback) -> None:
+        """Record the outcome of a sent attempt, then call ``finish``.
 
-        The answer waits for the record, so that a resend made after it gets the same answer; it
-        waits no longer than the ledger's timeout.
+        The answer is held until it is recorded or the ledger times out, so that a later resend
+        receives the same answer.
         """
         if isinstance(outcome, Answered):
-            stored = with_fingerprint(outcome, self._fingerprint(work))
+            stored = with_fingerprint(outcome, self._fingerprint(inbound))
             self._ledger.complete(
-                work.ledger_key,
-                work.attempt,
+                inbound.ledger_key,
+                inbound.attempt,
                 stored,
                 timeout=self._settings.ledger_timeout_seconds,
-                done=lambda _answer: finish(work, outcome),
+                done=lambda _answer: finish(inbound, outcome),
             )
             return
         if isinstance(outcome, Refused):
-            self._cancel(work)
-        finish(work, outcome)
+            self._cancel(inbound)
+        finish(inbound, outcome)
 
     def _on_answer(
         self,
-        work: InboundCall,
+        inbound: InboundCall,
         answer: LedgerAnswer | None,
         asked_at: float,
         send: SendCallback,
         finish: FinishCallback,
     ) -> None:
         if isinstance(answer, LedgerGranted):
-            self._on_granted(work, asked_at, send, finish)
+            self._on_granted(inbound, asked_at, send, finish)
         elif isinstance(answer, LedgerCompleted):
-            finish(work, self._replayed(work, answer.answer))
+            finish(inbound, self._replayed(inbound, answer.answer))
         elif isinstance(answer, LedgerUnknown):
-            finish(work, Failed(FailureReason.OUTCOME_UNKNOWN, retry_after(1.0, self._rng)))
+            finish(inbound, Failed(FailureReason.OUTCOME_UNKNOWN, retry_after(1.0, self._rng)))
         elif isinstance(answer, LedgerRefused):
-            finish(work, self._refused(_refusal_reason(answer), answer.detail))
+            finish(inbound, self._refusal(_refusal_reason(answer), answer.detail))
         else:
-            # Nothing was granted in time: the attempt is never sent, and the port frees its key.
-            finish(work, self._refused(RefusalReason.LEDGER_UNAVAILABLE, "no answer in time"))
+            # No grant in time: the attempt is never sent, and the ledger client cancels it.
+            finish(
+                inbound,
+                self._refusal(
+                    RefusalReason.LEDGER_UNAVAILABLE, "the ledger did not answer in time"
+                ),
+            )
 
     def _on_granted(
-        self, work: InboundCall, asked_at: float, send: SendCallback, finish: FinishCallback
+        self, inbound: InboundCall, asked_at: float, send: SendCallback, finish: FinishCallback
     ) -> None:
         now = clock.now()
-        if work.abandoned:
+        if inbound.abandoned:
             reason = RefusalReason.CANCELLED
-        elif now >= work.deadline:
+        elif now >= inbound.deadline:
             reason = RefusalReason.DEADLINE
         elif now - asked_at > self._settings.grant_lease_seconds:
             reason = RefusalReason.LEDGER_UNAVAILABLE
         else:
-            send(work)
+            send(inbound)
             return
-        self._cancel(work)
-        finish(work, self._refused(reason, "the grant was not used"))
+        self._cancel(inbound)
+        finish(inbound, self._refusal(reason, "not sent after the ledger's grant"))
 
-    def _replayed(self, work: InboundCall, answer: Answered) -> Outcome:
-        replayed = stored_answer(answer, self._fingerprint(work))
+    def _replayed(self, inbound: InboundCall, answer: Answered) -> Outcome:
+        replayed = stored_answer(answer, self._fingerprint(inbound))
         if replayed is not None:
             return replayed
-        return self._refused(RefusalReason.KEY_REUSED, "the key was used for another request")
+        return self._refusal(
+            RefusalReason.KEY_REUSED, "the idempotency key was used for a different request"
+        )
 
-    def _cancel(self, work: InboundCall) -> None:
-        self._ledger.cancel(work.ledger_key, work.attempt, CANCEL_TIMEOUT_SECONDS)
+    def _cancel(self, inbound: InboundCall) -> None:
+        self._ledger.cancel(inbound.ledger_key, inbound.attempt, CANCEL_TIMEOUT_SECONDS)
 
-    def _fingerprint(self, work: InboundCall) -> str:
-        return fingerprint_of(work.call.method, work.call.path, work.call.body)
+    def _fingerprint(self, inbound: InboundCall) -> str:
+        return fingerprint_of(inbound.call.method, inbound.call.path, inbound.call.body)
 
-    def _refused(self, reason: RefusalReason, detail: str) -> Refused:
+    def _refusal(self, reason: RefusalReason, detail: str) -> Refused:
         return Refused(reason, retry_after(0.0, self._rng), detail)
 
 
 def _refusal_reason(refused: LedgerRefused) -> RefusalReason:
-    """Return the reason for the caller; what the ledger says of a key is final."""
+    """Return the refusal reason that corresponds to the ledger's."""
     if refused.detail in _INVALID_KEY:
         return RefusalReason.KEY_INVALID
     if refused.expired:
--- a/src/finchshed/daemon/serving/backend_runs.py
+++ b/src/finchshed/daemon/serving/backend_runs.py
@@ -1,7 +1,6 @@
-"""Runs admitted calls at the back end: quarantine and ledger first, then the send, then the result.
+"""Runs admitted calls at the back end: quarantine check, ledger grant, send, result.
 
-Owns what is at the back end and what ends with it: the crash detector. Relies on the ledger for
-what may run at most once, and reports each end to the callee, which frees the slot and answers.
+The callee is notified when a call finishes; it releases the slot and sends the reply.
 """
 
 import random
@@ -41,24 +40,24 @@
 from finchshed.runtime import clock
 
 CRASH_ID_BYTES = 6
-"""Random bytes in the name of a crash where back ends don't tell who they are."""
+"""Random bytes in the ID of a crash at a back end that doesn't register its instance."""
 
 
 class BackendRunner:
-    """Calls on their way to the back end and back.
+    """Sends calls to the back end and handles their results.
 
     Parameters
     ----------
     endpoint
-        Name of the declared endpoint, for crashes of back ends that don't register.
+        Name of the declared endpoint; prefixes crash IDs of back ends that don't register.
     admission
-        Knows the instance that calls are served by.
+        Holds the back-end instance that serves calls.
     events
-        Is told of answers and faults.
+        Receives answers and faults of the back end.
     on_slot_free
-        Called where the slot of a call is free before the call is answered.
+        Called when a call's slot can be released before the call is answered.
     on_finished
-        Called with each call that was started, and its outcome.
+        Called with each started call and its outcome.
     """
 
     def __init__(
@@ -91,70 +90,72 @@
         self._on_finished = on_finished
         self._crash_detector = CrashDetector(backend, self._on_crash)
 
-    def start(self, work: InboundCall) -> None:
-        """Run a call that the gate started."""
-        judgement = self._quarantine.check(work.signature)
+    def start(self, inbound: InboundCall) -> None:
+        """Run a call admitted by the gate."""
+        judgement = self._quarantine.check(inbound.signature)
         if judgement.suspicion is Suspicion.QUARANTINED:
-            # Back ends ended under its other tries while it was queued here.
-            self._on_finished(work, Refused(RefusalReason.QUARANTINED, judgement.seconds))
+            # Other attempts of the request crashed back ends while this one was queued.
+            self._on_finished(inbound, Refused(RefusalReason.QUARANTINED, judgement.seconds))
             return
-        metrics.QUEUE_DELAY.observe(clock.now() - work.arrived)
-        if work.repeatable or work.is_by_host:
-            self._send(work)
+        metrics.QUEUE_DELAY.observe(clock.now() - inbound.arrived)
+        if inbound.repeatable or inbound.is_by_host:
+            self._send(inbound)
         else:
-            work.state = InboundCallState.ASKING_LEDGER
-            self._guarded.begin(work, self._send, self._on_finished)
+            inbound.state = InboundCallState.ASKING_LEDGER
+            self._guarded.begin(inbound, self._send, self._on_finished)
 
-    def _send(self, work: InboundCall) -> None:
-        call = work.call
-        work.state = InboundCallState.AT_BACKEND
-        work.started = clock.now()
-        work.served = self._served.open(work.context, work.deadline, call.identity)
-        self._paths.on_start(work.served.account, work.route)
+    def _send(self, inbound: InboundCall) -> None:
+        call = inbound.call
+        inbound.state = InboundCallState.AT_BACKEND
+        inbound.started = clock.now()
+        inbound.served = self._served.open(inbound.context, inbound.deadline, call.identity)
+        self._paths.on_start(inbound.served.account, inbound.route)
         instance = self._admission.instance
-        remaining = work.deadline - clock.now()
-        request = backend_request(work, remaining, self._names, instance)
-        work.cancel_backend = self._backend.send(
-            request, lambda result: self._on_result(work, instance, result)
+        remaining = inbound.deadline - clock.now()
+        request = backend_request(inbound, remaining, self._names, instance)
+        inbound.cancel_backend = self._backend.send(
+            request, lambda result: self._on_result(inbound, instance, result)
         )
 
-    def _on_result(self, work: InboundCall, instance: str, result: BackendResult) -> None:
+    def _on_result(self, inbound: InboundCall, instance: str, result: BackendResult) -> None:
         if not isinstance(result, BackendBroken):
-            self._finish(work, instance, result)
+            self._finish(inbound, instance, result)
             return
-        then = partial(self._finish, work, instance, result)
-        self._crash_detector.on_interrupted(instance, InterruptedRequest(work.signature(), then))
+        then = partial(self._finish, inbound, instance, result)
+        self._crash_detector.on_interrupted(instance, InterruptedRequest(inbound.signature(), then))
 
     def _on_crash(self, instance: str, signatures: list[str]) -> None:
-        """Note that the back end ended while it ran these."""
+        """Record a crash of the back end while it ran requests with these signatures."""
         metrics.BACKEND_ENDED.inc()
         crash = instance or f"{self._endpoint}-{secrets.token_hex(CRASH_ID_BYTES)}"
         log_backend_ended(crash, self._admission.service, signatures)
         self._quarantine.on_crash(crash, signatures)
-        self._events.publish_fault(instance, BackendUnreached("it ended", is_refused=True))
+        self._events.publish_fault(
+            instance, BackendUnreached("the back end crashed", is_refused=True)
+        )
 
-    def _finish(self, work: InboundCall, instance: str, result: BackendResult) -> None:
-        if work.state is not InboundCallState.AT_BACKEND:
+    def _finish(self, inbound: InboundCall, instance: str, result: BackendResult) -> None:
+        if inbound.state is not InboundCallState.AT_BACKEND:
             return
-        self._report(work, instance, result)
+        self._report(inbound, instance, result)
         outcome = outcome_from_result(result, retry_after(0.0, self._rng))
-        if work.is_by_host and work.served is not None:
+        if inbound.is_by_host and inbound.served is not None:
             outcome = with_downstream_failure(
-                outcome, self._served.has_failed_call(work.served.account)
+                outcome, self._served.has_failed_call(inbound.served.account)
             )
-        if work.repeatable or work.is_by_host:
-            self._on_finished(work, outcome)
+        if inbound.repeatable or inbound.is_by_host:
+            self._on_finished(inbound, outcome)
             return
-        work.state = InboundCallState.RECORDING
-        # The back end is done with the request; waiting for the ledger must not hold its slot.
-        self._on_slot_free(work, result_of(outcome))
-        self._guarded.record(work, outcome, self._on_finished)
+        inbound.state = InboundCallState.RECORDING
+        # The back end has finished; waiting for the ledger must not occupy the slot.
+        self._on_slot_free(inbound, result_of(outcome))
+        self._guarded.record(inbound, outcome, self._on_finished)
 
-    def _report(self, work: InboundCall, instance: str, result: BackendResult) -> None:
-        """Pass on what a result shows of the back end and of the request."""
+    def _report(self, inbound: InboundCall, instance: str, result: BackendResult) -> None:
+        """Publish a result to the followers of the back end's state and to the quarantine."""
         if isinstance(result, BackendAnswer):
             self._events.publish_answer(result)
             if result.ran:
-                self._quarantine.on_completed(work.signature)
+                self._quarantine.on_completed(inbound.signature)
         if not isinstance(result, BackendAnswer) or result.status == STATUS_MISDIRECTED_REQUEST:
             self._events.publish_fault(instance, result)
--- a/src/finchshed/daemon/serving/call_admission.py
+++ b/src/finchshed/daemon/serving/call_admission.py
@@ -1,7 +1,6 @@
-"""Judges a call that came in by the configuration, the drain and the sessions.
+"""Checks incoming calls against the configuration, the drain state and the session limits.
 
-Owns the sessions pinned to the back end and which instance of it is served. Relies on the drain
-state, and on the configuration it was given last.
+Keeps the sessions pinned to the back end and the back-end instance that is served.
 """
 
 import random
@@ -23,18 +22,18 @@
 
 
 class CallAdmission:
-    """Turns calls into work, or tells why not.
+    """Accepts calls as :class:`InboundCall`, or refuses them.
 
     Attributes
     ----------
     may_serve
-        Whether there is a configuration that calls may be served by.
+        Whether a usable configuration is active.
     service
         Service of the back end.
     instance
-        Start of the back end that registered, or empty; calls taken by host are meant for it alone.
+        Registered instance of the back end, or empty; calls routed by host may only run on it.
     catalogue
-        The configuration in force.
+        The active configuration.
     sessions
         Sessions pinned to this back end.
     """
@@ -51,9 +50,9 @@
         self._next_token = 1
 
     def admit(self, link: AcceptedLink, call: Call, now: float) -> InboundCall | Refused:
-        """Return the work a call means, or why it is refused. ``now`` is monotonic seconds."""
+        """Return the accepted call, or its refusal. ``now`` is in monotonic seconds."""
         if call.route:
-            # Its route was found by a configuration that is confirmed to the calling daemon.
+            # The calling daemon matched the route by a confirmed configuration.
             return self._admit_by_host(link, call, now)
         if not self.may_serve:
             return self.refusal(RefusalReason.NO_CONFIGURATION)
@@ -65,13 +64,15 @@
     def _admit_by_service(
         self, link: AcceptedLink, call: Call, matched: RouteMatch, now: float
     ) -> InboundCall | Refused:
-        """Judge a call under a route of its service: size, key, drain, session."""
+        """Check a call under a route of its service: size, key, drain, session."""
         route, service = matched.route, matched.service
         if len(call.body) > service.max_body_bytes:
             return self.refusal(RefusalReason.REQUEST_TOO_LARGE)
         ledger_key = "" if route.repeatable else scoped_key(call.context.key, service.name)
         if ledger_key is None:
-            return self.refusal(RefusalReason.KEY_INVALID, "a UUID of version 7 is needed")
+            return self.refusal(
+                RefusalReason.KEY_INVALID, "the idempotency key must be a version 7 UUID"
+            )
         session = call.context.session if route.session else ""
         if self._drain.is_announced and not (session and self.sessions.get(session)):
             return self.refusal(RefusalReason.DRAINING)
@@ -80,7 +81,7 @@
             return opens_session
         context = call.context
         if opens_session:
-            # A session that it opens is not running yet.
+            # The call is ranked as a new one, since its session isn't running yet.
             context = msgspec.structs.replace(context, session="")
         return InboundCall(
             token=self._new_token(),
@@ -98,7 +99,7 @@
         )
 
     def _open_session(self, session: str, service: Service, now: float) -> bool | Refused:
-        """Note a request of a session; return whether it opens it, or why it may not."""
+        """Record a request of a session; return whether it opens the session, or a refusal."""
         if self.sessions.get(session) is None:
             self.sessions.expire(now)
         opened = self.sessions.open(
@@ -115,9 +116,9 @@
         return opened.is_new
 
     def _admit_by_host(self, link: AcceptedLink, call: Call, now: float) -> InboundCall | Refused:
-        """Judge a call that the calling daemon found the route of."""
+        """Check a call whose route was matched by the calling daemon."""
         if self._drain.is_announced or not self.instance or call.service != self.service:
-            # What was called here has gone: whatever is here now was not meant.
+            # The instance that the caller selected is no longer here.
             return self.refusal(RefusalReason.DRAINING)
         return InboundCall(
             token=self._new_token(),
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -1,8 +1,7 @@
-"""The daemon beside a back end: the way of a call from another daemon, from arrival to answer.
+"""Processes calls from other daemons and answers each exactly once.
 
-Owns the calls in progress. What may be served is decided by :mod:`call_admission`, what starts by
-the gate, what runs at most once by the ledger; running is done by :mod:`backend_runs`, answering
-by :mod:`replies`. This module moves each call from one to the next and answers it exactly once.
+A call passes :mod:`call_admission` (validity, drain, sessions), the quarantine, the admission gate
+(:mod:`gate_runner`), :mod:`backend_runs`, and :mod:`replies`.
 """
 
 import random
@@ -44,21 +43,23 @@
     Parameters
     ----------
     backend
-        Client to the back end.
+        Client of the back end.
     guarded
-        Runs what may not be repeated.
+        Runs non-repeatable calls at most once.
+    served
+        Requests the back end is serving, with their retry accounts.
     paths
-        Thresholds that requests meet further down.
+        Admission thresholds of the services that requests call downstream.
     drain
-        Says whether new calls are refused as draining.
+        Drain state; decides whether new calls are refused.
     events
-        Is told what calls show of the back end.
+        Receives answers and faults of the back end.
     revision
-        Returns the revision in force.
+        Returns the active configuration revision.
     names
-        Names of the headers of requests that were taken by host.
+        Header names of requests routed by host.
     quarantine
-        Tells which requests crash back ends, and is told of crashes.
+        Requests that crashed back ends.
     """
 
     def __init__(
@@ -106,145 +107,145 @@
         self._by_call: dict[tuple[str, int], InboundCall] = {}
 
     def start_serving(self) -> None:
-        """Take calls from now on."""
+        """Start accepting calls."""
         self._admission.may_serve = True
 
     @property
     def in_progress(self) -> int:
-        """Calls not answered yet."""
+        """Number of calls not yet answered."""
         return len(self._calls)
 
     @property
     def sessions(self) -> int:
-        """Sessions pinned to this back end."""
+        """Number of sessions pinned to this back end."""
         return len(self._admission.sessions)
 
     def end_sessions(self) -> None:
-        """Send the sessions away: their requests are refused as draining from now on."""
+        """End all sessions; their requests are refused as draining from now on."""
         self._admission.sessions = SessionTable()
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Act on a new configuration."""
+        """Apply a new configuration."""
         self._admission.catalogue = catalogue
         endpoint = catalogue.endpoints.get(self._endpoint)
         if endpoint is not None:
             self._gate.set_slots(endpoint.slots)
 
     def set_instance(self, instance: str, service: str, slots: int) -> None:
-        """Serve with this start of the back end from now on."""
+        """Serve calls with this back-end instance from now on; 0 keeps the number of slots."""
         self._admission.service = service
         self._admission.instance = instance
         if slots:
             self._gate.set_slots(slots_to_use(slots))
 
     def refuse_queued(self) -> None:
-        """Send what waits for the back end elsewhere; it has not run."""
-        for work in list(self._calls.values()):
-            if work.state is InboundCallState.QUEUED and work.is_by_host:
-                self._dequeue(work)
-                self._refuse(work, self._admission.refusal(RefusalReason.DRAINING))
+        """Refuse queued calls routed by host, so that their callers try another endpoint."""
+        for inbound in list(self._calls.values()):
+            if inbound.state is InboundCallState.QUEUED and inbound.is_by_host:
+                self._dequeue(inbound)
+                self._refuse(inbound, self._admission.refusal(RefusalReason.DRAINING))
 
     def load_report(self) -> LoadReport:
-        """Return the load that is reported to callers."""
+        """Return the load report for callers."""
         return self._replies.load_report()
 
     def expire_sessions(self) -> None:
-        """End the sessions that have been idle for long."""
+        """End sessions that exceeded their idle timeout."""
         self._admission.sessions.expire(clock.now())
 
     def on_call(self, link: AcceptedLink, call: Call) -> None:
-        """Serve a call that came in."""
+        """Process an incoming call."""
         now = clock.now()
-        work = self._admission.admit(link, call, now)
-        if isinstance(work, Refused):
-            self._replies.refuse(link, call, work)
+        inbound = self._admission.admit(link, call, now)
+        if isinstance(inbound, Refused):
+            self._replies.refuse(link, call, inbound)
             return
-        self._calls[work.token] = work
-        self._by_call[call.epoch, call.call] = work
-        work.signature = self._signatures.lazy_signature(call)
-        judgement = self._quarantine.check(work.signature)
+        self._calls[inbound.token] = inbound
+        self._by_call[call.epoch, call.call] = inbound
+        inbound.signature = self._signatures.lazy_signature(call)
+        judgement = self._quarantine.check(inbound.signature)
         if judgement.suspicion is Suspicion.QUARANTINED:
-            detail = f"{judgement.crashes} back ends ended under it"
-            self._refuse(work, Refused(RefusalReason.QUARANTINED, judgement.seconds, detail))
+            detail = f"{judgement.crashes} back ends crashed while running it"
+            self._refuse(inbound, Refused(RefusalReason.QUARANTINED, judgement.seconds, detail))
         elif judgement.suspicion is Suspicion.SUSPECT:
-            self._enter_suspect(work)
+            self._enter_suspect(inbound)
         else:
-            self._gate.enter(work, now)
+            self._gate.enter(inbound, now)
 
     def cancel(self, link: AcceptedLink, call_identity: int) -> None:
-        """Drop a call whose caller has given up or is gone."""
-        work = self._by_call.get((link.epoch, call_identity))
-        if work is None:
+        """Cancel a call whose caller cancelled it or disconnected."""
+        inbound = self._by_call.get((link.epoch, call_identity))
+        if inbound is None:
             return
-        work.abandoned = True
-        if work.state is InboundCallState.QUEUED:
-            self._dequeue(work)
-            self._remove(work)
-        elif work.state is InboundCallState.AT_BACKEND and work.repeatable:
-            if work.cancel_backend is not None:
-                work.cancel_backend()
-            self._end(work, CallResult.CANCELLED)
-
-    def _enter_suspect(self, work: InboundCall) -> None:
-        """Have a suspect wait until no other one runs here."""
-        match self._suspects.enter(work.token):
+        inbound.abandoned = True
+        if inbound.state is InboundCallState.QUEUED:
+            self._dequeue(inbound)
+            self._remove(inbound)
+        elif inbound.state is InboundCallState.AT_BACKEND and inbound.repeatable:
+            if inbound.cancel_backend is not None:
+                inbound.cancel_backend()
+            self._end(inbound, CallResult.CANCELLED)
+
+    def _enter_suspect(self, inbound: InboundCall) -> None:
+        """Admit a suspect, or queue it until no other suspect is running."""
+        match self._suspects.enter(inbound.token):
             case SuspectDecision.RUNS:
-                self._gate.enter(work, clock.now())
+                self._gate.enter(inbound, clock.now())
             case SuspectDecision.REFUSED:
-                self._refuse(work, self._admission.refusal(RefusalReason.SUSPECTS_WAIT))
+                self._refuse(inbound, self._admission.refusal(RefusalReason.SUSPECTS_WAIT))
             case SuspectDecision.WAITS:
-                pass  # until its turn comes, in _forget
+                pass  # _remove admits it when the running suspect leaves
 
-    def _dequeue(self, work: InboundCall) -> None:
-        """Take a call that was not started out of what waits."""
-        if not self._suspects.is_waiting(work.token):
-            self._gate.cancel(work.token)
+    def _dequeue(self, inbound: InboundCall) -> None:
+        """Remove a call that was not started from the gate's queue."""
+        if not self._suspects.is_waiting(inbound.token):
+            self._gate.cancel(inbound.token)
 
     def _on_effect(self, effect: GateEffect) -> None:
-        work = self._calls.get(effect.token)
-        if work is None:
+        inbound = self._calls.get(effect.token)
+        if inbound is None:
             return
         if isinstance(effect, Start):
-            if work.in_session:
-                self._admission.sessions.admit(work.call.context.session)
-            self._runner.start(work)
+            if inbound.in_session:
+                self._admission.sessions.admit(inbound.call.context.session)
+            self._runner.start(inbound)
         else:
-            self._refuse(work, Refused(effect.reason, effect.retry_after))
+            self._refuse(inbound, Refused(effect.reason, effect.retry_after))
 
-    def _on_slot_free(self, work: InboundCall, result: CallResult) -> None:
-        self._gate.finish(work.token, result)
+    def _on_slot_free(self, inbound: InboundCall, result: CallResult) -> None:
+        self._gate.finish(inbound.token, result)
 
-    def _finish(self, work: InboundCall, outcome: Outcome) -> None:
-        """Answer a call that was started, and free its slot."""
-        if work.state is InboundCallState.DONE:
+    def _finish(self, inbound: InboundCall, outcome: Outcome) -> None:
+        """Answer a started call and release its slot."""
+        if inbound.state is InboundCallState.DONE:
             return
-        spare = self._end(work, result_of(outcome))
-        self._replies.reply(work, outcome, spare)
-
-    def _refuse(self, work: InboundCall, refused: Refused) -> None:
-        """Answer a call that was never started."""
-        self._remove(work)
-        if work.opens_session:
-            self._admission.sessions.refuse(work.call.context.session)
-        self._replies.reply(work, refused, work.call.context.spare_attempts)
-
-    def _end(self, work: InboundCall, result: CallResult) -> int:
-        """Forget a started call and free its slot; return the spare attempts left."""
-        spare = work.call.context.spare_attempts
-        if work.served is not None:
-            spare = self._served.close(work.served.account)
-            self._paths.on_end(work.served.account, answered=result is CallResult.OK)
-        self._remove(work)
-        self._gate.finish(work.token, result)
+        spare = self._end(inbound, result_of(outcome))
+        self._replies.reply(inbound, outcome, spare)
+
+    def _refuse(self, inbound: InboundCall, refused: Refused) -> None:
+        """Answer a call that was not started."""
+        self._remove(inbound)
+        if inbound.opens_session:
+            self._admission.sessions.refuse(inbound.call.context.session)
+        self._replies.reply(inbound, refused, inbound.call.context.spare_attempts)
+
+    def _end(self, inbound: InboundCall, result: CallResult) -> int:
+        """Remove a started call and release its slot; return its unused retries."""
+        spare = inbound.call.context.spare_attempts
+        if inbound.served is not None:
+            spare = self._served.close(inbound.served.account)
+            self._paths.on_end(inbound.served.account, answered=result is CallResult.OK)
+        self._remove(inbound)
+        self._gate.finish(inbound.token, result)
         return spare
 
-    def _remove(self, work: InboundCall) -> None:
-        work.state = InboundCallState.DONE
-        work.cancel_backend = None
-        self._calls.pop(work.token, None)
-        self._by_call.pop((work.call.epoch, work.call.call), None)
-        if work.in_session:
-            self._admission.sessions.on_answer(work.call.context.session, clock.now())
-        due = self._calls.get(self._suspects.leave(work.token) or 0)
-        if due is not None:
-            self._gate.enter(due, clock.now())
+    def _remove(self, inbound: InboundCall) -> None:
+        inbound.state = InboundCallState.DONE
+        inbound.cancel_backend = None
+        self._calls.pop(inbound.token, None)
+        self._by_call.pop((inbound.call.epoch, inbound.call.call), None)
+        if inbound.in_session:
+            self._admission.sessions.on_answer(inbound.call.context.session, clock.now())
+        next_suspect = self._calls.get(self._suspects.leave(inbound.token) or 0)
+        if next_suspect is not None:
+            self._gate.enter(next_suspect, clock.now())
--- a/src/finchshed/daemon/serving/control_ledger.py
+++ b/src/finchshed/daemon/serving/control_ledger.py
@@ -1,7 +1,4 @@
-"""The ledger as reached over the daemon's connection to control.
-
-Owns the questions under way; relies on the control client to try again and to give up in time.
-"""
+"""Ledger client over the daemon's connection to control, which retries and times out requests."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,14 +10,14 @@
 
 
 class ControlLedger:
-    """Turns the coroutines of the requests to control into callbacks of calls in progress."""
+    """Adapts the coroutines of :class:`LedgerRequests` to the callbacks of :class:`LedgerPort`."""
 
     def __init__(self, requests: LedgerRequests) -> None:
         self._requests = requests
         self._tasks: set[asyncio.Task[None]] = set()
 
     def begin(self, key: str, attempt: str, timeout: float, done: LedgerCallback) -> None:
-        """Ask leave to run the request under ``key``."""
+        """Request a grant to run the request with ``key``."""
         requests = self._requests
 
         async def run() -> None:
@@ -29,13 +26,13 @@
         self._spawn(run())
 
     def cancel(self, key: str, attempt: str, timeout: float) -> None:
-        """Say that the attempt was never sent."""
+        """Cancel an attempt that was never sent."""
         self._spawn(_ignore(self._requests.cancel(key, attempt, timeout)))
 
     def complete(
         self, key: str, attempt: str, answer: Answered, *, timeout: float, done: LedgerCallback
     ) -> None:
-        """Record the whole answer of the attempt."""
+        """Record the complete answer of an attempt."""
         requests = self._requests
 
         async def run() -> None:
--- a/src/finchshed/daemon/serving/crash_detection.py
+++ b/src/finchshed/daemon/serving/crash_detection.py
@@ -1,8 +1,7 @@
-"""Finds out whether a back end ended when a request's connection to it broke.
+"""Tells a crash of the back end from a single broken connection.
 
-Single connections break for many reasons: a reset, an answer cut short, an idle one closed. A back
-end that ended takes no new connection. What it was running is kept until that is known. Relies on
-the client to the back end to try a connection.
+Connections break for many reasons, but a crashed back end also refuses new ones. Requests whose
+connection broke are held until a new connection has been tried.
 """
 
 import asyncio
@@ -12,26 +11,25 @@
 from finchshed.daemon.backend.client import BackendClient
 
 CORRELATION_WINDOW_SECONDS = 0.005
-"""Connections of one process that ended break within this time of each other; the look at the back
-end comes after it. A request whose connection broke is answered so much later. Seconds; chosen, not
-measured."""
+"""Window in which the connections of a crashed process break; the back end is checked at its end.
+Delays the outcome of every request whose connection broke."""
 
 
 @dataclass(frozen=True, slots=True)
 class InterruptedRequest:
-    """A request whose connection to the back end broke, and what goes on once it is known why."""
+    """A request whose connection broke, and the callback that continues it after the check."""
 
     signature: str
     on_checked: Callable[[], None]
 
 
 class CrashDetector:
-    """Collects broken runs and looks whether the back end is still there.
+    """Collects interrupted requests and checks whether the back end still accepts connections.
 
     Parameters
     ----------
     on_crash
-        Called with the instance that ended and the signatures of what broke with it.
+        Called with the crashed instance and the signatures of the requests it was running.
     """
 
     def __init__(self, backend: BackendClient, on_crash: Callable[[str, list[str]], None]) -> None:
@@ -41,7 +39,7 @@
         self._checks: set[asyncio.Task[None]] = set()
 
     def on_interrupted(self, instance: str, run: InterruptedRequest) -> None:
-        """Note a run whose connection broke; its ``then`` is called once, soon."""
+        """Add an interrupted request; its ``on_checked`` is called once, after the check."""
         collected = self._interrupted.get(instance)
         if collected is not None:
             collected.append(run)
--- a/src/finchshed/daemon/serving/gate_runner.py
+++ b/src/finchshed/daemon/serving/gate_runner.py
@@ -1,8 +1,4 @@
-"""Runs the gate of the back end: calls into it, its effects out of it, its clock.
-
-Owns the gate and the timer that looks after its queue. Relies on the thresholds that requests meet
-further down their path.
-"""
+"""Drives the admission gate of the back end: clock, timer and effects."""
 
 import asyncio
 import random
@@ -20,32 +16,31 @@
 from finchshed.runtime import clock
 
 TICK_SECONDS = 0.02
-"""Seconds between looks at deadlines in the queue and at the threshold, while there is a queue;
-chosen, not measured."""
+"""Interval at which queued deadlines and the admission threshold are re-evaluated."""
 
 INITIAL_SLOTS = 1
-"""Slots until the endpoint's declaration or the back end's registration names them; chosen, not
-measured."""
+"""Concurrency limit until the endpoint's declaration or the back end's registration sets it."""
 
 
 def threshold_rule_for(settings: DaemonSettings) -> ThresholdRule:
-    """Return which admission rule is in force at the gate.
+    """Return the rule that sets the admission threshold.
 
-    It follows from how the back end is known. The threshold by demand was compared and is measured
-    where back ends register, and estimates demand from admitted fractions, which calls further
-    down inherit only from requests by host (docs/design/compared-policies.md). Declared endpoints
-    keep the queue's threshold that they were measured with (docs/design/admission.md).
+    The demand-based rule needs admitted fractions, which calls inherit only from requests routed by
+    host, and so applies to registered back ends (docs/design/compared-policies.md). Declared
+    endpoints use the queue-based rule (docs/design/admission.md).
     """
     return ThresholdRule.BY_DEMAND if settings.registers_backend else ThresholdRule.BY_QUEUE
 
 
 class GateRunner:
-    """The gate, with the time and the event loop.
+    """Connects the gate to the clock and the event loop.
 
     Parameters
     ----------
+    paths
+        Admission thresholds of the services that requests call downstream.
     on_effect
-        Called with each effect, in order: which call starts, which is refused.
+        Called with each effect in order: a call starts or is refused.
     """
 
     def __init__(
@@ -63,32 +58,32 @@
 
     @property
     def running(self) -> int:
-        """Requests at the back end."""
+        """Number of requests running at the back end."""
         return self._gate.running
 
     def set_slots(self, slots: int) -> None:
-        """Take over a changed declaration or registration."""
+        """Set the concurrency limit of the back end."""
         self._gate.set_slots(slots)
 
     def load_report(self) -> LoadReport:
-        """Return the load, without whether the endpoint drains."""
+        """Return the load report, without the drain flag."""
         now = clock.now()
         return self._gate.load_report(now, self._paths.report(now))
 
-    def enter(self, work: InboundCall, now: float) -> None:
-        """Have a call started, queued or refused."""
-        path_threshold = self._paths.threshold(work.route, now)
-        work.context = with_admitted_fraction(work.context, path_threshold)
-        self._apply(self._gate.arrive(work.token, work.context, now, path_threshold))
+    def enter(self, inbound: InboundCall, now: float) -> None:
+        """Start, queue or refuse a call."""
+        path_threshold = self._paths.threshold(inbound.route, now)
+        inbound.context = with_admitted_fraction(inbound.context, path_threshold)
+        self._apply(self._gate.arrive(inbound.token, inbound.context, now, path_threshold))
         if self._gate.queued:
             self._schedule_tick()
 
     def cancel(self, token: int) -> None:
-        """Take a call out of the queue."""
+        """Remove a call from the queue."""
         self._apply(self._gate.cancel(token, clock.now()))
 
     def finish(self, token: int, result: CallResult) -> None:
-        """Free the slot of a call that was started; no effect where it is free already."""
+        """Release the slot of a started call, unless it was released before."""
         self._apply(self._gate.finish(token, result, clock.now()))
 
     def _apply(self, effects: list[GateEffect]) -> None:
@@ -96,7 +91,7 @@
             self._on_effect(effect)
 
     def _schedule_tick(self) -> None:
-        """Look after the queue and the threshold for as long as there is either."""
+        """Schedule the next tick, unless one is scheduled."""
         if self._tick_timer is None:
             loop = asyncio.get_running_loop()
             self._tick_timer = loop.call_later(TICK_SECONDS, self._on_tick)
--- a/src/finchshed/daemon/serving/inbound_call.py
+++ b/src/finchshed/daemon/serving/inbound_call.py
@@ -1,4 +1,4 @@
-"""One call from another daemon, on its way through the daemon beside the back end."""
+"""State of one call received from another daemon."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,13 +12,31 @@
 
 @dataclass(slots=True)
 class InboundCall:
-    """A call in progress. Times are monotonic seconds; ``started`` is 0 until it was sent.
+    """A call in progress. Times are in monotonic seconds.
 
-    ``context`` is what it is ranked by and what its own calls inherit. ``route`` is the prefix of
-    the route it falls under. ``opens_session``: its session was admitted with it, and
-    ends if it is refused. ``abandoned``: the caller has given up; what may not be
-    repeated and was sent is nevertheless run to its end, so that a resend gets its answer.
-    ``signature`` gives what is equal for all tries of the same work.
+    Attributes
+    ----------
+    token
+        Identifies the call at the gate and in the suspect queue.
+    context
+        Determines the call's admission rank and is inherited by the calls made for it.
+    route
+        Prefix of the matched route, or the route's name if it was matched by host.
+    repeatable
+        Whether it may run more than once.
+    opens_session
+        Whether it is the first call of its session, which ends if the call is refused.
+    abandoned
+        Whether the caller cancelled. A non-repeatable call that was already sent still runs to its
+        end, so that a resend gets its answer.
+    started
+        When it was sent to the back end; 0 before.
+    ledger_key
+        Key in the at-most-once ledger, for a non-repeatable call.
+    attempt
+        Identity of this attempt in the ledger.
+    signature
+        Computes the signature shared by all attempts of the same request.
     """
 
     token: int
@@ -43,5 +61,5 @@
 
     @property
     def is_by_host(self) -> bool:
-        """Whether the calling daemon took it under a route of its host."""
+        """Whether the calling daemon routed it by host."""
         return bool(self.call.route)
--- a/src/finchshed/daemon/serving/inbound_call_state.py
+++ b/src/finchshed/daemon/serving/inbound_call_state.py
@@ -1,10 +1,10 @@
-"""How far a call has come at the daemon beside the back end; pure, so that simulations use it."""
+"""Progress states of a call at the daemon that serves it; shared with the emulator."""
 
 import enum
 
 
 class InboundCallState(enum.Enum):
-    """How far a call has come."""
+    """Progress of a call."""
 
     QUEUED = "queued"
     ASKING_LEDGER = "asking_ledger"
--- a/src/finchshed/daemon/serving/ledger_port.py
+++ b/src/finchshed/daemon/serving/ledger_port.py
@@ -1,6 +1,6 @@
-"""What the daemon asks of the at-most-once ledger, and the keys and records it gives it.
+"""Interface to the at-most-once ledger, and the keys and answers stored in it.
 
-Pure but for the protocol; :mod:`control_ledger` carries it out over the connection to control.
+:mod:`control_ledger` implements it over the connection to control.
 """
 
 import uuid
@@ -22,39 +22,39 @@
     LedgerGranted | LedgerCompleted | LedgerUnknown | LedgerRefused | LedgerNoted
 )
 LedgerCallback: TypeAlias = Callable[[LedgerAnswer | None], None]
-"""Called once with the ledger's answer, or with None where none came in time."""
+"""Called once with the ledger's answer, or with None on timeout."""
 
 HEADER_FINGERPRINT = "finchshed-fingerprint"
-"""Kept with a stored answer: which request it answers."""
+"""Stored with an answer to identify the request it belongs to."""
 
 _TIMESTAMP_SHIFT = 80
-"""Bits of a UUID of version 7 below its time (RFC 9562, 5.7)."""
+"""Bits below the timestamp in a version 7 UUID (RFC 9562, 5.7)."""
 
 _RANDOM_MASK = (0xFFF << 64) | ((1 << 62) - 1)
-"""Its random bits, those of version and variant left out (the same)."""
+"""Random bits of a version 7 UUID, without the version and variant bits (RFC 9562, 5.7)."""
 
 
 class LedgerPort(Protocol):
-    """The way to the ledger."""
+    """Requests to the ledger."""
 
     def begin(self, key: str, attempt: str, timeout: float, done: LedgerCallback) -> None:
-        """Ask leave to run the request under ``key``."""
+        """Request a grant to run the request with ``key``."""
 
     def cancel(self, key: str, attempt: str, timeout: float) -> None:
-        """Say that the attempt was never sent."""
+        """Cancel an attempt that was never sent."""
 
     def complete(
         self, key: str, attempt: str, answer: Answered, *, timeout: float, done: LedgerCallback
     ) -> None:
-        """Record the whole answer of the attempt."""
+        """Record the complete answer of an attempt."""
 
 
 def scoped_key(key: str, service: str) -> str | None:
-    """Return the ledger's key for a caller's key at one service, or None if it is no UUID.
+    """Return the ledger key for a caller's key at one service, or None if it isn't a UUID.
 
-    A back end may pass the key it was given on to the services it calls; each of them runs its
-    own request. The time in the key (RFC 9562, version 7) is kept, its random part is replaced
-    by a hash of the whole key and the service.
+    A back end may forward its key to the services it calls, and each must run its own request. So
+    the random part is replaced by a hash of the key and the service; the timestamp (RFC 9562,
+    version 7) is kept.
     """
     try:
         value = uuid.UUID(key).int
@@ -65,20 +65,20 @@
 
 
 def fingerprint_of(method: str, path: str, body: bytes) -> str:
-    """Return what tells one request under a key from another."""
+    """Return a hash that detects reuse of a key for a different request."""
     digest = xxhash.xxh3_128(f"{method}\0{path}\0".encode())
     digest.update(body)
     return digest.hexdigest()
 
 
 def with_fingerprint(answer: Answered, fingerprint: str) -> Answered:
-    """Return ``answer`` as it is stored in the ledger."""
+    """Return ``answer`` in the form stored in the ledger."""
     headers = (*answer.headers, (HEADER_FINGERPRINT, fingerprint))
     return Answered(answer.status, headers, answer.body)
 
 
 def stored_answer(answer: Answered, fingerprint: str) -> Answered | None:
-    """Return a stored answer as it was given, or None if it answers another request."""
+    """Return the original of a stored answer, or None if it belongs to a different request."""
     stored = [value for name, value in answer.headers if name == HEADER_FINGERPRINT]
     if stored and stored[0] != fingerprint:
         return None
--- a/src/finchshed/daemon/serving/replies.py
+++ b/src/finchshed/daemon/serving/replies.py
@@ -1,4 +1,4 @@
-"""Sends the outcome of each call back on its link, with the load, and logs and counts it."""
+"""Sends, logs and counts the outcome of each call; replies carry the current load."""
 
 from collections.abc import Callable
 
@@ -20,16 +20,16 @@
 
 
 class ReplySender:
-    """Answers calls; who calls it sees to it that each is answered once.
+    """Sends replies. The caller must ensure that each call is answered once.
 
     Parameters
     ----------
     admission
-        Knows the instance that calls are served by.
+        Holds the back-end instance that serves calls.
     gate
-        Gives the load.
+        Supplies the load report.
     revision
-        Returns the revision in force.
+        Returns the active configuration revision.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._revision = revision
 
     def load_report(self) -> LoadReport:
-        """Return the load that is reported to callers."""
+        """Return the load report for callers."""
         report = self._gate.load_report()
         if self._drain.is_announced:
             return msgspec.structs.replace(report, draining=True)
@@ -58,15 +58,20 @@
         """Answer a call that was not admitted."""
         self._send(link, call, refused, call.context.spare_attempts, self.load_report())
 
-    def reply(self, work: InboundCall, outcome: Outcome, spare: int) -> None:
-        """Answer an admitted call; ``spare`` are the spare attempts that are left of it."""
+    def reply(self, inbound: InboundCall, outcome: Outcome, spare: int) -> None:
+        """Answer an admitted call; ``spare`` is the number of its unused retries."""
         load = self.load_report()
-        signature = work.signature() if includes_signature(outcome) else ""
+        signature = inbound.signature() if includes_signature(outcome) else ""
         log_call(
-            work, outcome, self._admission.instance, load, self._gate.running, signature=signature
+            inbound,
+            outcome,
+            self._admission.instance,
+            load,
+            self._gate.running,
+            signature=signature,
         )
-        record = self._quarantine.crash_record(work.signature)
-        self._send(work.link, work.call, outcome, spare, load, crash_record=record)
+        record = self._quarantine.crash_record(inbound.signature)
+        self._send(inbound.link, inbound.call, outcome, spare, load, crash_record=record)
 
     def _send(
         self,
--- a/src/finchshed/daemon/serving/served_requests.py
+++ b/src/finchshed/daemon/serving/served_requests.py
@@ -1,8 +1,8 @@
-"""Requests the local back end is serving, by the account identity it was given.
+"""Requests the local back end is serving, keyed by retry account.
 
-A back end that calls on copies ``finchshed-account`` to its own requests. The daemon then knows
-the context of the request being served, and does not depend on what the back end says of it. Owns
-those contexts and the retry accounts; relies on the callee to close each of them.
+The back end copies the ``finchshed-account`` header to the calls it makes for a request. The daemon
+looks up the parent request's context by it, instead of trusting headers set by the back end. The
+callee must close every account it opens.
 """
 
 import secrets
@@ -13,14 +13,19 @@
 from finchshed.retry.account import RetryAccounts
 
 _ACCOUNT_PREFIX_BYTES = 6
-"""Random bytes in the accounts of one start: a late back end's account of another start isn't
-known."""
+"""Random bytes that prefix all accounts of one daemon process, so that accounts issued before a
+restart are not recognized."""
 
 
 class ServedRequest(msgspec.Struct, frozen=True):
-    """One request the back end is serving. ``deadline`` is in monotonic seconds.
-
-    ``identity`` is that of a request taken by host, as its caller gave it.
+    """One request the back end is serving.
+
+    Attributes
+    ----------
+    deadline
+        Monotonic seconds.
+    identity
+        Request ID set by the caller, for a request routed by host; empty otherwise.
     """
 
     account: str
@@ -43,7 +48,7 @@
         return len(self._served)
 
     def open(self, context: CallContext, deadline: float, identity: str = "") -> ServedRequest:
-        """Open an account with the spare attempts that ``context`` brings."""
+        """Open an account with the retry budget in ``context``."""
         self._next += 1
         account = f"{self._prefix}-{self._next}"
         served = ServedRequest(account, context, deadline, identity)
@@ -54,35 +59,35 @@
         return served
 
     def get(self, account: str) -> ServedRequest | None:
-        """Return the request of an account, if it is still being served."""
+        """Return the request with this account, or None if it isn't being served."""
         return self._served.get(account)
 
     def get_by_identity(self, identity: str) -> ServedRequest | None:
-        """Return the request that its caller gave this identity, if it is being served."""
+        """Return the request with this request ID, or None if it isn't being served."""
         return self._by_identity.get(identity)
 
     def has_failed_call(self, account: str) -> bool:
-        """Return whether a call made for the request was not answered."""
+        """Return whether a call made for the request failed."""
         return self._accounts.has_failed_call(account)
 
     def lend(self, account: str) -> int:
-        """Lend spare attempts to one call of the request."""
+        """Lend retries to one call of the request; return how many."""
         return self._accounts.lend(account)
 
     def give_back(self, account: str, lent: int, spare_attempts: int) -> None:
-        """Take back what a call did not spend."""
+        """Return the unused part of ``lent`` retries to the account."""
         self._accounts.give_back(account, lent, spare_attempts)
 
     def on_call_failed(self, account: str, call: str) -> None:
-        """Note that a call made for the request was not answered."""
+        """Record that a call made for the request failed."""
         self._accounts.on_call_failed(account, call)
 
     def is_repeat(self, account: str, call: str) -> bool:
-        """Return whether the back end makes a call again after it failed."""
+        """Return whether the call is a retry, by the back end, of one that failed."""
         return self._accounts.is_repeat(account, call)
 
     def close(self, account: str) -> int:
-        """End the request; return the spare attempts that are left."""
+        """Close the account; return its unused retries."""
         served = self._served.pop(account, None)
         if served is not None and self._by_identity.get(served.identity) is served:
             del self._by_identity[served.identity]
--- a/src/finchshed/daemon/serving/suspect_queue.py
+++ b/src/finchshed/daemon/serving/suspect_queue.py
@@ -1,18 +1,18 @@
-"""Lets one suspect at a time run beside requests that are in no doubt.
+"""Serializes suspect requests: those that were running when a back end crashed.
 
-Owns who runs and who waits. Relies on the callee to report every suspect that leaves.
+At most one of them runs at a back end at a time, so that a further crash identifies its cause. The
+callee must report every suspect that leaves.
 """
 
 import enum
 from collections import deque
 
 MAX_WAITING_SUSPECTS = 4
-"""Suspects that wait for their turn; each waits for as many runs at most. Others are refused and
-told when to come back. Chosen, not measured."""
+"""Maximum queue length; bounds the wait of a suspect to as many runs. Further ones are refused."""
 
 
 class SuspectDecision(enum.Enum):
-    """What becomes of a suspect that came in."""
+    """Decision about an arriving suspect."""
 
     RUNS = "runs"
     WAITS = "waits"
@@ -20,14 +20,14 @@
 
 
 class SuspectQueue:
-    """Suspects at one back end, by the tokens of their work."""
+    """Suspects at one back end, identified by the tokens of their calls."""
 
     def __init__(self) -> None:
         self._running: int | None = None
         self._waiting: deque[int] = deque()
 
     def enter(self, token: int) -> SuspectDecision:
-        """Judge a suspect that came in."""
+        """Start, queue or refuse an arriving suspect."""
         if self._running is None:
             self._running = token
             return SuspectDecision.RUNS
@@ -37,11 +37,11 @@
         return SuspectDecision.WAITS
 
     def is_waiting(self, token: int) -> bool:
-        """Return whether a suspect still waits for its turn."""
+        """Return whether a suspect is still queued."""
         return token in self._waiting
 
     def leave(self, token: int) -> int | None:
-        """Take a suspect out; return the token of the one whose turn has come, if any."""
+        """Remove a suspect; return the token of the next one to run, or None."""
         if token != self._running:
             if token in self._waiting:
                 self._waiting.remove(token)
