--- a/src/finchshed/daemon/backend/__init__.py
+++ b/src/finchshed/daemon/backend/__init__.py
@@ -1,1 +1,1 @@
-"""The back end beside the daemon: the HTTP client to it, its health and its registration."""
+"""The local back end: HTTP client, health monitor and registration."""
--- a/src/finchshed/daemon/backend/answer_reader.py
+++ b/src/finchshed/daemon/backend/answer_reader.py
@@ -1,6 +1,6 @@
-"""What the head of a back end's answer says of it: whose it is, whether it ran, whether it drains.
+"""Interprets the status and headers of a back end's answer.
 
-Owns nothing; relies on the names of headers that the deployment uses.
+They show which request it answers, whether that ran, and whether the back end is draining.
 """
 
 from collections.abc import Sequence
@@ -26,7 +26,7 @@
 
 
 class AnswerReader:
-    """Judges answers by the names of headers that a deployment uses."""
+    """Validates and converts answers, given the deployment's header names."""
 
     def __init__(self, names: HeaderNames) -> None:
         self._request = names.request.encode("ascii")
@@ -40,13 +40,13 @@
         raw_headers: Sequence[tuple[bytes, bytes]],
         body: bytes,
     ) -> BackendAnswer | BackendBroken:
-        """Return the answer, or why it can't be taken for the one to ``request``."""
+        """Return the answer, or the reason why it isn't a valid answer to ``request``."""
         headers_by_name = dict(raw_headers)
         if not self._answers_request(request, headers_by_name):
-            return BackendBroken("the answer is another request's")
+            return BackendBroken("the answer belongs to another request")
         is_success = STATUS_OK <= status < STATUS_MULTIPLE_CHOICES
         if request.request_id and self._seal and is_success and self._seal not in headers_by_name:
-            return BackendBroken("the answer lacks the back end's seal")
+            return BackendBroken(f"the answer lacks the header {self._seal.decode('ascii')}")
         return BackendAnswer(
             status=status,
             headers=end_to_end_headers(raw_headers),
@@ -71,7 +71,7 @@
 
 
 def parse_slots(load: str) -> int:
-    """Return the slots in a load header, ``running,waiting,slots``; 0 where it holds none."""
+    """Return the slots in a load header, ``running,waiting,slots``; 0 if it is malformed."""
     parts = load.split(",")
     if len(parts) != LOAD_HEADER_FIELDS or not parts[-1].strip().isdecimal():
         return 0
--- a/src/finchshed/daemon/backend/client.py
+++ b/src/finchshed/daemon/backend/client.py
@@ -1,8 +1,7 @@
-"""What a client to the back end is asked, and the one value each request ends in.
+"""Interface of the client of the back end; implemented over HTTP by :mod:`http_client`.
 
-Each request ends in exactly one value: a whole answer, or the reason there is none. Only a
-connection that could not be opened is known not to have run anything. Types alone: the client over
-HTTP is :mod:`http_client`.
+Each request ends in exactly one result: a complete answer, or the reason there is none. Only
+:class:`BackendUnreached` guarantees that the request did not run.
 """
 
 from collections.abc import Callable
@@ -14,10 +13,18 @@
 
 
 class BackendAnswer(msgspec.Struct, frozen=True):
-    """A whole answer. ``ran`` is False where the back end says that it refused before running.
-
-    ``headers`` are those passed on; ``draining``: the back end announced its drain.
-    ``has_length`` is False where it lacked a length and ended with its connection.
+    """A complete answer.
+
+    Attributes
+    ----------
+    headers
+        End-to-end headers.
+    ran
+        False if the back end states that it refused the request without running it.
+    draining
+        Whether the back end announced that it is draining.
+    has_length
+        False if the body was delimited by the end of the connection.
     """
 
     status: int
@@ -29,32 +36,36 @@
 
 
 class BackendUnreached(msgspec.Struct, frozen=True):
-    """Nothing was sent. ``is_refused``: no connection to the back end can be opened."""
+    """The request was not sent; ``is_refused`` if no connection could be opened."""
 
     detail: str
     is_refused: bool = False
 
 
 class BackendBroken(msgspec.Struct, frozen=True):
-    """The request was sent, and the connection ended before the whole answer."""
+    """The request was sent, but no complete and valid answer was received."""
 
     detail: str
 
 
 class BackendTimedOut(msgspec.Struct, frozen=True):
-    """The request was sent, and its time was up before the whole answer."""
+    """The request was sent, but timed out before the complete answer."""
 
 
 class BackendAnswerTooLarge(msgspec.Struct, frozen=True):
-    """The answer is larger than may be spooled."""
+    """The answer exceeds ``max_answer_bytes``."""
 
 
 class BackendRequest(msgspec.Struct, frozen=True):
-    """A request to the back end, and the bounds of its answer.
-
-    ``account`` identifies it; an answer that carries another one is not its answer. A back end
-    that copies the header shows by it whose answer it gives (see docs/design/whole-answers.md).
-    ``request_id`` is the same for a request that was taken by host, empty for others.
+    """A request to the back end, with the limits of its answer.
+
+    Attributes
+    ----------
+    account
+        Retry account sent with the request. An answer that echoes a different one belongs to
+        another request and is rejected (docs/design/whole-answers.md).
+    request_id
+        Serves the same purpose for a request routed by host; empty otherwise.
     """
 
     method: str
@@ -74,18 +85,19 @@
 
 
 class BackendClient(Protocol):
-    """A client to the back end."""
+    """A client of the back end."""
 
     def send(
         self, request: BackendRequest, on_result: Callable[[BackendResult], None]
     ) -> Callable[[], object]:
-        """Send a request; ``on_result`` is called at most once, later. Return what cancels it.
+        """Send a request; return a function that cancels it.
 
-        Cancelling closes the connection the request was sent on; ``on_result`` is then not called.
+        ``on_result`` is called at most once, never before this method returns. Cancelling closes
+        the request's connection, and ``on_result`` is not called.
         """
 
     async def refuses_connections(self) -> bool:
-        """Return whether nothing listens at the address any more."""
+        """Return whether the address refuses connections."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
--- a/src/finchshed/daemon/backend/connection.py
+++ b/src/finchshed/daemon/backend/connection.py
@@ -1,9 +1,7 @@
-"""One HTTP/1.1 connection to the back end; parsing is httptools' (llhttp).
+"""One HTTP/1.1 connection to the back end, parsed by httptools (llhttp).
 
-A connection carries one request at a time and is given up on anything that leaves doubt about
-whose answer comes next: a byte that nobody asked for, an error of the parser, a cut answer, a
-request that was cancelled. Owns its transport; relies on the answer reader to judge whose answer it
-is.
+A connection carries one request at a time. It is closed whenever the next answer might belong to an
+earlier request: after unexpected bytes, a parser error, a truncated answer or a cancelled request.
 """
 
 import asyncio
@@ -26,14 +24,14 @@
 from finchshed.http.status import STATUS_OK
 
 MAX_HEAD_BYTES = 65_536
-"""Longest head of an answer that is read; chosen, not measured."""
+"""Maximum size of an answer's status line and headers."""
 
 KEEP_ALIVE = b"keep-alive"
 TIMEOUT_PARAMETER = re.compile(rb"timeout=(\d+)")
 
 
 class ConnectionState(enum.Enum):
-    """What a connection is doing."""
+    """State of a connection."""
 
     IDLE = "idle"
     AWAITING_ANSWER = "awaiting_answer"
@@ -41,16 +39,23 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """A connection that is used for one request after the other.
+    """A persistent connection for consecutive requests.
 
     Parameters
     ----------
     reader
-        Judges the answers.
+        Converts and validates answers.
     on_idle
         Called when the connection can carry another request.
     on_closed
-        Called when it can't any more.
+        Called when it is closed.
+
+    Attributes
+    ----------
+    idle_since
+        When it last became idle, in monotonic seconds; set by the pool.
+    keep_alive_seconds
+        Idle timeout announced by the back end, or None.
     """
 
     def __init__(
@@ -92,18 +97,18 @@
         self._transport.write(message)
 
     def abort(self) -> None:
-        """Close at once. The result of a request in progress is not passed on."""
+        """Close immediately, without reporting a result for a request in progress."""
         self._on_result = None
         self._close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport (asyncio callback)."""
         self._transport = cast(asyncio.Transport, transport)
-        # Requests go out at once, not at the end of the loop's round.
+        # Writes go out immediately rather than at the end of the event loop's iteration.
         self._transport.set_write_buffer_limits(high=0)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came in (asyncio callback)."""
+        """Parse received bytes (asyncio callback)."""
         if self.state is not ConnectionState.AWAITING_ANSWER:
             self._close()
             return
@@ -118,7 +123,7 @@
                 return
             self._is_unusable = True
         if self._is_complete:
-            # What followed in the same bytes decides whether the connection can be used again.
+            # Checked after the whole chunk, since surplus bytes make the connection unusable.
             answer = self._answer()
             self._release()
             self._finish(answer)
@@ -129,7 +134,7 @@
             self._fail("head too large")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Judge what the end of the connection means (asyncio callback)."""
+        """End the answer: complete if delimited by the connection's end (asyncio callback)."""
         is_whole = exc is None and self._is_past_head and self._ends_with_connection
         if self.state is ConnectionState.AWAITING_ANSWER and is_whole:
             self._finish(self._answer())
@@ -140,12 +145,12 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Note a second answer to one request."""
+        """Detect a second answer to the same request."""
         if self._is_complete:
             self._is_unusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         if self._is_complete:
             return
         name = name.lower()
@@ -154,7 +159,7 @@
             self._has_length = True
 
     def on_headers_complete(self) -> None:
-        """Read the status; an interim answer (1xx) is skipped."""
+        """Store the status, unless the answer is interim (1xx)."""
         if self._is_complete:
             return
         self._status = self._parser.get_status_code()
@@ -167,7 +172,7 @@
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body within its limit."""
+        """Store a part of the body, up to the size limit."""
         if self._is_complete or self._is_too_large:
             return
         self._body_size += len(body)
@@ -177,7 +182,7 @@
             self._is_too_large = True
 
     def on_message_complete(self) -> None:
-        """End the answer, or skip an interim one."""
+        """Complete the answer, or discard an interim one (1xx)."""
         if self._status < STATUS_OK:
             self._raw_headers.clear()
             self._has_length = False
@@ -201,7 +206,7 @@
 
     def _complete(self) -> None:
         self._is_complete = True
-        # Past the parser's callback this no longer says it of the answer that has just ended.
+        # Valid only within the parser's callback for this answer.
         self._keeps_alive = self._parser.should_keep_alive()
 
     def _release(self) -> None:
@@ -225,7 +230,7 @@
         return answer
 
     def _note_keep_alive(self) -> None:
-        """Note the time the back end says it keeps an idle connection for."""
+        """Store the idle timeout from the ``Keep-Alive`` header."""
         for name, value in self._raw_headers:
             if name == KEEP_ALIVE and (found := TIMEOUT_PARAMETER.search(value)):
                 self.keep_alive_seconds = float(found.group(1))
--- a/src/finchshed/daemon/backend/health.py
+++ b/src/finchshed/daemon/backend/health.py
@@ -1,9 +1,7 @@
-"""Monitors whether the back end is draining, and whether one that drained has returned.
+"""Monitors whether the back end is draining, and whether it has returned afterwards.
 
-A back end says that it is draining on its answers. One that gives none, as no calls reach it, is
-asked: its ``/health`` may lag or mislead, so it counts only as a hint that carries the sign of
-draining, only while no answer says otherwise, and never as a proof that all is well. Owns what is
-known of one back end; relies on the client to ask it.
+Back ends announce a drain in their answers. An idle back end is polled at ``/health`` instead.
+Since that may be outdated, only its drain flag is used, and only if no answer arrived meanwhile.
 """
 
 import asyncio
@@ -20,18 +18,17 @@
 
 HEALTH_PATH = "/health"
 IDLE_POLL_SECONDS = 0.5
-"""A back end is asked after one whole such time, seconds, without an answer: callers must be told
-of a back end that drains within 2 s, and this makes it at most two such times and the check."""
+"""A back end is polled after a full interval without an answer. Two intervals and
+``CHECK_TIMEOUT_SECONDS`` must not exceed 2 s, within which callers must learn of a drain."""
 
 RETURN_POLL_SECONDS = 0.25
-"""Seconds between checks of a back end that drains: so late at most it gets work again; chosen, not
-measured."""
+"""Polling interval while the back end is draining; bounds the delay after its return."""
 
 CHECK_TIMEOUT_SECONDS = 1.0
-"""Longest wait for the answer to a check, seconds: with two polls it keeps the 2 s above."""
+"""Timeout of a health check."""
 
 MAX_HEALTH_BYTES = 65_536
-"""Largest answer to a check; chosen, not measured."""
+"""Maximum size of the answer to a health check."""
 
 
 class BackendHealthMonitor:
@@ -40,11 +37,11 @@
     Parameters
     ----------
     backend
-        Client to the back end.
+        Client of the back end.
     on_draining
-        Called when the back end is found to be draining.
+        Called when the back end starts draining.
     on_returned
-        Called when a back end that was draining takes work again.
+        Called when a draining back end accepts calls again.
     """
 
     def __init__(
@@ -61,19 +58,19 @@
         self._has_answered = False
 
     def on_answer(self, answer: BackendAnswer) -> None:
-        """Note an answer to a call."""
+        """Process an answer to a call."""
         self._has_answered = True
         if answer.draining:
             self._mark_draining()
 
     async def run(self) -> None:
-        """Look regularly, for as long as the daemon runs."""
+        """Poll until cancelled."""
         while True:
             await asyncio.sleep(RETURN_POLL_SECONDS if self.is_draining else IDLE_POLL_SECONDS)
             await self.poll()
 
     async def poll(self) -> None:
-        """Look once for what the back end does not say by itself."""
+        """Poll the back end once, if its answers don't show its state."""
         if self.is_draining:
             await self._poll_for_return()
         elif self._has_answered:
@@ -83,7 +80,7 @@
 
     async def _poll_for_draining(self) -> None:
         result = await check_health(self._backend)
-        # An answer that came meanwhile says it more surely.
+        # An answer that arrived during the check is more reliable.
         if isinstance(result, BackendAnswer) and result.draining and not self._has_answered:
             self._mark_draining()
 
@@ -103,7 +100,7 @@
 
 
 async def check_health(backend: BackendClient, path: str = HEALTH_PATH) -> BackendResult:
-    """Return what the back end answers to a check of its health."""
+    """Return the result of a health check."""
     ended: asyncio.Future[BackendResult] = asyncio.get_running_loop().create_future()
     request = BackendRequest(
         method="GET",
--- a/src/finchshed/daemon/backend/http_client.py
+++ b/src/finchshed/daemon/backend/http_client.py
@@ -1,7 +1,4 @@
-"""The client to the back end: a pool of connections, one request on each at a time.
-
-Owns the connections, idle and in use. Relies on each of them to say when it can be used again.
-"""
+"""HTTP client of the back end: a pool of connections without pipelining."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,24 +18,20 @@
 from finchshed.runtime import clock
 
 MAX_IDLE_SECONDS = 15.0
-"""Seconds: a connection unused for this long is not used again, as the back end may be closing it;
-chosen, not measured."""
+"""Connections idle for longer are not reused, because the back end may be closing them."""
 
 MAX_IDLE_SECONDS_UNREPEATABLE = 1.0
-"""The same, seconds, for requests that may not be repeated, where such a race leaves the outcome
-unknown; chosen, not measured."""
+"""The same for non-repeatable requests, whose outcome would be unknown after such a race."""
 
 KEEP_ALIVE_FRACTION = 0.7
-"""Part of the time a back end says it keeps an idle connection for, in which it is used;
-chosen, not measured."""
+"""Fraction of the back end's announced idle timeout during which a connection is reused."""
 
 CLOSE_CHECKS = 3
-"""Looks at the connections after one broke. Those still open after the last one show that the back
-end is there: no new one is opened, where a faulty back end breaks off single answers. Chosen, not
-measured."""
+"""How often the pool is checked after a connection broke, before opening a new one to test whether
+the back end crashed. Connections still open after the last check show that it didn't."""
 
 CLOSE_CHECK_INTERVAL_SECONDS = 0.005
-"""Seconds between those looks; chosen, not measured."""
+"""Interval between those checks."""
 
 METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
 
@@ -51,17 +44,16 @@
     address
         ``a.b.c.d:port`` of the back end.
     max_connections
-        Connections kept at a time; a request past them is not sent.
+        Pool size; a request that needs a further connection fails as not sent.
     connect_timeout_seconds
-        Time to open a connection.
+        Timeout for opening a connection.
     names
-        Names of the headers the back end gives.
+        Header names used by the back end.
 
     Attributes
     ----------
     loop
-        The loop it was made on; kept for the reason given in
-        :mod:`finchshed.daemon.calling.daemon_links`.
+        Cached event loop; see :class:`finchshed.daemon.calling.daemon_links.DaemonLinks`.
     """
 
     def __init__(
@@ -86,19 +78,24 @@
 
     @property
     def connections(self) -> int:
-        """Connections open or being opened."""
+        """Number of connections open or being opened."""
         return len(self._open) + self._connecting
 
     def send(
         self, request: BackendRequest, on_result: Callable[[BackendResult], None]
     ) -> Callable[[], object]:
-        """Send a request; ``on_result`` is called at most once, later. Return what cancels it."""
+        """Send a request; return a function that cancels it.
+
+        ``on_result`` is called at most once, never before this method returns.
+        """
         exchange = BackendExchange(self, request, on_result)
         connection = self._take_idle(request.is_repeatable)
         if connection is not None:
             exchange.send_on(connection)
         elif self.connections >= self._max_connections:
-            exchange.fail_later(BackendUnreached("no connection is free"))
+            exchange.fail_later(
+                BackendUnreached(f"all {self._max_connections} connections are in use")
+            )
         else:
             self._connecting += 1
             task = self.loop.create_task(self._connect(exchange))
@@ -107,11 +104,11 @@
         return exchange.cancel
 
     def encode(self, request: BackendRequest) -> bytes | None:
-        """Return the bytes of a request, or None where they would say something else."""
+        """Return the encoded request, or None if a field contains a line break or NUL."""
         return encode_request(request, self._address)
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         for connection in list(self._open):
             connection.abort()
 
@@ -125,7 +122,7 @@
             allowed = min(allowed, connection.keep_alive_seconds * KEEP_ALIVE_FRACTION)
         if connection.idle_since >= clock.now() - allowed:
             return connection
-        # It was used last, so every other one has been idle for longer still.
+        # The most recently used connection is too old, so all others are as well.
         idle.append(connection)
         if is_repeatable:
             for old in list(idle):
@@ -133,10 +130,10 @@
         return None
 
     async def refuses_connections(self) -> bool:
-        """Return whether nothing listens any more, by a new connection if none is open.
+        """Return whether the back end refuses a new connection; False while any is open.
 
-        A process that ended takes all its connections with it, but the loop may hear of some of
-        them a little later.
+        All connections of a crashed process break, but the event loop may report some of them
+        slightly later.
         """
         for _ in range(CLOSE_CHECKS):
             if not self._open:
@@ -150,7 +147,7 @@
         except ConnectionRefusedError:
             return True
         except (OSError, TimeoutError) as error:
-            logger.info("whether the back end ended is unknown, no connection: {!r}", error)
+            logger.info("can't tell whether the back end crashed; connecting failed: {!r}", error)
         return False
 
     async def _connect(self, exchange: "BackendExchange") -> None:
@@ -165,7 +162,7 @@
             exchange.send_on(connection)
 
     async def _open_connection(self) -> BackendConnection:
-        """Open a connection that was counted as being opened before."""
+        """Open a connection; the caller must have incremented ``_connecting``."""
         try:
             async with asyncio.timeout(self._connect_timeout_seconds):
                 _, connection = await self.loop.create_connection(
@@ -189,7 +186,7 @@
 
 
 class BackendExchange:
-    """One request and its result."""
+    """One request in progress, with its timeout and its result callback."""
 
     def __init__(
         self,
@@ -209,32 +206,36 @@
         message = self._backend.encode(self._request)
         if message is None or connection.state is not ConnectionState.IDLE:
             connection.abort()
-            detail = "malformed header" if message is None else "connection closed before the send"
+            detail = (
+                "line break or NUL in the request head"
+                if message is None
+                else "connection closed before the send"
+            )
             self.fail_later(BackendUnreached(detail))
             return
         self._connection = connection
         connection.send(message, self._request, self.finish)
 
     def fail_later(self, result: BackendResult) -> None:
-        """Pass ``result`` on once the caller of :meth:`HttpBackend.send` has returned."""
+        """Report ``result`` in the next iteration of the event loop."""
         self._backend.loop.call_soon(self.finish, result)
 
     def cancel(self) -> None:
-        """Give the request up; its connection is closed and no result is passed on."""
+        """Cancel the request: close its connection and report no result."""
         if not self._mark_over():
             return
         if self._connection is not None:
             self._connection.abort()
 
     def finish(self, result: BackendResult) -> None:
-        """Pass the result on."""
+        """Report the result, unless the request is over."""
         if self._mark_over():
             self._on_result(result)
 
     def _on_timeout(self) -> None:
         connection = self._connection
         if connection is None:
-            self.finish(BackendUnreached("no time left to send"))
+            self.finish(BackendUnreached("timed out before the send"))
             return
         self.finish(BackendTimedOut())
         connection.abort()
@@ -248,7 +249,7 @@
 
 
 def encode_request(request: BackendRequest, host: str) -> bytes | None:
-    """Return the bytes of ``request``, or None if a field holds a line break."""
+    """Return the encoded request, or None if a field contains a line break or NUL."""
     headers: Headers = request.headers
     lines = [f"{request.method} {request.path} HTTP/1.1"]
     if not headers or headers[0][0] != "host":
--- a/src/finchshed/daemon/backend/registration.py
+++ b/src/finchshed/daemon/backend/registration.py
@@ -1,8 +1,7 @@
-"""The back end beside this daemon, where it says by heartbeats who it is.
+"""Registration of the local back end, which identifies itself by heartbeats.
 
-Carries out what the registrar decides: the daemon takes work for the back end or turns it away, its
-callers are told on their links, and control passes the registration on to everybody else. Owns the
-registration; relies on the drain state to refuse calls while no instance is ready.
+Applies the registrar's decisions: the daemon accepts or refuses calls, callers are notified on
+their links, and control distributes the registration to the other daemons.
 """
 
 from loguru import logger
@@ -29,14 +28,14 @@
 
 
 class RegisteredBackend:
-    """Keeps the daemon in step with its back end.
+    """Applies changes of the back end's registration to the daemon.
 
     Parameters
     ----------
     registrar
-        Decides.
+        State machine of the registration.
     drain
-        Holds whether an instance is ready, as one of its signs; starts with none.
+        Drain state; includes whether an instance is ready.
     """
 
     def __init__(
@@ -67,28 +66,28 @@
 
     @property
     def registration(self) -> Registration:
-        """What everybody else is told of the back end."""
+        """The registration distributed to other daemons."""
         return self._registrar.registration
 
     def on_heartbeat(self, heartbeat: BackendHeartbeat) -> None:
-        """Act on a heartbeat; what it changes is in force on return."""
+        """Process a heartbeat; changes are applied on return."""
         if self._registrar.on_heartbeat(heartbeat, clock.now()):
             self._apply()
 
     def on_leave(self, instance: str) -> None:
-        """Act on an instance's word that it leaves; it is in force on return."""
+        """Process an instance's notice that it is shutting down; applied on return."""
         if self._registrar.on_leave(instance):
             self._apply()
 
     def on_own_registration(self, registration: Registration) -> None:
-        """Compare with what others hold of this daemon's back end."""
+        """Compare with the registration held by control; announce again if that is outdated."""
         if self._registrar.on_own_registration(registration):
             self._client.announce()
 
     async def identify(self, service: str, health_path: str) -> None:
-        """Ask the back end who it is, unless a heartbeat has said so already.
+        """Identify the back end by a health check, unless a heartbeat has done so.
 
-        A daemon that was restarted need not wait for the next heartbeat to take work for it.
+        Lets a restarted daemon accept calls before the next heartbeat.
         """
         if self.registration.instance or not service:
             return
@@ -104,7 +103,7 @@
             self._apply()
 
     def tick(self) -> None:
-        """Look for a back end that fell silent."""
+        """Detect missed heartbeats."""
         if self._registrar.tick(clock.now()):
             self._apply()
 
--- a/src/finchshed/daemon/backend/request.py
+++ b/src/finchshed/daemon/backend/request.py
@@ -1,7 +1,6 @@
-"""What the daemon sends the back end with a call, and what the back end's result means. Pure.
+"""Converts calls into back-end requests, and back-end results into outcomes.
 
-Here a result becomes an outcome: refused where it is known not to have run, failed where it may
-have.
+A result becomes a refusal if the request certainly did not run, and a failure if it may have.
 """
 
 import msgspec
@@ -38,12 +37,12 @@
 from finchshed.daemon.serving.inbound_call import InboundCall
 
 
-def service_headers(work: InboundCall, remaining: float) -> Headers:
-    """Return the headers of the request to the back end, with ``remaining`` seconds left."""
-    context = work.call.context
-    account = work.served.account if work.served is not None else ""
+def service_headers(inbound: InboundCall, remaining: float) -> Headers:
+    """Return the headers of a request routed by service, with ``remaining`` seconds left."""
+    context = inbound.call.context
+    account = inbound.served.account if inbound.served is not None else ""
     headers = [
-        *work.call.headers,
+        *inbound.call.headers,
         (HEADER_ROOT, context.root),
         (HEADER_ACCOUNT, account),
         (HEADER_DEADLINE, str(max(0, int(remaining * 1000)))),
@@ -58,37 +57,39 @@
     return tuple(headers)
 
 
-def host_headers(work: InboundCall, remaining: float, names: HeaderNames, instance: str) -> Headers:
-    """Return the headers of a request that was taken by host, meant for ``instance`` alone."""
-    headers = (*work.call.headers, (names.deadline, str(max(0, int(remaining * 1000)))))
+def host_headers(
+    inbound: InboundCall, remaining: float, names: HeaderNames, instance: str
+) -> Headers:
+    """Return the headers of a request routed by host, which only ``instance`` may run."""
+    headers = (*inbound.call.headers, (names.deadline, str(max(0, int(remaining * 1000)))))
     return (*headers, (names.expected_instance, instance)) if instance else headers
 
 
 def backend_request(
-    work: InboundCall, remaining: float, names: HeaderNames, instance: str
+    inbound: InboundCall, remaining: float, names: HeaderNames, instance: str
 ) -> BackendRequest:
-    """Return the request to the back end's start ``instance``, with ``remaining`` seconds left."""
-    call = work.call
-    account = work.served.account if work.served is not None else ""
-    if work.is_by_host:
-        headers = host_headers(work, remaining, names, instance)
+    """Return the request to back-end instance ``instance``, with ``remaining`` seconds left."""
+    call = inbound.call
+    account = inbound.served.account if inbound.served is not None else ""
+    if inbound.is_by_host:
+        headers = host_headers(inbound, remaining, names, instance)
     else:
-        headers = service_headers(work, remaining)
+        headers = service_headers(inbound, remaining)
     return BackendRequest(
         method=call.method,
         path=call.path,
         headers=headers,
         body=call.body,
         timeout_seconds=remaining,
-        max_answer_bytes=work.max_body_bytes,
-        is_repeatable=work.repeatable,
-        account="" if work.is_by_host else account,
+        max_answer_bytes=inbound.max_body_bytes,
+        is_repeatable=inbound.repeatable,
+        account="" if inbound.is_by_host else account,
         request_id=call.identity,
     )
 
 
 def outcome_from_result(result: BackendResult, wait: float) -> Outcome:
-    """Return the outcome that a result means; ``wait`` is when to come back, seconds."""
+    """Return the outcome of a result; ``wait`` is the retry delay in seconds."""
     if isinstance(result, BackendAnswer):
         if result.ran:
             return Answered(result.status, result.headers, result.body, result.has_length)
@@ -103,7 +104,7 @@
 
 
 def with_downstream_failure(outcome: Outcome, has_failed_call: bool) -> Outcome:
-    """Return ``outcome`` marked where a server error came of a call that was not answered."""
+    """Return ``outcome``, marked if it is a server error and a call made for it failed."""
     if not has_failed_call or not isinstance(outcome, Answered) or outcome.status < SERVER_ERROR:
         return outcome
     headers = (*outcome.headers, (HEADER_DOWNSTREAM, "1"))
--- a/src/finchshed/daemon/backend/return_detection.py
+++ b/src/finchshed/daemon/backend/return_detection.py
@@ -1,29 +1,25 @@
-"""Decides whether a back end that said that it is draining has returned.
+"""Decides when a draining back end accepts calls again, from its health checks.
 
-The daemon stays when its back end is restarted, so it must find out when to take work again. The
-back end's ``/health`` may lag or mislead: a good answer counts at once only if the back end was
-seen gone before, since then another process answers; a back end that was never seen gone must say
-for a while that it is well. So a health endpoint that lags behind a drain brings new work to a
-draining back end at most once in that while. Pure; relies on being given each result with its time.
+``/health`` may lag behind the drain. If the back end was unreachable in between, a new process must
+be answering, so one healthy answer suffices. Otherwise it must stay healthy for ``STABLE_SECONDS``.
 """
 
 from finchshed.daemon.backend.client import BackendAnswer, BackendResult, BackendUnreached
 from finchshed.http.status import STATUS_OK
 
 STABLE_SECONDS = 5.0
-"""Seconds that a back end that was never seen gone must say that it is well; chosen, not
-measured."""
+"""How long a back end that was never unreachable must stay healthy."""
 
 
 class ReturnDetector:
-    """Decides from answers to health checks whether a draining back end has returned."""
+    """Tracks the health checks of a draining back end until it has returned."""
 
     def __init__(self) -> None:
         self._was_unreachable = False
         self._healthy_since: float | None = None
 
     def has_returned(self, result: BackendResult, now: float) -> bool:
-        """Judge the result of one check; return whether the back end takes work again."""
+        """Process the result of a check; return whether the back end accepts calls again."""
         if isinstance(result, BackendUnreached):
             self._was_unreachable = True
         if not _is_healthy(result):
