--- a/src/finchshed/daemon/__init__.py
+++ b/src/finchshed/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon beside each back end, and at the edge in front of outside callers."""
+"""The daemon that runs beside each back end, and at the edge in front of external clients."""
--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -1,16 +1,15 @@
-"""Builds the parts of a daemon, in the one order in which each finds what it relies on.
+"""Builds the components of a daemon in dependency order.
 
-1. State that others ask and that asks nobody: identity, drain, served requests, routing table.
-2. The connection to control, and with it the quarantine.
-3. The serving side: back-end client and callee. It comes before the links, which bring it calls.
-4. The links, both ways, and who may be called over them.
-5. Who tells callers of a drain, on those links, and who watches the back end for it.
-6. The calling side and the listeners for requests, which need all of the above.
+1. Shared state: identity, drain state, served requests, routing table.
+2. The connection to control, and the quarantine that uses it.
+3. The serving side: back-end client and callee, which the links deliver calls to.
+4. The links in both directions, and the endpoints that can be called over them.
+5. Drain announcements on those links, and monitoring of the back end.
+6. Outgoing calls and the HTTP listeners.
 
-No part is handed another one after it was built. Where events go against that order, the earlier
-part keeps a list of followers that the later ones put themselves on: :class:`BackendEvents` (calls
-show the state of the back end), :class:`CrashNewsBroadcaster` (the quarantine sends over
-links), and the control client, whose messages each part subscribes to in its own constructor.
+Components are complete once constructed. Events against that order go through subscriptions:
+:class:`BackendEvents` (state of the back end, seen by calls), :class:`CrashNewsBroadcaster` (crash
+records to links), and the control client, whose messages components subscribe to.
 """
 
 import random
@@ -67,7 +66,7 @@
 from finchshed.tls.names import CertificateRole
 
 SEED_BITS = 64
-"""Bits of the seed of a daemon's random draws."""
+"""Bits in the seed of a daemon's random generator."""
 
 
 def build_components(
@@ -76,16 +75,16 @@
     follower_listener: FollowerListener,
     not_ready_reason: Callable[[], RefusalReason | None],
 ) -> DaemonComponents:
-    """Build the parts of a daemon; nothing runs yet.
+    """Build the components of a daemon, without starting any.
 
     Parameters
     ----------
     names
-        Names of the headers of requests by host.
+        Header names of requests routed by host.
     follower_listener
-        Acts on the configuration, once the follower runs.
+        Receives configuration changes.
     not_ready_reason
-        Returns the reason why no request may be taken now, or None.
+        Returns why requests must be refused at present, or None.
     """
     state = _shared_state(settings, names)
     follower_runner = _follower_runner(state, follower_listener)
--- a/src/finchshed/daemon/catalogue.py
+++ b/src/finchshed/daemon/catalogue.py
@@ -1,7 +1,6 @@
-"""Services and routes of the configuration in force, arranged for look-up by each call.
+"""Immutable index of the active configuration for per-request lookups.
 
-Owns nothing that changes: each configuration in force gives a new one. Relies on the declarations
-having been validated.
+Each configuration revision gets a new index. The resources must have been validated.
 """
 
 import itertools
@@ -24,14 +23,14 @@
 
 
 class RouteMatch(msgspec.Struct, frozen=True):
-    """The declaration a request falls under."""
+    """The service and route that match a request."""
 
     service: Service
     route: Route
 
 
 class Catalogue:
-    """Declared services, endpoints and policy at one revision."""
+    """Services, endpoints, routes, tenants and policy of one configuration revision."""
 
     def __init__(self, resources: Iterable[Resource] = (), revision: int = 0) -> None:
         self.revision = revision
@@ -52,17 +51,17 @@
             routes.sort(key=lambda route: -len(route.prefix))
 
     def service(self, name: str) -> Service | None:
-        """Return a declared service."""
+        """Return a declared service, or None."""
         return self._services.get(name)
 
     def host_routes(self) -> Iterator[HostRoute]:
-        """Yield all routes by host."""
+        """Yield all host routes."""
         return itertools.chain.from_iterable(self._hosts.values())
 
     def match_host(self, host: str, target: str) -> HostRoute | None:
-        """Return the route of ``host`` with the longest prefix of a request's target, or None.
+        """Return the route of ``host`` with the longest matching prefix, or None.
 
-        A port in ``host`` is passed over, and so are its letters' cases.
+        The port and the case of ``host`` are ignored.
         """
         name = host.partition(":")[0].lower()
         path = target.partition("?")[0]
@@ -72,9 +71,9 @@
         return None
 
     def match(self, service_name: str, path: str) -> RouteMatch | None:
-        """Return the route of the longest prefix of ``path``, or None where none is declared.
+        """Return the route with the longest matching prefix, or None.
 
-        Escaped letters are compared as what they stand for, as a back end would read them.
+        Percent-encoded characters are decoded first, as a back end would do.
         """
         if "%" in path:
             path = unquote(path)
--- a/src/finchshed/daemon/components.py
+++ b/src/finchshed/daemon/components.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon, by the job they share; :mod:`finchshed.daemon.assembly` builds them."""
+"""Component groups of a daemon, built by :mod:`finchshed.daemon.assembly`."""
 
 import random
 from dataclasses import dataclass, field
@@ -35,18 +35,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedState:
-    """State and constants that several parts ask.
+    """State and constants shared by several components.
 
     Attributes
     ----------
     started_ms
-        When the daemon was started, Unix milliseconds.
+        Start time of the daemon, in Unix milliseconds.
     identity
-        Who the endpoint is to peers; its first incarnation names this start to control as well.
+        Identity of the endpoint for peers; its first incarnation also identifies this process to
+        control.
     served
-        Requests that the local back end is serving.
+        Requests the local back end is serving.
     paths
-        Thresholds that requests meet further down.
+        Admission thresholds of the services that requests call downstream.
     """
 
     settings: DaemonSettings
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingComponents:
-    """What serves calls with the back end."""
+    """Components that serve calls with the back end."""
 
     backend: HttpBackend
     callee: Callee
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkComponents:
-    """Links to and from other daemons, and whom they lead to."""
+    """Links to and from other daemons, and the endpoints that can be called."""
 
     links: DaemonLinks
     listener: LinkListener
@@ -84,14 +85,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendStateComponents:
-    """What follows the state of the back end.
+    """Components that follow the state of the back end.
 
     Attributes
     ----------
     monitor
-        Looks at the health of a declared endpoint's back end; None on an edge.
+        Health monitor of the back end; None on an edge.
     registered
-        Takes the back end's heartbeats; None where its endpoint is declared, and on an edge.
+        Processes the back end's heartbeats; None if its endpoint is declared, and on an edge.
     """
 
     announcer: DrainAnnouncer
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressComponents:
-    """What takes requests and has them answered."""
+    """HTTP listeners, their request handlers and the outgoing calls."""
 
     caller: Caller
     service_handler: ServiceRequestHandler
@@ -114,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonComponents:
-    """All parts of one daemon; ``serving`` is None on an edge."""
+    """All components of one daemon; ``serving`` is None on an edge."""
 
     state: SharedState
     follower_runner: FollowerRunner
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -1,7 +1,6 @@
-"""The daemon process's work: it runs the parts that :mod:`finchshed.daemon.assembly` builds.
+"""Lifecycle of a daemon: start, planned stop, periodic maintenance and configuration changes.
 
-Owns start, planned stop and the regular upkeep, and hands each configuration that comes into force
-to the parts that act on it. Relies on the parts for everything that happens to a single request.
+The components, built by :mod:`finchshed.daemon.assembly`, process the requests.
 """
 
 import asyncio
@@ -27,21 +26,20 @@
 from finchshed.runtime.waiting import wait_while
 
 MAINTENANCE_INTERVAL_SECONDS = 0.5
-"""Seconds between rounds of upkeep (idle connections, lost links, silence); chosen, not
-measured."""
+"""Interval of periodic maintenance, such as closing idle connections and reopening links."""
 
 IDLE_GRACE_SECONDS = 2.0
-"""Seconds that a connection is kept longer than callers were told, so that none of their requests
-crosses its end; chosen, not measured."""
+"""How much longer an idle connection is kept than announced, so that closing it doesn't race with a
+request."""
 
 
 class Daemon:
-    """One daemon process: data path beside a back end, or an edge.
+    """A daemon beside a back end, or an edge.
 
     Parameters
     ----------
     names
-        Names of the headers of requests by host.
+        Header names of requests routed by host.
     """
 
     def __init__(self, settings: DaemonSettings, names: HeaderNames | None = None) -> None:
@@ -60,19 +58,19 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether new work is taken."""
+        """Whether new requests are accepted."""
         return self._is_serving and not self._drain.is_stopping
 
     @property
     def state_detail(self) -> str:
-        """What a daemon that takes no new work waits for."""
+        """Why new requests are not accepted; empty if they are."""
         if self._drain.is_stopping:
             return "draining"
         return "" if self._is_serving else "waiting for a confirmed configuration"
 
     @property
     def registered_backend(self) -> RegisteredBackend | None:
-        """Takes the back end's heartbeats; None where its endpoint is declared, and on an edge."""
+        """Processes the back end's heartbeats; None if its endpoint is declared, or on an edge."""
         return self._parts.backend_state.registered
 
     @property
@@ -81,7 +79,7 @@
         return None if serving is None else serving.callee
 
     async def start(self) -> None:
-        """Follow the configuration and listen."""
+        """Start following the configuration, maintenance, monitoring and the listeners."""
         settings = self._settings
         parts = self._parts
         self._spawn(parts.follower_runner.run())
@@ -96,11 +94,12 @@
             await self._listeners.open(settings.host_address, make_connection)
 
     async def stop(self) -> None:
-        """Take no new work, finish what is in progress, and close.
+        """Drain, then close.
 
-        Callers are told first, and what they sent before they were told still comes in. New
-        connections go to a successor, if one listens already. Sessions may use all of the time a
-        drain has; those that are left then are sent away, which moves them to other endpoints.
+        New connections are directed to a successor, if there is one. Callers are notified of the
+        drain, and requests they sent before that are still served. Requests and sessions in
+        progress may take up to ``drain_seconds``; remaining sessions are then ended, which moves
+        them to other endpoints.
         """
         settings = self._settings
         self._drain.is_stopping = True
@@ -116,22 +115,24 @@
         self._listeners.close()
         await wait_while(self._is_busy, settings.drain_seconds)
         if self._callee is not None and self._callee.sessions:
-            logger.info("sending {} sessions away", self._callee.sessions)
+            logger.info("ending the {} remaining sessions", self._callee.sessions)
             self._callee.end_sessions()
             await wait_while(self._is_busy, settings.drain_notice_seconds)
         await self._close()
 
-    # What the configuration changes.
+    # Configuration changes.
 
     def add_control_addresses(self, addresses: Iterable[str]) -> None:
-        """Use control nodes that the settings name by now as well."""
+        """Add addresses of control nodes."""
         self._parts.follower_runner.client.add_addresses(addresses)
 
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
-        """Act on ``current`` from now on."""
+        """Apply the configuration ``current``."""
         metrics.REVISION.set(current.revision)
         catalogue = Catalogue(current.resources.values(), current.revision)
-        logger.info("configuration {} in force, before {}", current.revision, previous.revision)
+        logger.info(
+            "configuration revision {} is active, replacing {}", current.revision, previous.revision
+        )
         self._parts.linked.endpoints.set_declared(catalogue.endpoints)
         ingress = self._ingress
         ingress.caller.configure(catalogue)
@@ -147,7 +148,7 @@
             self._callee.configure(catalogue)
 
     def fetch_from_peer(self, peer: str, revision: int) -> None:
-        """Ask a peer for its configuration."""
+        """Request a peer's configuration, on a link in either direction."""
         if self._links.fetch_configuration(peer, revision):
             return
         for link in self._parts.linked.listener.links():
@@ -156,17 +157,17 @@
                 return
 
     def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Open links to peers, to learn their revisions."""
+        """Open links to peers, which report their revisions on them."""
         self._links.open_links(endpoints)
 
     def start_serving(self, basis: ServingBasis) -> None:
-        """Take calls from now on."""
-        logger.info("taking calls, on the basis of {}", basis)
+        """Start accepting requests and calls."""
+        logger.info("accepting calls, based on {}", basis)
         garbage.settle()
         metrics.SERVING.set(1)
         self._is_serving = True
         if self._settings.http_address:
-            # Not before: a successor shares its address with a process that does answer.
+            # Opened only now, because a predecessor may still be serving on the same address.
             make_connection = self._ingress.service_server.make_protocol
             self._spawn(self._listeners.open(self._settings.http_address, make_connection))
         if self._callee is not None:
@@ -188,7 +189,7 @@
         self._parts.linked.platform.on_hints(hints, clock.now())
         self._parts.backend_state.announcer.on_hints(hints)
 
-    # Upkeep.
+    # Maintenance.
 
     def _not_ready_reason(self) -> RefusalReason | None:
         return None if self._is_serving else RefusalReason.NO_CONFIGURATION
@@ -215,7 +216,7 @@
             self._links.close_idle()
             self._links.reopen_failed()
             if not self._parts.follower_runner.client.is_connected:
-                # Other daemons are the only source of configuration then.
+                # Without control, other daemons are the only source of configuration.
                 self._links.request_revisions()
             self._parts.linked.listener.close_silent(clock.now())
             if self._callee is not None:
@@ -249,8 +250,8 @@
         task.add_done_callback(self._on_task_done)
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """Surface the error of a task that was to run as long as the daemon."""
+        """Report the exception of a failed background task."""
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            context = {"message": "a daemon's task ended", "exception": error}
+            context = {"message": "a background task of the daemon failed", "exception": error}
             asyncio.get_running_loop().call_exception_handler(context)
--- a/src/finchshed/daemon/decision_log.py
+++ b/src/finchshed/daemon/decision_log.py
@@ -1,7 +1,6 @@
-"""Turns the ends of requests and calls into lines of the log.
+"""Logs finished requests and calls to the decision log stream, if that is enabled.
 
-Whatever did not end well is logged; of what did, a sample that is the same on every hop. Owns
-nothing; relies on the log stream, which may be off.
+Failures are always logged; successes are sampled by root request, consistently on every hop.
 """
 
 import time
@@ -20,33 +19,33 @@
 from finchshed.runtime import clock
 
 REFUSALS_WITH_SIGNATURE = frozenset({RefusalReason.QUARANTINED, RefusalReason.SUSPECTS_WAIT})
-"""Refusals that are due to the request itself."""
+"""Refusals caused by the request itself."""
 
 MAX_LOGGED_SIGNATURES = 64
-"""Requests that a line about a back end's end names; it stays under 2 kB. Chosen, not measured."""
+"""Maximum number of signatures in the record of a back-end crash; keeps it below 2 kB."""
 
 
 def outcome_name(outcome: Outcome) -> str:
-    """Return the word for an outcome."""
+    """Return the name of an outcome, as used in logs."""
     if isinstance(outcome, Answered):
         return "answered"
     return "refused" if isinstance(outcome, Refused) else "failed"
 
 
 def is_failure(outcome: Outcome) -> bool:
-    """Return whether a caller gets less than it asked for."""
+    """Return whether an outcome is a refusal, a failure or a server error."""
     return not isinstance(outcome, Answered) or outcome.status >= SERVER_ERROR
 
 
 def is_logged(request: Request, outcome: Outcome) -> bool:
-    """Return whether the end of a request with ``outcome`` is logged: any failure, and a sample."""
+    """Return whether a request with ``outcome`` is logged: failures always, successes sampled."""
     if not log_stream.is_on():
         return False
     return is_failure(outcome) or log_stream.is_sampled(request.context.root)
 
 
 def includes_signature(outcome: Outcome) -> bool:
-    """Return whether the line of an end names the request's signature: it may be due to it."""
+    """Return whether the log record includes the signature: the request may be the cause."""
     if isinstance(outcome, Refused):
         return outcome.reason in REFUSALS_WITH_SIGNATURE
     return isinstance(outcome, Failed)
@@ -61,7 +60,7 @@
     *,
     signature: str = "",
 ) -> None:
-    """Log the end of a request at the daemon that took it."""
+    """Log a finished request at the daemon that received it."""
     if not is_logged(request, outcome):
         return
     reason, detail, status, retry_after = _fields_of(outcome)
@@ -90,7 +89,7 @@
 def log_refusal(
     identity: str, route: HostRoute | None, refused: Refused, revision: int, tenant: str = ""
 ) -> None:
-    """Log that a request by host was refused before a service was chosen for it."""
+    """Log a request by host that was refused before a service was selected."""
     if not log_stream.is_on():
         return
     record = RequestEnded(
@@ -112,7 +111,7 @@
 
 
 def log_call(
-    work: InboundCall,
+    inbound: InboundCall,
     outcome: Outcome,
     instance: str,
     load: LoadReport,
@@ -120,22 +119,22 @@
     *,
     signature: str = "",
 ) -> None:
-    """Log the end of a call at the daemon beside the back end."""
+    """Log a finished call at the daemon that served it."""
     failed = is_failure(outcome)
-    context = work.call.context
+    context = inbound.call.context
     if not log_stream.is_on() or not (failed or log_stream.is_sampled(context.root)):
         return
     reason, detail, status, _ = _fields_of(outcome)
     now = clock.now()
-    started = work.started
+    started = inbound.started
     record = CallEnded(
         time=time.time(),
-        id=work.call.identity or context.root,
+        id=inbound.call.identity or context.root,
         root=context.root,
-        service=work.call.service,
+        service=inbound.call.service,
         instance=instance,
         outcome=outcome_name(outcome),
-        queued_ms=round(((started or now) - work.arrived) * MILLISECONDS, 2),
+        queued_ms=round(((started or now) - inbound.arrived) * MILLISECONDS, 2),
         ran_ms=round((now - started) * MILLISECONDS, 2) if started else -1.0,
         reason=reason,
         detail=detail,
@@ -145,21 +144,21 @@
         running=running,
         queued=load.in_flight - running,
         limit=load.limit,
-        caller=work.link.peer.node if work.link.peer is not None else "",
+        caller=inbound.link.peer.node if inbound.link.peer is not None else "",
         signature=signature,
     )
     log_stream.emit(record, is_failure=failed)
 
 
 def log_backend_ended(instance: str, service: str, signatures: Sequence[str]) -> None:
-    """Log that the back end beside this daemon ended, and what it was running."""
+    """Log a crash of the local back end and the requests it was running."""
     named = tuple(signatures[:MAX_LOGGED_SIGNATURES])
     record = BackendEnded(time.time(), instance, service, len(signatures), named)
     log_stream.emit(record, is_failure=True)
 
 
 def _fields_of(outcome: Outcome) -> tuple[str, str, int, float]:
-    """Return reason, detail, status and milliseconds until a caller is to come back."""
+    """Return reason, detail, status and retry delay in milliseconds."""
     if isinstance(outcome, Answered):
         return "", "", outcome.status, 0.0
     wait = round(outcome.retry_after * MILLISECONDS, 1) if isinstance(outcome, Refused) else 0.0
--- a/src/finchshed/daemon/draining.py
+++ b/src/finchshed/daemon/draining.py
@@ -1,17 +1,12 @@
-"""Whether this endpoint drains, by any sign, and what callers are told of it.
+"""Drain state of the endpoint, and its announcement to callers.
 
-:class:`DrainState` is the one owner of that: whoever refuses work or reports the drain asks it.
-There are four signs: the daemon is being stopped, the platform lists the machine, the back end
-says so on its answers, and its registration isn't ready. New work is taken again only once none
-is left.
+An endpoint drains for any of four reasons: the daemon is stopping, the platform lists the machine
+for removal, the back end announced a drain, or no registered instance is ready. It accepts new
+calls again once no reason is left.
 
-A sign and its announcement are two things, apart in time. At a stop the sign is there at once, and
-the daemon reports itself as not ready, while calls of other daemons are still served for
-``drain_serving_seconds``: only :meth:`DrainAnnouncer.announce` tells callers, and from then on
-their new calls are refused.
-
-Relies on the health monitor and the registration of the back end, and on the platform's list, to
-report signs.
+Being drained and announcing it are separate steps. A stopping daemon reports itself as not ready at
+once but serves calls for another ``drain_serving_seconds``; new calls are refused only after
+:meth:`DrainAnnouncer.announce` has notified callers.
 """
 
 from dataclasses import dataclass
@@ -27,20 +22,20 @@
 
 @dataclass(slots=True)
 class DrainState:
-    """The signs, and whether callers were told of one.
+    """The reasons to drain, and whether callers were notified.
 
     Attributes
     ----------
     is_stopping
-        The daemon is being stopped.
-    is_listed
-        The platform lists this machine as leaving.
-    backend_says_so
-        The back end said so on an answer or a check of its health.
+        The daemon is stopping.
+    is_machine_leaving
+        The platform lists this machine for removal.
+    is_backend_draining
+        The back end announced a drain in an answer or a health check.
     lacks_ready_backend
-        The back end registers, and no instance of it is ready.
+        The back end registers itself, and no instance is ready.
     is_announced
-        Callers were told; new calls are refused.
+        Callers were notified, and new calls are refused.
     """
 
     is_stopping: bool = False
@@ -51,12 +46,12 @@
 
     @classmethod
     def awaiting_registration(cls) -> "DrainState":
-        """Return the state beside a back end that registers and hasn't done so yet."""
+        """Return the initial state beside a back end that has yet to register."""
         return cls(lacks_ready_backend=True, is_announced=True)
 
     @property
     def is_draining(self) -> bool:
-        """Whether any sign is there, announced or not."""
+        """Whether there is any reason to drain, announced or not."""
         return (
             self.is_stopping
             or self.is_machine_leaving
@@ -66,12 +61,12 @@
 
 
 class DrainAnnouncer:
-    """Takes up signs and tells callers on their links.
+    """Records reasons to drain and notifies callers on their links.
 
     Parameters
     ----------
     local_hints
-        Judges whether the platform's list means this machine.
+        Decides whether the platform's list contains this machine.
     listener
         Holds the links of callers.
     """
@@ -89,13 +84,13 @@
         self._listener = listener
 
     def announce(self) -> None:
-        """Take no new calls from now on, and tell callers."""
+        """Notify callers, and refuse new calls from now on."""
         self._state.is_announced = True
         for link in self._listener.links():
             link.send_draining()
 
     def resume(self) -> None:
-        """Take calls again, if no sign is left, and tell callers."""
+        """Accept calls again and notify callers, if no reason to drain is left."""
         if self._state.is_draining:
             return
         self._state.is_announced = False
@@ -103,25 +98,25 @@
             link.send_load()
 
     def on_hints(self, hints: Hints) -> None:
-        """Follow the platform's list."""
+        """Process an update of the platform's list."""
         is_listed = self._local_hints.is_leaving(hints, clock.now())
         if is_listed == self._state.is_machine_leaving:
             return
         self._state.is_machine_leaving = is_listed
         if is_listed:
-            logger.info("the platform lists this machine as leaving")
+            logger.info("draining: the platform lists this machine for removal")
             self.announce()
         else:
             self.resume()
 
     def on_backend_draining(self) -> None:
-        """Drain: the back end said so."""
+        """Start draining because the back end announced it."""
         self._state.is_backend_draining = True
-        logger.info("the back end says that it is draining")
+        logger.info("draining: announced by the back end")
         self.announce()
 
     def on_backend_returned(self) -> None:
-        """Take calls again, if no other sign is left; to peers this is another back end."""
+        """Accept calls again under a new incarnation, if no reason to drain is left."""
         self._state.is_backend_draining = False
         logger.info("the back end has returned")
         if self._state.is_draining:
--- a/src/finchshed/daemon/endpoint_identity.py
+++ b/src/finchshed/daemon/endpoint_identity.py
@@ -1,29 +1,29 @@
-"""Who the endpoint of this daemon is to other daemons, and which life of it they talk to.
+"""Identity of this daemon's endpoint as sent to other daemons.
 
-Owns name, service and incarnation of the endpoint. A declared endpoint keeps its name; one whose
-back end registers is named by the instance that is there, so name and service follow it.
+A declared endpoint has a fixed name. With a registering back end, name and service follow the
+current instance.
 """
 
 import secrets
 from dataclasses import dataclass, field
 
 INCARNATION_BYTES = 8
-"""Random bytes of an incarnation: equal ones in one deployment are out of the question."""
+"""Random bytes in an incarnation ID; enough to make collisions negligible."""
 
 
 def new_incarnation() -> str:
-    """Return what tells one life of an endpoint from all others."""
+    """Return a unique ID for an incarnation of an endpoint."""
     return secrets.token_hex(INCARNATION_BYTES)
 
 
 @dataclass(slots=True)
 class EndpointIdentity:
-    """Name, service and incarnation as they are sent with each Hello; empty names on an edge."""
+    """Name, service and incarnation sent with each Hello; name and service are empty on an edge."""
 
     name: str
     service: str
     incarnation: str = field(default_factory=new_incarnation)
 
     def renew_incarnation(self) -> None:
-        """Begin a new life: peers treat the endpoint as another one from their next Hello on."""
+        """Start a new incarnation; peers reset their state of the endpoint on the next Hello."""
         self.incarnation = new_incarnation()
--- a/src/finchshed/daemon/header_names.py
+++ b/src/finchshed/daemon/header_names.py
@@ -1,4 +1,4 @@
-"""Names of the headers that requests taken by host and their back ends carry."""
+"""Configurable header names of requests routed by host and of their back ends' answers."""
 
 import msgspec
 
@@ -6,34 +6,33 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
-    """Names, in lower case; a deployment that speaks others gives its own.
+    """Header names in lower case. Daemons overwrite the headers marked as set by daemons.
 
     Attributes
     ----------
     request
-        Identity of a request, passed on unchanged; an answer gives it back.
+        Request ID, forwarded unchanged and echoed in the answer.
     deadline
-        Milliseconds that the sender will wait.
+        Timeout of the sender, in milliseconds; set by daemons.
     caller_service
-        Service of the back end beside which a request began; set whatever was sent.
+        Service of the back end that issued the request; set by daemons.
     expected_instance
-        Start of the back end that a request is for; any other refuses it.
+        Back-end instance the request is for; other instances refuse it. Set by daemons.
     not_run
-        On an answer: the back end did not run the request.
+        Present in an answer if the back end did not run the request.
     load
-        On an answer: requests running and waiting, and slots.
+        In an answer: numbers of running and waiting requests, and slots.
     instance
-        On the answer to a check of health: start of the back end.
+        In the answer to a health check: instance of the back end.
     seal
-        On an answer of status 2xx: the back end's mark that it is whole; empty: there is none.
+        Present in every complete 2xx answer of the back end; empty if unused.
     api_key
-        A caller's API key; not passed on where tenants are declared.
+        API key of the caller; not forwarded if tenants are declared.
     tenant
-        Name of the tenant that holds the caller's key; set, where tenants are declared, whatever
-        was sent.
+        Name of the tenant the API key belongs to; set by daemons if tenants are declared.
     call_separator
-        A back end that calls on gives its call the identity of the request it serves, this, and
-        something of its own; empty: nothing ties a call to the request it is made for.
+        Not a header: separates the parent's request ID from a suffix in the ID of a call made by a
+        back end. Empty if calls aren't linked to their parents.
     """
 
     request: str = "finchshed-request"
@@ -49,9 +48,9 @@
     call_separator: str = ""
 
     def set_by_daemons(self) -> frozenset[str]:
-        """Return the names that daemons set; what a caller sent under them is dropped."""
+        """Return the headers set by daemons; those sent by callers are dropped."""
         return frozenset({self.deadline, self.caller_service, self.expected_instance})
 
     def tenant_headers(self) -> frozenset[str]:
-        """Return the names that are dropped as well where tenants are declared."""
+        """Return the headers that are also dropped if tenants are declared."""
         return frozenset({self.api_key, self.tenant})
--- a/src/finchshed/daemon/link_handler.py
+++ b/src/finchshed/daemon/link_handler.py
@@ -1,7 +1,7 @@
-"""What links report to this daemon and ask of it, at both of their ends.
+"""Callbacks of outgoing and accepted links.
 
-Owns nothing: passes calls to the serving side, load and revisions of peers to the routing table and
-the follower of the configuration, news of crashes to the quarantine.
+Dispatches calls to the serving side, endpoint state to the routing table, revisions to the
+configuration follower, and crash records to the quarantine.
 """
 
 import random
@@ -34,9 +34,9 @@
     Parameters
     ----------
     callee
-        Serves the calls that come in; None on an edge.
+        Serves incoming calls; None on an edge.
     identity
-        Who this endpoint is, as peers are told.
+        Identity of this endpoint, sent to peers.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._rng = rng
 
     def hello(self, epoch: str) -> Hello:
-        """Return this daemon's first line."""
+        """Return the Hello that opens a link."""
         return Hello(
             node=self._identity.name or self._settings.node,
             incarnation=self._identity.incarnation,
@@ -75,29 +75,29 @@
         )
 
     def revision(self) -> int:
-        """Return the revision in force."""
+        """Return the active configuration revision."""
         return self._follower_runner.follower.revision
 
     def delta_for(self, revision: int) -> Delta | None:
-        """Return the configuration for a peer that holds ``revision``."""
+        """Return the configuration for a peer at ``revision``, or None."""
         return self._follower_runner.follower.answer_fetch(revision)
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Merge what a peer reports of requests that crash back ends."""
+        """Merge crash records received from a peer."""
         self._quarantine.on_peer_news(news.records)
 
     def crash_news(self) -> CrashNews | None:
-        """Return what a peer is told when a link opens."""
+        """Return the crash records to send when a link opens, or None."""
         return self._quarantine.news_for_link()
 
     def load_report(self) -> LoadReport:
-        """Return the load to report with a heartbeat."""
+        """Return the load report for a heartbeat."""
         if self._callee is None:
             return LoadReport(draining=self._drain.is_draining)
         return self._callee.load_report()
 
     def call_received(self, link: AcceptedLink, call: Call) -> None:
-        """Serve a call of another daemon; an edge has nothing to answer it with."""
+        """Serve a call from another daemon, or refuse it on an edge."""
         if self._callee is not None:
             self._callee.on_call(link, call)
             return
@@ -106,42 +106,42 @@
         link.reply(Reply(call.epoch, call.call, refused, spare, self.load_report()))
 
     def call_cancelled(self, link: AcceptedLink, call: int) -> None:
-        """Drop a call of another daemon."""
+        """Cancel a call from another daemon."""
         if self._callee is not None:
             self._callee.cancel(link, call)
 
     def accepted_revision_seen(self, link: AcceptedLink, revision: int) -> None:
-        """Note the revision a calling daemon holds; fetch it if it is higher."""
+        """Pass a calling daemon's revision to the follower, which fetches a newer one."""
         if link.peer is not None:
             self._follower_runner.on_peer_revision(link.peer.node, revision)
 
     def accepted_delta_received(self, link: AcceptedLink, delta: Delta) -> None:
-        """Offer the follower configuration from a calling daemon."""
+        """Pass configuration from a calling daemon to the follower."""
         if link.peer is not None:
             self._follower_runner.on_peer_delta(link.peer.node, delta)
 
     def peer_up(self, endpoint: str, incarnation: str) -> None:
-        """Note that an endpoint can be called."""
+        """Record that an endpoint is reachable."""
         now = clock.now()
         self._table.on_link_up(endpoint, incarnation, now)
         self._platform.on_linked(endpoint, incarnation, now)
 
     def peer_down(self, endpoint: str) -> None:
-        """Note that an endpoint can't be called."""
+        """Record that an endpoint is unreachable."""
         self._table.on_link_down(endpoint, clock.now())
 
     def peer_draining(self, endpoint: str) -> None:
-        """Note that an endpoint takes no new calls."""
+        """Record that an endpoint accepts no new calls."""
         self._table.mark_draining(endpoint, clock.now())
 
     def peer_load(self, endpoint: str, load: LoadReport) -> None:
-        """Note the load an endpoint reported with a heartbeat."""
+        """Record the load report of an endpoint."""
         self._table.on_report(endpoint, load, clock.now())
 
     def peer_revision(self, peer: str, revision: int) -> None:
-        """Note the revision an endpoint's daemon holds."""
+        """Pass the revision of an endpoint's daemon to the follower."""
         self._follower_runner.on_peer_revision(peer, revision)
 
     def peer_delta(self, peer: str, delta: Delta) -> None:
-        """Offer the follower configuration from an endpoint's daemon."""
+        """Pass configuration from an endpoint's daemon to the follower."""
         self._follower_runner.on_peer_delta(peer, delta)
--- a/src/finchshed/daemon/listeners.py
+++ b/src/finchshed/daemon/listeners.py
@@ -1,7 +1,4 @@
-"""The listeners of a daemon: opened when it may serve, handed to a successor at a planned stop.
-
-Owns the listening sockets; relies on :mod:`sockets` for sharing an address with a successor.
-"""
+"""Listening sockets of a daemon, with handover to a successor process at a planned stop."""
 
 import asyncio
 import socket
@@ -13,7 +10,7 @@
 
 
 class Listeners:
-    """Listening sockets and what serves their connections."""
+    """Listening sockets and their servers."""
 
     def __init__(self) -> None:
         self._sockets: list[socket.socket] = []
@@ -26,7 +23,7 @@
         factory: Callable[[], asyncio.Protocol],
         credentials: Credentials | None = None,
     ) -> None:
-        """Listen on ``address``, in plain text without credentials; does nothing once closed."""
+        """Listen on ``address``, under TLS if ``credentials`` are given; no-op once closed."""
         if self._is_closed:
             return
         listener = listening_socket(address)
@@ -34,12 +31,12 @@
         self._servers.append(await serve(factory, credentials, listener))
 
     def prefer_successor(self) -> None:
-        """Have new connections go to a process that listens on the same addresses, if any does."""
+        """Direct new connections to a successor on the same addresses, if there is one."""
         for listener in self._sockets:
             prefer_successor(listener)
 
     def close(self) -> None:
-        """Take no more connections; those taken go on."""
+        """Stop listening; accepted connections stay open."""
         self._is_closed = True
         for server in self._servers:
             server.close()
--- a/src/finchshed/daemon/metrics.py
+++ b/src/finchshed/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the data path: names and labels are what monitoring reads (docs/OPERATIONS.md)."""
+"""Metrics of the data path, documented in docs/OPERATIONS.md."""
 
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import Answered, Outcome, Refused
@@ -61,12 +61,12 @@
 
 
 def count_served(service: str, importance: Importance, outcome: Outcome) -> None:
-    """Count a call ended beside the back end."""
+    """Count a finished call at the daemon that served it."""
     _count(SERVED, _served, service, importance, outcome)
 
 
 def count_call(service: str, importance: Importance, outcome: Outcome) -> None:
-    """Count a call ended at the caller's daemon."""
+    """Count a finished call at the calling daemon."""
     _count(CALLS, _calls, service, importance, outcome)
 
 
--- a/src/finchshed/daemon/program.py
+++ b/src/finchshed/daemon/program.py
@@ -8,7 +8,7 @@
 
 
 def run(settings: DaemonSettings) -> int:
-    """Run a daemon until it is told to stop; return the process's exit code."""
+    """Run a daemon until it is requested to stop; return the process's exit code."""
 
     async def main(control: ProcessControl) -> None:
         daemon = Daemon(settings)
--- a/src/finchshed/daemon/quarantine.py
+++ b/src/finchshed/daemon/quarantine.py
@@ -1,8 +1,8 @@
-"""The daemon's register of requests that crash back ends, and how news of them travels.
+"""The daemon's register of requests that crashed back ends, and the exchange of crash records.
 
-News goes to control, which passes it on to everyone. A daemon without control sends it on its
-links, and passes on what it receives there. Each answer about such a request carries its record as
-well, so the daemon that sent it knows before it tries again.
+Records are sent to control, which distributes them. A daemon cut off from control sends them on its
+links and forwards those it receives there. Replies also carry the record of their request, so that
+the calling daemon has it before it decides on a retry.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -17,24 +17,23 @@
 from finchshed.runtime import clock
 
 LazySignature: TypeAlias = Callable[[], str]
-"""Returns a request's signature, computed at the first call; a large body takes milliseconds."""
+"""Returns a request's signature, computed at the first call since hashing a large body is slow."""
 
 EXPIRE_INTERVAL_SECONDS = 10.0
-"""Seconds between looks for what is over; what is over is judged so at each use anyway. Chosen, not
-measured."""
+"""Interval at which expired records are removed; they have no effect even before that."""
 
 MAX_LOGGED_RECORDS = 8
-"""Records of one piece of news that are logged each by itself: a line takes 0.1 ms to make. The
-number is chosen, not measured."""
+"""Records of one update that get a log line each; the rest are summarized, since formatting lines
+blocks the event loop."""
 
 
 class Quarantine:
-    """Keeps the register in step with control and peers.
+    """Synchronizes the register with control and peers.
 
     Parameters
     ----------
     send_on_links
-        Sends news on all links of this daemon.
+        Sends crash records on all links of this daemon.
     """
 
     def __init__(
@@ -53,52 +52,57 @@
         client.on_crash_news = self._on_control_news
 
     def check(self, signature: LazySignature) -> Judgement:
-        """Return what may be done with a request; it costs nothing while none is held."""
+        """Return whether a request is free, suspect or quarantined.
+
+        The signature isn't computed while the register is empty.
+        """
         if not self._register:
             return FREE
         return self._register.judge(signature(), clock.now())
 
     def crash_record(self, signature: LazySignature) -> CrashRecord | None:
-        """Return what is held of a request, to be sent with its answer."""
+        """Return the crash record of a request, to attach to its reply, or None."""
         if not self._register:
             return None
         return self._register.record_of(signature(), clock.now())
 
     def on_crash(self, instance: str, signatures: Sequence[str]) -> None:
-        """Note the end of the own back end under requests of these signatures."""
+        """Record a crash of the local back end while it ran requests with these signatures."""
         changed = self._register.on_crash(instance, signatures, clock.now())
         metrics.QUARANTINE_SUSPECTED.inc(len(changed))
-        self._publish(changed, f"back end {instance} ended under {len(signatures)} requests")
+        self._publish(
+            changed, f"back end {instance} crashed while running {len(signatures)} requests"
+        )
 
     def on_completed(self, signature: LazySignature) -> None:
-        """Note that a request has run to an end."""
+        """Record that a request ran to completion, which clears it."""
         if not self._register:
             return
         cleared = self._register.on_completed(signature(), clock.now())
         if cleared is not None:
             metrics.QUARANTINE_CLEARED.inc()
-            self._publish((cleared,), "it has run to an end")
+            self._publish((cleared,), "it ran to completion")
 
     def on_answer(self, record: CrashRecord) -> None:
-        """Merge what an answer of a peer says of its request."""
+        """Merge the crash record attached to a reply."""
         self.on_peer_news((record,))
 
     def on_peer_news(self, records: Sequence[CrashRecord]) -> None:
-        """Merge what a peer reports; without control pass it on, as nobody else does."""
+        """Merge crash records from a peer; without control, forward changes on all links."""
         changed = self._register.merge(records, clock.now())
         self._has_unsent = self._has_unsent or bool(changed)
-        self._log_reported(changed, "a peer reports it")
+        self._log_reported(changed, "reported by a peer")
         if changed and not self._client.is_connected:
             self._send_on_links(CrashNews(changed))
 
     def news_for_link(self) -> CrashNews | None:
-        """Return the news that a peer is sent when its link opens."""
+        """Return the crash records to send when a link opens, or None."""
         if not self._register:
             return None
         return CrashNews(self._register.records(clock.now()))
 
     def tick(self) -> None:
-        """Forget what is over; send control what it isn't known to have."""
+        """Remove expired records, and send control those it may not have."""
         metrics.QUARANTINE_HELD.set(len(self._register))
         if not self._register and not self._reported_to_control:
             return
@@ -109,7 +113,7 @@
             self._reported_to_control.expire(now)
         has_control = self._client.is_connected
         if self._client.connections_made != self._connection:
-            # This control node may know nothing of what the one before was sent.
+            # The new control node may lack records sent to the previous one.
             self._connection = self._client.connections_made
             self._reported_to_control = QuarantineRegister()
             self._has_unsent = True
@@ -117,7 +121,7 @@
             self._has_unsent = False
             self._send_to_control(self._register.records(now))
         elif self._had_control and not has_control:
-            # What was sent last may not have come through.
+            # The last records sent to control may have been lost.
             self._has_unsent = True
             self._send_on_links(CrashNews(self._register.records(now)))
         self._had_control = has_control
@@ -125,7 +129,7 @@
     def _on_control_news(self, news: CrashNews) -> None:
         now = clock.now()
         self._reported_to_control.merge(news.records, now)
-        self._log_reported(self._register.merge(news.records, now), "control reports it")
+        self._log_reported(self._register.merge(news.records, now), "reported by control")
 
     def _publish(self, changed: Sequence[CrashRecord], cause: str) -> None:
         if not changed:
@@ -143,10 +147,10 @@
             self._client.send_crash_news(CrashNews(unknown))
 
     def _log_reported(self, changed: Sequence[CrashRecord], cause: str) -> None:
-        """Log what is believed by another's word: each request that is refused, others by number.
+        """Log records received from others: quarantined requests each, the rest as a count.
 
-        The daemon beside the crash names them all; said by every daemon it would be the most of
-        the log for some seconds after each end of a back end.
+        The daemon beside the crashed back end logs them in full; doing so at every daemon would
+        flood the logs after each crash.
         """
         now = clock.now()
         refused = [
@@ -156,18 +160,18 @@
         ]
         self._log(refused, cause)
         if len(refused) < len(changed):
-            text = "{} requests changed that are not refused: {}"
+            text = "{} further changed crash records, not quarantined: {}"
             logger.info(text, len(changed) - len(refused), cause)
 
     def _log(self, changed: Sequence[CrashRecord], cause: str) -> None:
-        """Log what is believed from now on, that of what is refused in any case."""
+        """Log changed records, quarantined requests first, up to ``MAX_LOGGED_RECORDS`` lines."""
         now = clock.now()
         judged = [(record, self._register.judge(record.signature, now)) for record in changed]
         judged.sort(key=lambda item: item[1].suspicion is not Suspicion.QUARANTINED)
         for record, judgement in judged[:MAX_LOGGED_RECORDS]:
             logger.info(
-                "request {} is {}: {}; back ends that ended under it: {}, not held against it: {}, "
-                "last {:.1f} s ago, refused for {:.0f} s more",
+                "request {} is {}: {}; back ends that crashed while running it: {}, refuted: {}, "
+                "last {:.1f} s ago, refused for another {:.0f} s",
                 record.signature,
                 judgement.suspicion.value,
                 cause,
@@ -177,4 +181,6 @@
                 judgement.seconds,
             )
         if len(judged) > MAX_LOGGED_RECORDS:
-            logger.info("{} more requests: {}", len(judged) - MAX_LOGGED_RECORDS, cause)
+            logger.info(
+                "{} more crash records changed: {}", len(judged) - MAX_LOGGED_RECORDS, cause
+            )
--- a/src/finchshed/daemon/request.py
+++ b/src/finchshed/daemon/request.py
@@ -1,4 +1,4 @@
-"""A request as the data path sees it, and the headers that are passed on. Pure values."""
+"""A request on the data path, and the filtering of its headers."""
 
 from collections.abc import Iterable
 from functools import lru_cache
@@ -24,38 +24,37 @@
         "expect",
     }
 )
-"""Headers that belong to one connection (RFC 9110, 7.6.1) or are set anew on each hop."""
+"""Headers specific to one connection (RFC 9110, 7.6.1) or regenerated at each hop."""
 
 INTERNAL_PREFIX = "finchshed-"
-"""Headers of this prefix are set by daemons; what a caller sent is not passed on."""
+"""Prefix of headers set by daemons; those sent by callers are dropped."""
 
 
 MAX_ANSWER_BYTES_BY_HOST = 64 << 20
-"""Longest answer, bytes, to a request that was taken by host; chosen, not measured."""
+"""Maximum size of the answer to a request routed by host."""
 
 
 class Request(msgspec.Struct, frozen=True):
-    """One request on its way to a service.
+    """A request to a service.
 
     Attributes
     ----------
     repeatable
         Whether it may run more than once.
     in_session
-        Whether its route belongs to sessions.
+        Whether its route uses sessions.
     max_body_bytes
-        Largest body of the request or its answer.
+        Maximum size of the request body and of the answer body.
     route
-        Prefix of the service's route that the request falls under.
+        Prefix of the matched route, or the route's name if the request was routed by host.
     identity
-        What the caller of a request taken by host calls it by; empty for others. ``route`` is then
-        the name of the route of its host.
+        Request ID set by the caller of a request routed by host; empty otherwise.
     target_seconds
-        Latency it is meant to be answered in; 0: none.
+        Latency objective; 0 for none.
     tenant
-        Name of the tenant that holds its API key, or empty.
+        Name of the tenant its API key belongs to, or empty.
     session_at
-        Endpoint that serves the request's session by the client's word, or empty. Not checked.
+        Endpoint of the request's session as claimed by the client, or empty; untrusted.
     """
 
     service: str
@@ -75,22 +74,21 @@
 
     @property
     def is_by_host(self) -> bool:
-        """Whether it was taken under a route of its host."""
+        """Whether it was routed by host."""
         return bool(self.identity)
 
 
 MAX_CACHED_NAME_BYTES = 64
-"""Names up to this length, bytes, are remembered; the others are read anew each time. Chosen, not
-measured."""
+"""Longer header names are parsed each time rather than cached, to bound the cache's memory."""
 
 HEADER_NAME_CACHE_SIZE = 512
-"""Names of headers that are remembered; chosen, not measured."""
+"""Maximum number of cached header names."""
 
 
 def end_to_end_headers(raw: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that are passed on, names in lower case.
+    """Return the end-to-end headers, with names in lower case.
 
-    Names in ``Connection`` are dropped with it (RFC 9110, 7.6.1).
+    Headers named in ``Connection`` are dropped as well (RFC 9110, 7.6.1).
     """
     kept: list[tuple[str, str]] = []
     nominated: set[str] = set()
@@ -108,7 +106,7 @@
 
 
 def _parse_name(raw: bytes) -> tuple[str, bool]:
-    """Return a header's name in lower case, and whether it is passed on."""
+    """Return a header name in lower case, and whether the header is end-to-end."""
     name = raw.decode("latin-1").lower()
     return name, name not in HOP_BY_HOP_HEADERS and not name.startswith(INTERNAL_PREFIX)
 
--- a/src/finchshed/daemon/settings.py
+++ b/src/finchshed/daemon/settings.py
@@ -1,7 +1,4 @@
-"""Settings of a daemon process: one flat table of a TOML file, flags over it.
-
-Sizes are in bytes and durations in seconds, as the field names say.
-"""
+"""Settings of a daemon process: a flat TOML table, overridden by command-line flags."""
 
 from collections.abc import Mapping
 from typing import Annotated
@@ -23,7 +20,7 @@
 
 
 class DaemonSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What a daemon process is told at its start."""
+    """Settings of a daemon process. Sizes are in bytes and durations in seconds."""
 
     node: Annotated[Name, Meta(description="Name of this daemon, unique in the deployment.")]
     region: Annotated[Name, Meta(description="Region the machine is in.")]
@@ -167,10 +164,10 @@
         return TlsFiles(self.tls_certificate_file, self.tls_key_file, self.tls_authority_file)
 
     def file_problems(self) -> Mapping[str, str]:
-        """Return what is wrong with files named here, by setting (settings loader's part)."""
+        """Return problems with the TLS files, by setting (called by the settings loader)."""
         return problems_of(self.tls_files)
 
     @property
     def accepted_silence_seconds(self) -> float:
-        """How long a link that a peer opened may carry nothing: idle peers seldom say a thing."""
+        """Timeout of an accepted link without traffic; allows for two idle heartbeats."""
         return 2 * self.idle_heartbeat_seconds + self.silence_seconds
--- a/src/finchshed/daemon/signatures.py
+++ b/src/finchshed/daemon/signatures.py
@@ -1,8 +1,4 @@
-"""Reads from a request what its signature is made of.
-
-Owns the names of the headers that count; relies on :mod:`finchshed.quarantine` for the digest
-itself.
-"""
+"""Selects the parts of a request that its quarantine signature is computed from."""
 
 from collections.abc import Callable
 from functools import cache
@@ -14,16 +10,16 @@
 from finchshed.quarantine.signature import signature_of
 
 CREDENTIAL_HEADERS = frozenset({"authorization", "cookie"})
-"""Standard headers that tell callers apart (RFC 9110, 11.6.2; RFC 6265). They go into the digest
-alone."""
+"""Standard headers that identify the caller (RFC 9110, 11.6.2; RFC 6265); only hashed, never stored
+or logged."""
 
 
 class SignableRequest(Protocol):
-    """A request at the daemon that took it, or a call at the daemon beside the back end."""
+    """The fields used by a signature; implemented by ``Request`` and ``Call``."""
 
     @property
     def service(self) -> str:
-        """Service that is called."""
+        """Called service."""
 
     @property
     def method(self) -> str:
@@ -35,22 +31,22 @@
 
     @property
     def headers(self) -> Headers:
-        """Headers that go to the back end, but for those of each attempt."""
+        """Headers for the back end, without those that differ between attempts."""
 
     @property
     def body(self) -> bytes:
-        """The whole body."""
+        """Complete body."""
 
     @property
     def context(self) -> CallContext:
-        """What it inherits from its root request."""
+        """Context inherited from the root request."""
 
 
 class SignatureFactory:
-    """Gives requests their signatures, the same at every daemon.
+    """Computes signatures that are identical at every daemon.
 
-    The service beside which a root request entered is left out: a client comes again at any
-    machine. That of a call is kept: it is the caller.
+    The caller-service header is included for calls only: a root request carries the service of
+    the machine it entered at, and its client may retry it at any other.
     """
 
     def __init__(self, names: HeaderNames) -> None:
@@ -58,7 +54,7 @@
         self._of_calls = self._of_roots | {names.caller_service}
 
     def lazy_signature(self, request: SignableRequest) -> Callable[[], str]:
-        """Return what gives a request's signature, computed when it is first asked for."""
+        """Return a function that computes the request's signature once, when first called."""
         return cache(lambda: self.compute(request))
 
     def compute(self, request: SignableRequest) -> str:
--- a/src/finchshed/daemon/sockets.py
+++ b/src/finchshed/daemon/sockets.py
@@ -1,9 +1,8 @@
-"""Listening sockets that a successor process can share.
+"""Listening sockets that a successor process can share, for restarts without refused connections.
 
-The address is bound with SO_REUSEPORT, so the next process listens on it before the last one has
-closed it, and at no time nobody does. The kernel spreads new connections over all that listen; a
-connection that waits in the queue of a socket that is closed is reset. So the process that leaves
-first has new connections sent to its successor, and closes when its own queue has run empty
+With SO_REUSEPORT the successor listens before its predecessor closes. The kernel distributes new
+connections over all listeners and resets those still queued on a closed one. So the predecessor
+first directs new connections to the successor, and closes once its accept queue is empty
 (socket(7), SO_ATTACH_REUSEPORT_CBPF).
 """
 
@@ -14,22 +13,21 @@
 from loguru import logger
 
 LISTEN_BACKLOG = 4096
-"""Connections that may wait to be accepted; the kernel caps it at net.core.somaxconn (4096 on Linux
-since 5.4)."""
+"""Accept queue length; the kernel caps it at net.core.somaxconn (4096 since Linux 5.4)."""
 
 SO_ATTACH_REUSEPORT_CBPF = 51
-"""From asm-generic/socket.h; the socket module doesn't name it."""
+"""From asm-generic/socket.h; missing in the socket module."""
 
 _BPF_RETURN_CONSTANT = 0x06
 """``BPF_RET | BPF_K`` of linux/filter.h: the program returns its constant."""
 
 _SUCCESSOR_INDEX = 1
-"""Sockets of a group are numbered in the order of their listen calls; that of the process that
-stops is 0."""
+"""Sockets of a reuseport group are indexed in the order of their listen calls; the stopping process
+has index 0."""
 
 
 def listening_socket(address: str) -> socket.socket:
-    """Bind and listen on ``a.b.c.d:port``; other processes may share the address."""
+    """Bind and listen on ``a.b.c.d:port``, which other processes may share."""
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -45,10 +43,11 @@
 
 
 def prefer_successor(listener: socket.socket) -> bool:
-    """Have new connections go to the process that listens on the address since later.
+    """Direct new connections to the process that started listening on the address later.
 
-    Where there is none, the kernel finds no socket of that number and ``listener`` keeps getting
-    them. Return False where the kernel can't do it; it then goes on spreading them.
+    Without such a process the kernel finds no socket with that index, and ``listener`` keeps
+    receiving them. Return False if the kernel doesn't support it; connections are then still
+    distributed over all listeners.
     """
     instruction = struct.pack("HBBI", _BPF_RETURN_CONSTANT, 0, 0, _SUCCESSOR_INDEX)
     held = ctypes.create_string_buffer(instruction, len(instruction))
@@ -56,6 +55,6 @@
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
     except OSError as error:
-        logger.warning("new connections can't be directed to a successor: {}", error)
+        logger.warning("can't direct new connections to the successor: {}", error)
         return False
     return True
