--- a/tests/daemon/lone_callee.py
+++ b/tests/daemon/callee_fixture.py
@@ -1,4 +1,4 @@
-"""A callee by itself, with nothing behind it."""
+"""A callee with mocked dependencies."""
 
 import random
 from unittest.mock import Mock
@@ -14,8 +14,8 @@
 from finchshed.daemon.signatures import SignatureFactory
 
 
-def lone_callee(served: ServedRequests, paths: PathThresholds) -> Callee:
-    """Return a callee beside a back end that registers; neither is known of yet."""
+def make_callee(served: ServedRequests, paths: PathThresholds) -> Callee:
+    """Return a callee whose back end has yet to register, without a configuration."""
     settings = DaemonSettings(
         node="d1",
         region="texas",
--- a/tests/daemon/deployment.py
+++ b/tests/daemon/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests: control, back ends with their daemons, and an edge."""
+"""A test deployment: fake control, fake back ends, real daemon processes and an edge."""
 
 import asyncio
 import random
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What an outside caller got."""
+    """Response received by a client at the edge."""
 
     status: int
     headers: dict[str, str]
@@ -45,18 +45,18 @@
 
     @property
     def ran(self) -> str:
-        """Whether the request ran, as told; empty for an answer of the back end."""
+        """The ``finchshed-ran`` header: ``no`` or ``unknown``; empty for the back end's answer."""
         return self.headers.get("finchshed-ran", "")
 
     @property
     def reason(self) -> str:
-        """The reason told, or empty."""
+        """The ``finchshed-reason`` header, or empty."""
         return self.headers.get("finchshed-reason", "")
 
 
 @dataclass
 class Deployment:
-    """Running parts."""
+    """The running components of a deployment."""
 
     control: ScriptedControl
     backends: list[ScriptedBackend]
@@ -73,9 +73,9 @@
         edge: DaemonProcess | None = None,
         **headers: str,
     ) -> Answer:
-        """Send a request through ``edge``, by default the deployment's own one.
+        """Send a request through ``edge``, by default the deployment's own.
 
-        Underscores in header names stand for hyphens.
+        Underscores in header names become hyphens.
         """
         sent = {HEADER_SERVICE: SERVICE}
         sent.update({name.replace("_", "-"): value for name, value in headers.items()})
@@ -85,21 +85,21 @@
             return Answer(response.status, told, await response.read())
 
     async def buy(self, key: str, path: str = "/buy/1") -> Answer:
-        """Send a request that may not be repeated."""
+        """Send a non-repeatable request."""
         return await self.ask(path, "POST", b"order", **{HEADER_IDEMPOTENCY_KEY: key})
 
     def runs(self, path: str) -> int:
-        """Return how often the back ends were sent ``path``."""
+        """Return how many requests for ``path`` the back ends received."""
         return sum(backend.paths().count(path) for backend in self.backends)
 
 
 async def eventually(condition: Callable[[], object], seconds: float = 5.0) -> None:
-    """Wait until ``condition`` holds; fail if it doesn't in time."""
+    """Wait until ``condition`` holds; fail after ``seconds``."""
     for _ in range(int(seconds / POLL_SECONDS)):
         if condition():
             return
         await asyncio.sleep(POLL_SECONDS)
-    raise AssertionError("the condition did not come to hold")
+    raise AssertionError(f"the condition did not hold within {seconds} s")
 
 
 _keys = random.Random(7)
@@ -113,7 +113,7 @@
 def resources_for(
     daemons: list[DaemonProcess], service: Service = SERVICE_DECLARATION, retry_budget: int = 3
 ) -> tuple[Resource, ...]:
-    """Return the configuration that declares ``daemons``."""
+    """Return a configuration that declares ``daemons`` as endpoints."""
     endpoints = [
         Endpoint(
             name=daemon.node,
@@ -136,9 +136,9 @@
     health: Handler = healthy,
     service: Service = SERVICE_DECLARATION,
 ) -> AsyncIterator[Deployment]:
-    """Run one back end and daemon for each handler (by default one that echoes), and an edge.
+    """Run an edge, and a back end with its daemon for each handler (default: one echo handler).
 
-    ``health`` answers the checks of the back ends' health.
+    ``health`` answers the health checks of all back ends.
     """
     async with AsyncExitStack() as stack:
         control = await stack.enter_async_context(ScriptedControl(()))
--- a/tests/daemon/processes.py
+++ b/tests/daemon/processes.py
@@ -1,4 +1,4 @@
-"""Daemon processes for tests, on free ports."""
+"""Daemon processes for tests, on reserved ports."""
 
 import asyncio
 import os
@@ -21,10 +21,10 @@
 
 
 def free_address() -> str:
-    """Return an address that is kept for daemons of this test run.
+    """Reserve an address for a daemon of this test run.
 
-    The port lies below the range that outgoing connections draw from, and stays bound here with
-    SO_REUSEPORT, as daemons bind theirs, so that nobody else takes it before the daemon does.
+    The port is below the ephemeral range, and stays bound here with SO_REUSEPORT so that only a
+    daemon, which sets SO_REUSEPORT as well, can bind it.
     """
     while True:
         holder = socket.socket()
@@ -68,7 +68,7 @@
             await self.process.wait()
 
     async def start(self) -> None:
-        """Start the process and wait until it serves."""
+        """Start the process and wait until it is ready."""
         self.launch_arguments = self._arguments()
         self.process = await asyncio.create_subprocess_exec(
             *self.launch_arguments, env={**os.environ, "PYTHONPATH": str(SOURCE)}
@@ -76,7 +76,7 @@
         await self.serving()
 
     async def serving(self) -> None:
-        """Wait until the process takes calls."""
+        """Wait until the process accepts calls."""
         async with aiohttp.ClientSession() as session, asyncio.timeout(START_SECONDS):
             while True:
                 try:
@@ -88,7 +88,7 @@
                 await asyncio.sleep(0.02)
 
     async def draining(self) -> None:
-        """Wait until the process says that it takes no new work, and its peers can know."""
+        """Wait until the process reports that it is draining, and peers have been notified."""
         async with aiohttp.ClientSession() as session, asyncio.timeout(STOP_SECONDS):
             while True:
                 async with session.get(f"http://{self.admin_address}/healthz") as response:
@@ -98,12 +98,12 @@
         await asyncio.sleep(0.2)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         assert self.process is not None
         self.process.send_signal(number)
 
     async def stopped(self) -> int:
-        """Wait for the end of the process; return its exit code."""
+        """Wait for the process to exit; return its exit code."""
         assert self.process is not None
         async with asyncio.timeout(STOP_SECONDS):
             return await self.process.wait()
--- a/tests/daemon/scripted_backend.py
+++ b/tests/daemon/scripted_backend.py
@@ -1,4 +1,4 @@
-"""A back end for tests of daemons: it answers with the very bytes a test gives."""
+"""Fake back end that writes raw HTTP responses provided by a test."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 
 @dataclass
 class Received:
-    """A request as it came in."""
+    """A received request."""
 
     method: str
     path: str
@@ -21,10 +21,9 @@
 
 @dataclass
 class ScriptedBackend:
-    """Records each request and lets ``handler`` write the answer.
+    """Records each request and lets ``handler`` write the response.
 
-    Checks of its health are counted apart, and answered by ``health``: they are no work that was
-    sent to it.
+    Health checks are counted separately and answered by ``health``.
     """
 
     handler: Handler
@@ -47,14 +46,14 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop listening and cut every connection."""
+        """Stop listening and abort every connection."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def paths(self) -> list[str]:
-        """Return the paths asked for, in order."""
+        """Return the requested paths, in order."""
         return [received.path for received in self.received]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -88,7 +87,7 @@
 
 
 async def _closed(reader: asyncio.StreamReader) -> None:
-    """Return once the other side has closed; it sends nothing before its answer."""
+    """Return when the client closes the connection; it must not send anything else."""
     assert await reader.read(1) == b""
 
 
@@ -109,7 +108,7 @@
 
 
 def answer(body: bytes, status: int = 200, **headers: str) -> bytes:
-    """Return a whole HTTP answer; underscores in header names stand for hyphens."""
+    """Return an encoded HTTP response; underscores in header names become hyphens."""
     lines = [f"HTTP/1.1 {status} Text", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode() + body
@@ -121,5 +120,5 @@
 
 
 async def healthy(_: Received, writer: asyncio.StreamWriter) -> None:
-    """Answer a check of the health."""
+    """Answer a health check successfully."""
     writer.write(answer(b"well"))
--- a/tests/daemon/scripted_control.py
+++ b/tests/daemon/scripted_control.py
@@ -1,4 +1,4 @@
-"""A control node for tests of daemons: one configuration, and the real ledger in memory."""
+"""Fake control node: serves a fixed configuration and the production ledger, in memory."""
 
 import asyncio
 import time
@@ -29,7 +29,7 @@
 
 
 class ScriptedControl:
-    """Serves subscriptions and ledger requests on a free port."""
+    """Serves subscriptions and ledger requests on an ephemeral port."""
 
     def __init__(self, resources: tuple[Resource, ...], revision: int = 1) -> None:
         self.resources = resources
@@ -61,7 +61,7 @@
         self.disconnect()
 
     def publish(self, resources: tuple[Resource, ...]) -> None:
-        """Put another configuration in force."""
+        """Publish a new configuration revision."""
         self.resources = resources
         self.revision += 1
         for connection in self._connections:
@@ -73,7 +73,7 @@
             connection.send(message)
 
     def disconnect(self) -> None:
-        """Cut every connection."""
+        """Abort every connection."""
         for connection in list(self._connections):
             connection.abort()
 
--- a/tests/daemon/scripted_peer.py
+++ b/tests/daemon/scripted_peer.py
@@ -1,4 +1,4 @@
-"""A peer for tests of daemons: it speaks the link's messages and answers as a test says."""
+"""Fake peer daemon: speaks the link protocol and replies as a test specifies."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,12 +23,12 @@
 
 
 class ScriptedPeer:
-    """Takes links of daemons in place of the daemon beside a back end.
+    """Accepts links from daemons in place of the daemon beside a back end.
 
     Parameters
     ----------
     on_call
-        Called with the peer, the connection and each call.
+        Called with the peer, the connection and each received call.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
             lines.abort()
 
     def endpoint(self) -> Endpoint:
-        """Return the declaration of this peer."""
+        """Return the endpoint resource of this peer."""
         return Endpoint(
             name=NAME,
             service=SERVICE,
@@ -67,7 +67,7 @@
         )
 
     def reply_to(self, call: Call, body: bytes = b"", /, **changed: object) -> Reply:
-        """Return the answer to a call, by default its path, with fields changed."""
+        """Return a reply to a call, by default with its path as body, with fields ``changed``."""
         whole = body or call.path.encode()
         fields: dict[str, object] = {
             "epoch": call.epoch,
@@ -99,7 +99,7 @@
 
 
 def cut_line(lines: LineProtocol[PeerMessage], reply: Reply) -> None:
-    """Send half of a line, then close."""
+    """Send the first half of a line, then close."""
     encoded = encode_line(reply)
     lines.send_encoded(encoded[: len(encoded) // 2])
     lines.close()
--- a/tests/daemon/test_at_most_once.py
+++ b/tests/daemon/test_at_most_once.py
@@ -1,3 +1,5 @@
+"""Non-repeatable requests run at most once, and resends receive the recorded answer."""
+
 import asyncio
 import signal
 
@@ -11,10 +13,10 @@
 
     async with deployment(handler, handler) as system:
         key = make_key()
-        told = [await system.buy(key) for _ in range(6)]
+        responses = [await system.buy(key) for _ in range(6)]
         assert system.runs("/buy/1") == 1
-    assert {(answered.status, answered.body) for answered in told} == {(201, b"run 1")}
-    assert {answered.headers["x-receipt"] for answered in told} == {"77"}
+    assert {(response.status, response.body) for response in responses} == {(201, b"run 1")}
+    assert {response.headers["x-receipt"] for response in responses} == {"77"}
 
 
 async def test_a_key_is_needed_and_another_request_may_not_use_it() -> None:
@@ -33,18 +35,18 @@
 
 async def test_an_expired_key_is_refused_as_not_run() -> None:
     async with deployment() as system:
-        told = await system.buy(make_key(age_seconds=100_000.0))
+        response = await system.buy(make_key(age_seconds=100_000.0))
         assert system.runs("/buy/1") == 0
-    assert (told.status, told.ran, told.reason) == (409, "no", "key_expired")
+    assert (response.status, response.ran, response.reason) == (409, "no", "key_expired")
 
 
 async def test_without_a_quorum_only_repeatable_calls_run() -> None:
     async with deployment() as system:
         system.control.has_quorum = False
-        told = await system.buy(make_key())
+        response = await system.buy(make_key())
         repeatable = await system.ask("/look")
         assert system.runs("/buy/1") == 0
-    assert (told.status, told.ran, told.reason) == (503, "no", "ledger_unavailable")
+    assert (response.status, response.ran, response.reason) == (503, "no", "ledger_unavailable")
     assert repeatable.status == 200
 
 
@@ -54,10 +56,10 @@
 
     async with deployment(handler, handler) as system:
         key = make_key()
-        told = [await system.buy(key) for _ in range(5)]
+        responses = [await system.buy(key) for _ in range(5)]
         assert system.runs("/buy/1") == 1
-    assert {answered.ran for answered in told} == {"unknown"}
-    assert [answered.reason for answered in told[1:]] == ["outcome_unknown"] * 4
+    assert {response.ran for response in responses} == {"unknown"}
+    assert [response.reason for response in responses[1:]] == ["outcome_unknown"] * 4
 
 
 async def test_a_refusal_by_the_backend_frees_the_key() -> None:
@@ -71,11 +73,11 @@
         key = make_key()
         refused = await system.buy(key)
         for _ in range(20):
-            told = await system.buy(key)
-            if told.status == 200:
+            response = await system.buy(key)
+            if response.status == 200:
                 break
     assert (refused.ran, refused.reason) == ("no", "backend_refused")
-    assert (told.status, told.body) == (200, b"sold")
+    assert (response.status, response.body) == (200, b"sold")
 
 
 async def test_a_daemon_frozen_between_grant_and_send_does_not_send() -> None:
@@ -113,7 +115,9 @@
         again = [await system.buy(key) for _ in range(3)]
         assert system.runs("/buy/1") == 1
     assert (first.ran, first.reason) == ("unknown", "link_broken")
-    assert {(told.ran, told.reason) for told in again} == {("unknown", "outcome_unknown")}
+    assert {(response.ran, response.reason) for response in again} == {
+        ("unknown", "outcome_unknown")
+    }
 
 
 async def test_a_caller_that_leaves_does_not_cut_a_run_that_may_not_be_repeated() -> None:
@@ -127,10 +131,10 @@
         await eventually(lambda: system.runs("/buy/1"))
         buying.cancel()
         await asyncio.sleep(0.8)
-        told = await system.buy(key)
+        response = await system.buy(key)
         assert system.runs("/buy/1") == 1
         assert system.backends[0].closed_early == 0
-    assert (told.status, told.body) == (200, b"sold")
+    assert (response.status, response.body) == (200, b"sold")
 
 
 async def test_a_repeat_joins_the_request_in_progress() -> None:
@@ -146,14 +150,14 @@
         )
         assert system.runs("/buy/1") == 1
         assert system.runs("/look") == 1
-    assert {told.body for told in [*bought, *looked]} == {b"run 1"}
+    assert {response.body for response in [*bought, *looked]} == {b"run 1"}
 
 
 async def test_an_escaped_path_needs_a_key_like_a_plain_one() -> None:
     async with deployment() as system:
-        told = await system.ask("/%62uy/1", "POST", b"order")
+        response = await system.ask("/%62uy/1", "POST", b"order")
         assert system.runs("/%62uy/1") == 0
-    assert (told.status, told.ran, told.reason) == (400, "no", "key_missing")
+    assert (response.status, response.ran, response.reason) == (400, "no", "key_missing")
 
 
 async def test_what_the_ledger_says_of_a_key_is_final() -> None:
@@ -166,13 +170,13 @@
         unknown = make_key()
         await system.buy(unknown)
         system.control.begun.clear()
-        told = [await system.buy(key) for key in (future, expired, unknown)]
+        responses = [await system.buy(key) for key in (future, expired, unknown)]
         assert len(system.control.begun) == 3
         assert system.runs("/buy/1") == 1
-    assert [(answered.status, answered.ran, answered.reason) for answered in told] == [
+    assert [(response.status, response.ran, response.reason) for response in responses] == [
         (400, "no", "key_invalid"),
         (409, "no", "key_expired"),
         (409, "unknown", "outcome_unknown"),
     ]
-    assert ["retry-after" in answered.headers for answered in told] == [False, False, True]
-    assert "made_in_the_future" in told[0].body.decode()
+    assert ["retry-after" in response.headers for response in responses] == [False, False, True]
+    assert "made_in_the_future" in responses[0].body.decode()
--- a/tests/daemon/test_own_repeats.py
+++ b/tests/daemon/test_backend_retries.py
@@ -1,4 +1,4 @@
-"""A back end that repeats failed calls by itself pays for them from the retry budget."""
+"""Retries made by a back end itself are charged to the retry budget."""
 
 import asyncio
 
@@ -31,8 +31,8 @@
         writer.write(answer(b"done"))
 
     async with deployment(handler, retry_budget=BUDGET) as system:
-        told = await system.ask("/outer")
-        assert told.status == 200
+        response = await system.ask("/outer")
+        assert response.status == 200
         assert 1 < system.runs("/failing") <= 1 + BUDGET
         assert reasons[REPEATS - 1] == "retries_spent"
         assert system.runs("/fine") == REPEATS
--- a/tests/daemon/test_unconfirmed_daemon.py
+++ b/tests/daemon/test_calls_without_configuration.py
@@ -1,9 +1,4 @@
-"""A daemon that was restarted while no control node can be reached: its back end goes on serving.
-
-Seen on a day on which daemons restarted while they were cut off from control: their back ends were
-registered and called, and each call was refused for the lack of a configuration, though the calling
-daemon had found the route by one that was confirmed to it.
-"""
+"""A daemon restarted without access to control serves calls whose route the caller matched."""
 
 from unittest.mock import Mock
 
@@ -14,7 +9,7 @@
 from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.link.messages import Call, Reply
 from finchshed.retry.policy import is_redirect
-from tests.daemon.lone_callee import lone_callee
+from tests.daemon.callee_fixture import make_callee
 
 CONTEXT = CallContext("r1", Importance.NORMAL, 1.0)
 
@@ -32,7 +27,7 @@
 
 async def test_a_call_whose_route_the_caller_found_is_served_without_a_configuration() -> None:
     served = ServedRequests()
-    callee = lone_callee(served, PathThresholds(lambda *_: NO_THRESHOLD))
+    callee = make_callee(served, PathThresholds(lambda *_: NO_THRESHOLD))
     callee.set_instance("i-1", "sales", 8)
     link = Mock(epoch="e")
     callee.on_call(link, call("host/look/"))
@@ -42,7 +37,7 @@
 
 async def test_before_the_back_end_is_known_the_call_goes_elsewhere_at_no_cost() -> None:
     served = ServedRequests()
-    callee = lone_callee(served, PathThresholds(lambda *_: NO_THRESHOLD))
+    callee = make_callee(served, PathThresholds(lambda *_: NO_THRESHOLD))
     link = Mock(epoch="e")
     callee.on_call(link, call("host/look/"))
     assert is_redirect(outcome_of(link))
@@ -50,7 +45,7 @@
 
 
 async def test_a_call_under_a_route_of_its_service_still_needs_a_configuration() -> None:
-    callee = lone_callee(ServedRequests(), PathThresholds(lambda *_: NO_THRESHOLD))
+    callee = make_callee(ServedRequests(), PathThresholds(lambda *_: NO_THRESHOLD))
     callee.set_instance("i-1", "sales", 8)
     link = Mock(epoch="e")
     callee.on_call(link, call(""))
--- a/tests/daemon/test_connection_memory.py
+++ b/tests/daemon/test_connection_memory.py
@@ -1,4 +1,4 @@
-"""A connection of a caller is freed when it ends, without waiting for a collection."""
+"""A closed client connection is freed by reference counting, without garbage collection."""
 
 import gc
 import weakref
@@ -7,7 +7,7 @@
 
 
 class Owner:
-    """Stands in for the server, as far as an unused connection needs one."""
+    """Fake server with the members that an unused connection needs."""
 
     now = 0.0
 
--- a/tests/daemon/test_crash_watch.py
+++ b/tests/daemon/test_crash_detection.py
@@ -1,4 +1,4 @@
-"""A broken connection is a crash only where the back end takes no new one."""
+"""A broken connection counts as a crash only if the back end refuses new ones."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,34 +10,34 @@
 from tests.daemon.scripted_backend import ScriptedBackend, echo, healthy
 
 
-def watch(refuses: bool | Callable[[], bool], crashes: list[Any]) -> CrashDetector:
+def crash_detector(refuses: bool | Callable[[], bool], crashes: list[Any]) -> CrashDetector:
     backend = Mock()
     backend.refuses_connections = AsyncMock(return_value=refuses)
-    return CrashDetector(backend, lambda *told: crashes.append(told))
+    return CrashDetector(backend, lambda *arguments: crashes.append(arguments))
 
 
 async def test_what_broke_together_is_told_as_one_crash_before_anything_goes_on() -> None:
     crashes: list[Any] = []
-    ends: list[tuple[str, int]] = []
-    watching = watch(True, crashes)
+    continued: list[tuple[str, int]] = []
+    detector = crash_detector(True, crashes)
     for name in ("a", "b"):
-        watching.on_interrupted(
-            "i-1", InterruptedRequest(name, lambda n=name: ends.append((n, len(crashes))))
+        detector.on_interrupted(
+            "i-1", InterruptedRequest(name, lambda n=name: continued.append((n, len(crashes))))
         )
-    assert not ends
+    assert not continued
     await asyncio.sleep(0.1)
     assert crashes == [("i-1", ["a", "b"])]
-    assert ends == [("a", 1), ("b", 1)]
+    assert continued == [("a", 1), ("b", 1)]
 
 
 async def test_a_reset_of_connections_is_no_crash() -> None:
     crashes: list[Any] = []
-    ends: list[str] = []
-    watching = watch(False, crashes)
-    watching.on_interrupted("i-1", InterruptedRequest("a", lambda: ends.append("a")))
+    continued: list[str] = []
+    detector = crash_detector(False, crashes)
+    detector.on_interrupted("i-1", InterruptedRequest("a", lambda: continued.append("a")))
     await asyncio.sleep(0.1)
     assert not crashes
-    assert ends == ["a"]
+    assert continued == ["a"]
 
 
 async def test_a_back_end_refuses_connections_only_once_it_has_ended() -> None:
@@ -47,7 +47,7 @@
             assert not await client.refuses_connections()
             assert (
                 client.connections == 1
-            )  # it is kept for use, and shows that the process is there
+            )  # kept in the pool, which shows that the process is alive
         assert backend.connections == 1
         await backend.stop()
         await asyncio.sleep(0.05)
--- a/tests/daemon/test_draining.py
+++ b/tests/daemon/test_draining.py
@@ -1,4 +1,4 @@
-"""Signs of a drain and their announcement are apart; work is taken again once no sign is left."""
+"""Drain reasons and their announcement are separate; calls resume once no reason is left."""
 
 from unittest.mock import Mock
 
@@ -11,8 +11,8 @@
 NOT_LISTED = Hints((), 0.0)
 
 
-class Endpoint:
-    """An endpoint with one caller's link."""
+class DrainFixture:
+    """An endpoint with a link from one caller."""
 
     def __init__(self) -> None:
         self.state = DrainState()
@@ -20,61 +20,61 @@
         self.link = Mock()
         listener = Mock()
         listener.links.return_value = [self.link]
-        listing = Mock(spec=LocalMachineHints)
-        listing.is_leaving.side_effect = lambda hints, now: bool(hints.leaving)
-        self.announcer = DrainAnnouncer(self.state, self.identity, listing, listener)
+        local_hints = Mock(spec=LocalMachineHints)
+        local_hints.is_leaving.side_effect = lambda hints, now: bool(hints.leaving)
+        self.announcer = DrainAnnouncer(self.state, self.identity, local_hints, listener)
 
     def sent(self) -> list[str]:
         return [call[0] for call in self.link.method_calls]
 
 
 def test_a_stop_is_a_sign_before_callers_are_told() -> None:
-    endpoint = Endpoint()
-    endpoint.state.is_stopping = True
-    assert endpoint.state.is_draining
-    assert not endpoint.state.is_announced
-    assert endpoint.sent() == []
-    endpoint.announcer.announce()
-    assert endpoint.state.is_announced
-    assert endpoint.sent() == ["send_draining"]
+    fixture = DrainFixture()
+    fixture.state.is_stopping = True
+    assert fixture.state.is_draining
+    assert not fixture.state.is_announced
+    assert fixture.sent() == []
+    fixture.announcer.announce()
+    assert fixture.state.is_announced
+    assert fixture.sent() == ["send_draining"]
 
 
 def test_work_is_taken_again_only_once_no_sign_is_left() -> None:
-    endpoint = Endpoint()
-    endpoint.announcer.on_hints(LISTED)
-    endpoint.announcer.on_backend_draining()
-    endpoint.announcer.on_hints(NOT_LISTED)
-    assert endpoint.state.is_announced
-    endpoint.announcer.on_backend_returned()
-    assert not endpoint.state.is_announced
-    assert endpoint.sent() == ["send_draining", "send_draining", "send_hello"]
+    fixture = DrainFixture()
+    fixture.announcer.on_hints(LISTED)
+    fixture.announcer.on_backend_draining()
+    fixture.announcer.on_hints(NOT_LISTED)
+    assert fixture.state.is_announced
+    fixture.announcer.on_backend_returned()
+    assert not fixture.state.is_announced
+    assert fixture.sent() == ["send_draining", "send_draining", "send_hello"]
 
 
 def test_a_list_that_says_the_same_again_changes_nothing() -> None:
-    endpoint = Endpoint()
+    fixture = DrainFixture()
     for hints in (NOT_LISTED, LISTED, LISTED, NOT_LISTED, NOT_LISTED):
-        endpoint.announcer.on_hints(hints)
-    assert endpoint.sent() == ["send_draining", "send_load"]
-    assert not endpoint.state.is_announced
+        fixture.announcer.on_hints(hints)
+    assert fixture.sent() == ["send_draining", "send_load"]
+    assert not fixture.state.is_announced
 
 
 def test_a_back_end_that_returned_is_another_life_of_the_endpoint() -> None:
-    endpoint = Endpoint()
-    before = endpoint.identity.incarnation
-    endpoint.announcer.on_backend_draining()
-    assert endpoint.identity.incarnation == before
-    endpoint.announcer.on_backend_returned()
-    assert endpoint.identity.incarnation != before
+    fixture = DrainFixture()
+    before = fixture.identity.incarnation
+    fixture.announcer.on_backend_draining()
+    assert fixture.identity.incarnation == before
+    fixture.announcer.on_backend_returned()
+    assert fixture.identity.incarnation != before
 
 
 def test_one_that_returned_during_a_stop_keeps_its_life() -> None:
-    endpoint = Endpoint()
-    before = endpoint.identity.incarnation
-    endpoint.announcer.on_backend_draining()
-    endpoint.state.is_stopping = True
-    endpoint.announcer.on_backend_returned()
-    assert endpoint.state.is_announced
-    assert endpoint.identity.incarnation == before
+    fixture = DrainFixture()
+    before = fixture.identity.incarnation
+    fixture.announcer.on_backend_draining()
+    fixture.state.is_stopping = True
+    fixture.announcer.on_backend_returned()
+    assert fixture.state.is_announced
+    assert fixture.identity.incarnation == before
 
 
 def test_calls_are_refused_from_the_start_until_a_back_end_registers() -> None:
--- a/tests/daemon/test_host_front.py
+++ b/tests/daemon/test_host_requests.py
@@ -1,4 +1,4 @@
-"""Requests by host and path: what their heads say, and what becomes of them."""
+"""Requests routed by host: route matching, headers, deadlines and refusals."""
 
 import random
 from collections.abc import Callable
@@ -35,14 +35,14 @@
 
 
 def confirmed_lease() -> KeyLease:
-    """Return a lease that control has renewed at this moment."""
+    """Return a lease that control has just renewed."""
     lease = KeyLease()
     lease.on_answer(lease.next_question(clock.now()), 0)
     return lease
 
 
 class FakeCaller:
-    """Keeps the requests and answers each at once."""
+    """Records requests and answers each immediately."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
@@ -61,7 +61,7 @@
 
 
 class FakeQuotas:
-    """Decides as it is told, or later."""
+    """Admits requests, refuses them with ``refusal``, or queues them if ``is_slow``."""
 
     def __init__(self) -> None:
         self.refusal: Refused | None = None
@@ -84,8 +84,8 @@
         self.given_back.append(tenant)
 
 
-class Front:
-    """A front over a fake caller."""
+class HostFixture:
+    """A host request handler with a fake caller and fake quotas."""
 
     def __init__(self, *resources: Resource, lease: KeyLease | None = None) -> None:
         self.caller = FakeCaller()
@@ -93,7 +93,7 @@
         self.quotas = FakeQuotas()
         self.lease = confirmed_lease() if lease is None else lease
         self.reason: RefusalReason | None = None
-        self.front = HostRequestHandler(
+        self.handler = HostRequestHandler(
             self.caller,  # type: ignore[arg-type]
             self.served,
             NAMES,
@@ -106,60 +106,64 @@
         self.configure(*resources)
 
     def configure(self, *resources: Resource) -> None:
-        self.front.configure(Catalogue((Service("sales"), Service("ledger"), *resources), 3))
+        self.handler.configure(Catalogue((Service("sales"), Service("ledger"), *resources), 3))
 
-    def ask(self, target: str, then: Callable[[], None] = lambda: None, **told: str) -> Response:
-        """Send a request; ``then`` is called between its head and the end of its body."""
-        request = inbound(target, **told)
-        admitted = self.front.admit(request)
+    def ask(self, target: str, then: Callable[[], None] = lambda: None, **headers: str) -> Response:
+        """Send a request; ``then`` is called after its head was admitted, before it is handled."""
+        request = inbound(target, **headers)
+        admitted = self.handler.admit(request)
         if isinstance(admitted, Refused):
-            return self.front.refused(admitted)
+            return self.handler.refused(admitted)
         then()
         responses: list[Response] = []
-        self.front.handle(request, admitted, responses.append)
+        self.handler.handle(request, admitted, responses.append)
         return responses[0]
 
 
-def inbound(target: str, **told: str) -> InboundRequest:
-    headers = {"host": HOST, "finchshed-request": "r1", "finchshed-deadline-ms": "900"}
-    headers.update({name.replace("_", "-"): value for name, value in told.items()})
-    raw = [(name.encode(), value.encode()) for name, value in headers.items() if value]
+def inbound(target: str, **headers: str) -> InboundRequest:
+    sent = {"host": HOST, "finchshed-request": "r1", "finchshed-deadline-ms": "900"}
+    sent.update({name.replace("_", "-"): value for name, value in headers.items()})
+    raw = [(name.encode(), value.encode()) for name, value in sent.items() if value]
     return InboundRequest("127.0.0.1", "GET", target, raw, dict(raw))
 
 
 def test_the_longest_prefix_of_the_host_counts() -> None:
-    front = Front(route("/a/"), route("/a/b/", "ledger"))
-    assert front.ask("/a/b/c?x=/a/").status == 200
-    assert front.ask("/a/c", host="SALES.example:80").status == 200
-    assert [request.service for request in front.caller.requests] == ["ledger", "sales"]
-    assert front.ask("/ab/").status == 404
-    assert front.ask("/a/", host="other.example").status == 404
+    fixture = HostFixture(route("/a/"), route("/a/b/", "ledger"))
+    assert fixture.ask("/a/b/c?x=/a/").status == 200
+    assert fixture.ask("/a/c", host="SALES.example:80").status == 200
+    assert [request.service for request in fixture.caller.requests] == ["ledger", "sales"]
+    assert fixture.ask("/ab/").status == 404
+    assert fixture.ask("/a/", host="other.example").status == 404
 
 
 def test_a_route_that_goes_while_a_body_comes_in_still_answers_the_request() -> None:
-    front = Front(route("/a/"))
-    response = front.ask("/a/1", then=lambda: front.configure(route("/b/")))
+    fixture = HostFixture(route("/a/"))
+    response = fixture.ask("/a/1", then=lambda: fixture.configure(route("/b/")))
     assert response.status == 200
-    assert front.caller.requests[0].service == "sales"
-    assert front.ask("/a/1").status == 404
+    assert fixture.caller.requests[0].service == "sales"
+    assert fixture.ask("/a/1").status == 404
 
 
-@pytest.mark.parametrize(("told", "most"), [("900", 0.5), ("200", 0.2), ("0", 0.0), ("x", 0.5)])
-def test_the_time_left_is_the_smaller_of_the_callers_and_the_routes(told: str, most: float) -> None:
-    front = Front(route("/a/", timeout_seconds=0.5))
-    front.ask("/a/1", finchshed_deadline_ms=told)
-    left = front.caller.requests[0].context.remaining_seconds
-    assert most - 0.1 <= left <= most
+@pytest.mark.parametrize(
+    ("deadline_ms", "max_remaining"), [("900", 0.5), ("200", 0.2), ("0", 0.0), ("x", 0.5)]
+)
+def test_the_time_left_is_the_smaller_of_the_callers_and_the_routes(
+    deadline_ms: str, max_remaining: float
+) -> None:
+    fixture = HostFixture(route("/a/", timeout_seconds=0.5))
+    fixture.ask("/a/1", finchshed_deadline_ms=deadline_ms)
+    remaining = fixture.caller.requests[0].context.remaining_seconds
+    assert max_remaining - 0.1 <= remaining <= max_remaining
 
 
 def test_a_call_inherits_from_the_request_it_is_made_for() -> None:
-    front = Front(route("/a/", importance=Importance.CRITICAL), route("/c/"))
-    front.ask("/a/1", finchshed_request="r1")
-    parent = front.caller.requests[0].context
-    front.served.open(parent, 1e12, "r1")
-    front.ask("/c/1", finchshed_request="r1.x")
-    front.ask("/c/1", finchshed_request="r9.x")
-    call, stranger = (request.context for request in front.caller.requests[1:])
+    fixture = HostFixture(route("/a/", importance=Importance.CRITICAL), route("/c/"))
+    fixture.ask("/a/1", finchshed_request="r1")
+    parent = fixture.caller.requests[0].context
+    fixture.served.open(parent, 1e12, "r1")
+    fixture.ask("/c/1", finchshed_request="r1.x")
+    fixture.ask("/c/1", finchshed_request="r9.x")
+    call, stranger = (request.context for request in fixture.caller.requests[1:])
     assert (call.root, call.importance, call.is_call) == ("r1", Importance.CRITICAL, True)
     assert (stranger.root, stranger.importance, stranger.is_call) == (
         "r9.x",
@@ -169,8 +173,8 @@
 
 
 def test_headers_that_daemons_set_are_set_whatever_was_sent() -> None:
-    front = Front(route("/a/"))
-    front.ask(
+    fixture = HostFixture(route("/a/"))
+    fixture.ask(
         "/a/1",
         finchshed_caller_service="forged",
         finchshed_expect_instance="i-9",
@@ -178,7 +182,7 @@
         connection="x-hop, keep-alive",
         x_hop="dropped",
     )
-    headers = front.caller.requests[0].headers
+    headers = fixture.caller.requests[0].headers
     assert headers == (
         ("host", HOST),
         ("x-other", "kept"),
@@ -187,15 +191,15 @@
 
 
 def test_refusals_say_when_to_come_back_and_failures_do_not() -> None:
-    front = Front(route("/a/"), IngressLimits(max_body_bytes=10))
-    front.reason = RefusalReason.NO_CONFIGURATION
-    refused = front.ask("/a/1")
+    fixture = HostFixture(route("/a/"), IngressLimits(max_body_bytes=10))
+    fixture.reason = RefusalReason.NO_CONFIGURATION
+    refused = fixture.ask("/a/1")
     assert refused.status == 503
     assert float(dict(refused.headers)["retry-after"]) > 0.0
-    front.reason = None
-    assert front.ask("/a/1", finchshed_request="").status == 400
-    too_large = front.front.refusal(RefusalReason.REQUEST_TOO_LARGE, "limit: 10 bytes")
-    assert front.front.refused(too_large).status == 413
-    assert front.front.malformed("limit of the head: 10 bytes", 431).status == 431
-    front.caller.outcome = Answered(500, (("finchshed-downstream", "1"), ("x", "y")), b"")
-    assert front.ask("/a/1").headers == (("x", "y"),)
+    fixture.reason = None
+    assert fixture.ask("/a/1", finchshed_request="").status == 400
+    too_large = fixture.handler.refusal(RefusalReason.REQUEST_TOO_LARGE, "limit: 10 bytes")
+    assert fixture.handler.refused(too_large).status == 413
+    assert fixture.handler.malformed("limit of the head: 10 bytes", 431).status == 431
+    fixture.caller.outcome = Answered(500, (("finchshed-downstream", "1"), ("x", "y")), b"")
+    assert fixture.ask("/a/1").headers == (("x", "y"),)
--- a/tests/daemon/test_http_listener.py
+++ b/tests/daemon/test_http_listener.py
@@ -1,4 +1,4 @@
-"""The HTTP listener against raw bytes: framing, order, limits, and callers that leave."""
+"""HTTP server with raw connections: framing, ordering, limits and disconnecting clients."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -20,10 +20,10 @@
 
 @dataclass
 class ScriptedHandler:
-    """Answers with the target and body; a target that names it is held or refused."""
+    """Answers with target and body; special targets are delayed, refused or fail."""
 
-    held: dict[str, Callable[[Response], None]] = field(default_factory=dict)
-    given_up: list[str] = field(default_factory=list)
+    pending: dict[str, Callable[[Response], None]] = field(default_factory=dict)
+    cancelled: list[str] = field(default_factory=list)
     handled: list[InboundRequest] = field(default_factory=list)
 
     def admit(self, request: InboundRequest) -> str | Refused:
@@ -39,14 +39,14 @@
     ) -> Callable[[], None]:
         self.handled.append(request)
         if admitted.startswith("/held"):
-            self.held[admitted] = respond
+            self.pending[admitted] = respond
         elif admitted == "/fault":
             raise RuntimeError("a fault of the handler")
         elif admitted == "/injected":
             respond(Response(200, (("x", "a\r\ny: b"),), b"body"))
         else:
             respond(Response(200, (), admitted.encode() + b" " + request.body))
-        return lambda: self.given_up.append(admitted)
+        return lambda: self.cancelled.append(admitted)
 
     def refused(self, refused: Refused) -> Response:
         return Response(503, (("finchshed-ran", "no"),), refused.reason.encode())
@@ -59,8 +59,8 @@
 
 
 @dataclass
-class Listener:
-    """A listener on a free port, and one connection to it."""
+class ListenerClient:
+    """An HTTP server on an ephemeral port, and one connection to it."""
 
     handler: ScriptedHandler
     server: HttpServer[str]
@@ -69,12 +69,12 @@
     writer: asyncio.StreamWriter
 
     async def exchange(self, sent: bytes, answers: int = 1) -> list[tuple[int, bytes]]:
-        """Send bytes; return status and body of the answers."""
+        """Send bytes; return the status and body of each response."""
         self.writer.write(sent)
         return [await self.read() for _ in range(answers)]
 
     async def read(self) -> tuple[int, bytes]:
-        """Return status and body of the next answer."""
+        """Return the status and body of the next response."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = 0
         for line in head.decode().lower().split("\r\n"):
@@ -83,12 +83,12 @@
         return int(head.split()[1]), await self.reader.readexactly(length)
 
     async def ended(self) -> bool:
-        """Return whether the listener closed the connection and sent nothing more."""
+        """Return whether the server closed the connection without sending more."""
         return await self.reader.read(1) == b""
 
 
 @asynccontextmanager
-async def listener(spool_bytes: int = 100_000) -> AsyncIterator[Listener]:
+async def listener(spool_bytes: int = 100_000) -> AsyncIterator[ListenerClient]:
     handler = ScriptedHandler()
     spool = SpoolBudget(spool_bytes)
     server: HttpServer[str] = HttpServer(handler, spool)
@@ -97,7 +97,7 @@
     host, port = listening.sockets[0].getsockname()
     reader, writer = await asyncio.open_connection(host, port)
     async with asyncio.timeout(10.0):
-        yield Listener(handler, server, spool, reader, writer)
+        yield ListenerClient(handler, server, spool, reader, writer)
     writer.close()
     listening.close()
     server.close()
@@ -109,100 +109,100 @@
 
 
 async def test_requests_sent_together_are_answered_in_their_order() -> None:
-    async with listener() as to:
+    async with listener() as client:
         sent = b"".join(request(f"/{number}", body=b"abc") for number in range(20))
-        answers = await to.exchange(sent, answers=20)
+        answers = await client.exchange(sent, answers=20)
         assert answers == [(200, f"/{number} abc".encode()) for number in range(20)]
-        assert to.spool.held == 0
+        assert client.spool.held == 0
 
 
 async def test_a_request_waits_for_the_answer_to_the_one_before_it() -> None:
-    async with listener() as to:
-        to.writer.write(request("/held"))
-        await to.writer.drain()
-        await eventually(lambda: to.handler.held)
-        to.writer.write(request("/next"))
+    async with listener() as client:
+        client.writer.write(request("/held"))
+        await client.writer.drain()
+        await eventually(lambda: client.handler.pending)
+        client.writer.write(request("/next"))
         await asyncio.sleep(0.05)
-        assert [seen.target for seen in to.handler.handled] == ["/held"]
-        to.handler.held["/held"](Response(200, (), b"first"))
-        assert [await to.read(), await to.read()] == [(200, b"first"), (200, b"/next ")]
+        assert [seen.target for seen in client.handler.handled] == ["/held"]
+        client.handler.pending["/held"](Response(200, (), b"first"))
+        assert [await client.read(), await client.read()] == [(200, b"first"), (200, b"/next ")]
 
 
 async def test_a_request_may_come_byte_by_byte_and_in_chunks() -> None:
-    async with listener() as to:
+    async with listener() as client:
         sent = b"PUT /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
         sent += b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"
         for byte in sent:
-            to.writer.write(bytes([byte]))
-            await to.writer.drain()
-        assert await to.read() == (200, b"/a abcdefg")
-        assert to.spool.held == 0
+            client.writer.write(bytes([byte]))
+            await client.writer.drain()
+        assert await client.read() == (200, b"/a abcdefg")
+        assert client.spool.held == 0
 
 
 async def test_a_cut_request_is_never_handed_on() -> None:
-    async with listener() as to:
-        to.writer.write(request("/a", body=b"whole")[:-1])
-        await to.writer.drain()
+    async with listener() as client:
+        client.writer.write(request("/a", body=b"whole")[:-1])
+        await client.writer.drain()
         await asyncio.sleep(0.05)
-        to.writer.close()
+        client.writer.close()
         await asyncio.sleep(0.05)
-        assert to.handler.handled == []
-        assert to.spool.held == 0
-        assert to.server.connections == 0
+        assert client.handler.handled == []
+        assert client.spool.held == 0
+        assert client.server.connections == 0
 
 
 async def test_a_caller_that_leaves_gives_its_request_up() -> None:
-    async with listener() as to:
-        to.writer.write(request("/held", body=b"abc"))
-        await eventually(lambda: to.handler.held)
-        assert to.spool.held == 3
-        to.writer.transport.abort()
-        await eventually(lambda: to.handler.given_up)
-        to.handler.held["/held"](Response(200, (), b"too late"))
-        assert to.spool.held == 0
+    async with listener() as client:
+        client.writer.write(request("/held", body=b"abc"))
+        await eventually(lambda: client.handler.pending)
+        assert client.spool.held == 3
+        client.writer.transport.abort()
+        await eventually(lambda: client.handler.cancelled)
+        client.handler.pending["/held"](Response(200, (), b"too late"))
+        assert client.spool.held == 0
 
 
 @pytest.mark.parametrize("chunked", [False, True])
 async def test_a_body_past_its_limit_is_refused_and_dropped(chunked: bool) -> None:
-    async with listener() as to:
+    async with listener() as client:
         sent = request("/a", body=bytes(LIMIT + 1))
         if chunked:
             head = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
             sent = head + b"1f4\r\n" + bytes(500) + b"\r\n"
             sent += b"1f5\r\n" + bytes(501) + b"\r\n0\r\n\r\n"
-        assert await to.exchange(sent) == [(503, b"request_too_large")]
-        assert to.handler.handled == []
-        assert await to.exchange(request("/b")) == [(200, b"/b ")]
+        assert await client.exchange(sent) == [(503, b"request_too_large")]
+        assert client.handler.handled == []
+        assert await client.exchange(request("/b")) == [(200, b"/b ")]
 
 
 async def test_an_endless_body_is_answered_before_its_end() -> None:
-    async with listener() as to:
-        to.writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 999999999\r\n\r\n")
-        to.writer.write(bytes(http_connection.MAX_DISCARDED_BYTES + 2 * LIMIT))
-        assert await to.read() == (503, b"request_too_large")
-        assert await to.ended()
+    async with listener() as client:
+        client.writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 999999999\r\n\r\n")
+        client.writer.write(bytes(http_connection.MAX_DISCARDED_BYTES + 2 * LIMIT))
+        assert await client.read() == (503, b"request_too_large")
+        assert await client.ended()
 
 
 async def test_bodies_past_the_spool_are_refused() -> None:
-    async with listener(spool_bytes=10) as to:
-        assert await to.exchange(request("/a", body=bytes(11))) == [(503, b"overload")]
-        assert await to.exchange(request("/a", body=b"0123456789")) == [(200, b"/a 0123456789")]
-        assert to.spool.held == 0
+    async with listener(spool_bytes=10) as client:
+        assert await client.exchange(request("/a", body=bytes(11))) == [(503, b"overload")]
+        assert await client.exchange(request("/a", body=b"0123456789")) == [(200, b"/a 0123456789")]
+        assert client.spool.held == 0
 
 
 async def test_expect_is_answered_before_the_body_is_sent() -> None:
-    async with listener() as to:
+    async with listener() as client:
         head, body = request("/a", "Expect: 100-continue", body=b"abc").split(b"abc")[0], b"abc"
-        to.writer.write(head)
-        assert await to.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-        assert await to.exchange(body) == [(200, b"/a abc")]
+        client.writer.write(head)
+        assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
+        assert await client.exchange(body) == [(200, b"/a abc")]
 
 
 async def test_expect_of_a_refused_request_is_answered_with_the_refusal() -> None:
-    async with listener() as to:
+    async with listener() as client:
         head = request("/refused", "Expect: 100-continue", body=b"abc")[:-3]
-        assert await to.exchange(head) == [(503, b"overload")]
-        assert await to.ended()
+        assert await client.exchange(head) == [(503, b"overload")]
+        assert await client.ended()
 
 
 @pytest.mark.parametrize(
@@ -214,72 +214,72 @@
     ],
 )
 async def test_bytes_that_are_no_request_end_the_connection(sent: bytes) -> None:
-    async with listener() as to:
-        assert await to.exchange(sent) == [(400, b"malformed")]
-        assert await to.ended()
-        assert to.handler.handled == []
+    async with listener() as client:
+        assert await client.exchange(sent) == [(400, b"malformed")]
+        assert await client.ended()
+        assert client.handler.handled == []
 
 
 async def test_close_and_older_versions_end_the_connection() -> None:
     for sent in (request("/a", "Connection: close"), b"GET /a HTTP/1.0\r\nHost: x\r\n\r\n"):
-        async with listener() as to:
-            assert await to.exchange(sent) == [(200, b"/a ")]
-            assert await to.ended()
+        async with listener() as client:
+            assert await client.exchange(sent) == [(200, b"/a ")]
+            assert await client.ended()
 
 
 async def test_an_offered_upgrade_is_not_taken() -> None:
-    async with listener() as to:
+    async with listener() as client:
         sent = request("/a", "Connection: Upgrade, HTTP2-Settings", "Upgrade: h2c", method="GET")
-        assert await to.exchange(sent) == [(200, b"/a ")]
-        assert await to.ended()
+        assert await client.exchange(sent) == [(200, b"/a ")]
+        assert await client.ended()
 
 
 async def test_head_gets_no_body() -> None:
-    async with listener() as to:
-        to.writer.write(request("/a", method="HEAD") + request("/b", method="GET"))
-        head = await to.reader.readuntil(b"\r\n\r\n")
+    async with listener() as client:
+        client.writer.write(request("/a", method="HEAD") + request("/b", method="GET"))
+        head = await client.reader.readuntil(b"\r\n\r\n")
         assert b"content-length" not in head.lower()
-        assert await to.read() == (200, b"/b ")
+        assert await client.read() == (200, b"/b ")
 
 
 async def test_a_header_with_a_line_break_is_not_sent() -> None:
-    async with listener() as to:
-        assert (await to.exchange(request("/injected")))[0][0] == 500
+    async with listener() as client:
+        assert (await client.exchange(request("/injected")))[0][0] == 500
 
 
 async def test_a_fault_of_the_handler_is_not_taken_for_a_malformed_request() -> None:
     faults: list[object] = []
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(lambda _, context: faults.append(context.get("exception")))
-    async with listener() as to:
-        to.writer.write(request("/fault"))
-        assert await to.ended()
+    async with listener() as client:
+        client.writer.write(request("/fault"))
+        assert await client.ended()
     assert any(isinstance(fault, RuntimeError) for fault in faults)
 
 
 async def test_while_closing_each_answer_is_the_last_of_its_connection() -> None:
-    async with listener() as to:
-        to.server.closing = True
-        assert await to.exchange(request("/a")) == [(200, b"/a ")]
-        assert await to.ended()
+    async with listener() as client:
+        client.server.closing = True
+        assert await client.exchange(request("/a")) == [(200, b"/a ")]
+        assert await client.ended()
 
 
 async def test_a_head_past_its_limit_ends_the_connection() -> None:
-    async with listener() as to:
+    async with listener() as client:
         limit = ConnectionLimits().max_head_bytes
         sent = b"GET / HTTP/1.1\r\nX: " + b"a" * (limit + 10)
-        assert await to.exchange(sent) == [(431, b"limit of the head: %d bytes" % limit)]
-        assert await to.ended()
-        assert to.handler.handled == []
+        assert await client.exchange(sent) == [(431, b"limit of the head: %d bytes" % limit)]
+        assert await client.ended()
+        assert client.handler.handled == []
 
 
 async def test_idle_and_stuck_connections_are_closed() -> None:
-    async with listener() as to:
-        to.writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Le")
+    async with listener() as client:
+        client.writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Le")
         await asyncio.sleep(0.05)
-        to.server.sweep()
-        assert to.server.connections == 1
-        to.server.limits.read_seconds = -1.0
-        to.server.sweep()
-        assert await to.ended()
-        assert to.handler.handled == []
+        client.server.sweep()
+        assert client.server.connections == 1
+        client.server.limits.read_seconds = -1.0
+        client.server.sweep()
+        assert await client.ended()
+        assert client.handler.handled == []
--- a/tests/daemon/test_known_endpoints.py
+++ b/tests/daemon/test_known_endpoints.py
@@ -1,4 +1,4 @@
-"""What a daemon does with an update of the directory: one look at it all, and few log lines."""
+"""A directory update is applied once, with a bounded number of log lines."""
 
 from unittest.mock import Mock
 
@@ -26,8 +26,8 @@
 def test_daemons_without_a_back_end_yet_are_no_news() -> None:
     table, links = Mock(), Mock()
     endpoints = KnownEndpoints(table, links)
-    nobody = tuple(registration(host, instance="") for host in range(188))
-    assert logged(endpoints, DirectoryUpdate(nobody)) == []
+    without_backend = tuple(registration(host, instance="") for host in range(188))
+    assert logged(endpoints, DirectoryUpdate(without_backend)) == []
     table.replace.assert_not_called()
     assert len(endpoints) == 188
 
@@ -55,6 +55,6 @@
     table, links = Mock(), Mock()
     endpoints = KnownEndpoints(table, links)
     endpoints.on_update(DirectoryUpdate((registration(1), registration(2))))
-    anew = Registration("10.0.0.1:7000", 2, 0)
-    assert len(logged(endpoints, DirectoryUpdate((anew,)))) == 1
+    restarted = Registration("10.0.0.1:7000", 2, 0)
+    assert len(logged(endpoints, DirectoryUpdate((restarted,)))) == 1
     assert set(links.set_endpoints.call_args.args[0]) == {"i-2"}
--- a/tests/daemon/test_refusal_truth.py
+++ b/tests/daemon/test_outcome_accuracy.py
@@ -1,4 +1,4 @@
-"""What is told of each request, checked against the back ends' own record, under many failures."""
+"""Under injected faults, reported outcomes agree with what the back ends actually ran."""
 
 import asyncio
 import random
@@ -20,16 +20,16 @@
 
 @dataclass
 class Record:
-    """What the back ends ran, and what callers were told of each request."""
+    """What the back ends ran, and what was reported to clients."""
 
     rng: random.Random
     runs: Counter[str] = field(default_factory=Counter)
     answers: dict[str, set[bytes]] = field(default_factory=dict)
-    told_not_run: set[str] = field(default_factory=set)
+    reported_not_run: set[str] = field(default_factory=set)
     outcomes: Counter[str] = field(default_factory=Counter)
 
     async def backend(self, received: Received, writer: asyncio.StreamWriter) -> None:
-        """Refuse, run whole, run and break off, or run and hang."""
+        """Refuse, abort, truncate, delay or complete a request at random."""
         act = self.rng.random()
         if act < 0.1:
             writer.write(answer(b"busy", 503, finchshed_ran="no"))
@@ -46,14 +46,14 @@
         await asyncio.sleep(1.0 if act < 0.4 else self.rng.random() * 0.02)
         writer.write(whole)
 
-    def told(self, path: str, status: int, ran: str, reason: str, body: bytes) -> None:
-        """Take what a caller was told."""
+    def on_response(self, path: str, status: int, ran: str, reason: str, body: bytes) -> None:
+        """Record the response to a client."""
         if not ran:
             assert status == 200
             assert body.startswith(path.encode() + b" run ")
             self.answers.setdefault(path, set()).add(body)
         elif ran == "no":
-            self.told_not_run.add(path)
+            self.reported_not_run.add(path)
         self.outcomes[f"ran {ran or 'yes'} {reason}"] += 1
 
 
@@ -64,7 +64,7 @@
     path: str,
     headers: dict[str, str],
 ) -> str:
-    """Send one request, perhaps leave before its end; return ``ran`` as told, or ``left``."""
+    """Send a request, some with a short timeout; return its ``ran`` header, or ``left``."""
     method = "POST" if path.startswith("/buy") else "GET"
     patience = 0.003 if record.rng.random() < 0.1 else 5.0
     timeout = aiohttp.ClientTimeout(total=patience)
@@ -75,12 +75,14 @@
     except (aiohttp.ClientError, TimeoutError):
         return "left"
     ran = response.headers.get("finchshed-ran", "")
-    record.told(path, response.status, ran, response.headers.get("finchshed-reason", ""), body)
+    record.on_response(
+        path, response.status, ran, response.headers.get("finchshed-reason", ""), body
+    )
     return ran
 
 
 async def client(record: Record, number: int, edges: list[DaemonProcess]) -> None:
-    """Send requests one after the other, those that may not be repeated several times."""
+    """Send requests sequentially, resending non-repeatable ones."""
     async with aiohttp.ClientSession() as session:
         for count in range(REQUESTS // CLIENTS):
             is_bought = record.rng.random() < 0.5
@@ -90,12 +92,12 @@
             if is_bought:
                 headers["idempotency-key"] = make_key()
             for resend in range(RESENDS if is_bought else 1):
-                # A look that was told not to have run is not sent again, so that this stays true.
+                # Repeatable requests are sent once: a resend could run after "did not run".
                 await send(record, session, edges[(number + resend) % 2], path, headers)
 
 
 async def break_daemons(record: Record, system: Deployment) -> None:
-    """Kill or freeze a daemon beside a back end now and then."""
+    """Periodically kill or suspend a daemon."""
     while True:
         await asyncio.sleep(0.4)
         daemon = record.rng.choice(system.daemons)
@@ -125,14 +127,14 @@
             )
             breaking.cancel()
             await asyncio.gather(breaking, return_exceptions=True)
-            # What is still on its way must not run after all.
+            # Wait for requests in flight, which must not run late.
             await asyncio.sleep(1.0)
-    looks_refused = {path for path in record.told_not_run if path.startswith("/look")}
+    looks_refused = {path for path in record.reported_not_run if path.startswith("/look")}
     assert [path for path in looks_refused if record.runs[path]] == []
     bought = [path for path in record.runs if path.startswith("/buy")]
     assert [path for path in bought if record.runs[path] > 1] == []
     assert [path for path, bodies in record.answers.items() if len(bodies) > 1] == []
-    # The failures came about.
+    # Every kind of outcome must have occurred.
     kinds = {outcome.split()[1] for outcome in record.outcomes}
     assert kinds == {"yes", "no", "unknown"}
     assert {"ran unknown outcome_unknown", "ran no deadline"} <= set(record.outcomes)
@@ -153,7 +155,7 @@
         key = make_key()
         first = await system.buy(key)
         refuse = False
-        told = [await system.buy(key) for _ in range(4)]
+        responses = [await system.buy(key) for _ in range(4)]
     assert (first.ran, first.reason) == ("no", "backend_refused")
-    assert {answered.body for answered in told if answered.status == 200} == {b"sold"}
+    assert {response.body for response in responses if response.status == 200} == {b"sold"}
     assert len(runs) == 1
--- a/tests/daemon/test_answers_of_peers.py
+++ b/tests/daemon/test_peer_replies.py
@@ -1,4 +1,4 @@
-"""Answers that come late, doubled, reordered, cut, corrupt or under another's name on a link."""
+"""Late, duplicate, reordered, truncated, corrupt or misaddressed replies on a link are rejected."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -27,7 +27,7 @@
     session: aiohttp.ClientSession
 
     async def ask(self, path: str, **headers: str) -> tuple[int, str, bytes]:
-        """Send a request; return status, reason and body."""
+        """Send a request; return the status, reason and body."""
         sent = {"finchshed-service": SERVICE}
         sent.update({name.replace("_", "-"): value for name, value in headers.items()})
         url = f"http://{self.edge.http_address}{path}"
@@ -54,9 +54,9 @@
         lines.send(peer.reply_to(call, b"doubled"))
 
     async with edge_of(twice) as system:
-        told = [await system.ask(f"/{number}") for number in range(20)]
+        responses = [await system.ask(f"/{number}") for number in range(20)]
         assert system.peer.links == 1
-    assert told == [(200, "", f"/{number}".encode()) for number in range(20)]
+    assert responses == [(200, "", f"/{number}".encode()) for number in range(20)]
 
 
 async def test_answers_of_another_epoch_or_identity_find_nobody() -> None:
@@ -66,8 +66,8 @@
         lines.send(peer.reply_to(call))
 
     async with edge_of(stray) as system:
-        told = [await system.ask(f"/{number}") for number in range(10)]
-    assert told == [(200, "", f"/{number}".encode()) for number in range(10)]
+        responses = [await system.ask(f"/{number}") for number in range(10)]
+    assert responses == [(200, "", f"/{number}".encode()) for number in range(10)]
 
 
 async def test_reordered_answers_reach_their_own_callers() -> None:
@@ -80,8 +80,8 @@
                 lines.send(peer.reply_to(other))
 
     async with edge_of(reverse) as system:
-        told = await asyncio.gather(*(system.ask(f"/{number}") for number in range(30)))
-    assert told == [(200, "", f"/{number}".encode()) for number in range(30)]
+        responses = await asyncio.gather(*(system.ask(f"/{number}") for number in range(30)))
+    assert responses == [(200, "", f"/{number}".encode()) for number in range(30)]
 
 
 async def test_a_late_answer_finds_nobody_and_the_call_was_cancelled() -> None:
@@ -98,10 +98,10 @@
     async with edge_of(hold) as system:
         first = await system.ask("/late", finchshed_deadline_ms="100")
         await eventually(lambda: system.peer.cancels)
-        told = [await system.ask(f"/{number}") for number in range(5)]
+        responses = [await system.ask(f"/{number}") for number in range(5)]
         assert system.peer.cancels == [late[0].call]
     assert first[:2] == (504, "deadline")
-    assert told == [(200, "", f"/{number}".encode()) for number in range(5)]
+    assert responses == [(200, "", f"/{number}".encode()) for number in range(5)]
 
 
 async def test_an_answer_that_differs_from_its_digest_is_not_handed_on() -> None:
@@ -110,8 +110,8 @@
         lines.send(peer.reply_to(call, digest=digest))
 
     async with edge_of(corrupt) as system:
-        told = await system.ask("/a")
-    assert told[:2] == (502, "answer_corrupt")
+        responses = await system.ask("/a")
+    assert responses[:2] == (502, "answer_corrupt")
 
 
 async def test_a_cut_line_ends_its_link_and_every_call_on_it_as_unknown() -> None:
@@ -126,10 +126,10 @@
             cut_line(lines, peer.reply_to(call))
 
     async with edge_of(cut) as system:
-        told = await asyncio.gather(*(system.ask(f"/{number}") for number in range(3)))
+        responses = await asyncio.gather(*(system.ask(f"/{number}") for number in range(3)))
         await eventually(lambda: system.peer.links == 2)
         after = await _ask_until_answered(system)
-    assert [answered[:2] for answered in told] == [(502, "link_broken")] * 3
+    assert [response[:2] for response in responses] == [(502, "link_broken")] * 3
     assert after == (200, "", b"/after")
 
 
@@ -141,17 +141,17 @@
             lines.send(peer.reply_to(call))
 
     async with edge_of(malformed) as system:
-        told = await system.ask("/bad")
+        responses = await system.ask("/bad")
         after = await _ask_until_answered(system)
-    assert told[:2] == (502, "link_broken")
+    assert responses[:2] == (502, "link_broken")
     assert after == (200, "", b"/after")
 
 
 async def _ask_until_answered(system: System) -> tuple[int, str, bytes]:
-    """Ask until the link is open anew; refusals until then are no answers."""
+    """Repeat a request that is refused until the link is reopened."""
     for _ in range(200):
-        told = await system.ask("/after")
-        if told[0] != 503:
-            return told
+        responses = await system.ask("/after")
+        if responses[0] != 503:
+            return responses
         await asyncio.sleep(0.02)
-    raise AssertionError("the link is not opened anew")
+    raise AssertionError("the link was not reopened in 200 attempts")
--- a/tests/daemon/test_planned_stop.py
+++ b/tests/daemon/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops of real daemon processes under load: counts, not times."""
+"""Planned stops and restarts of real daemon processes under load fail no request."""
 
 import asyncio
 import signal
@@ -21,42 +21,44 @@
 
 @dataclass
 class Load:
-    """Clients that send one request after the other until told to stop."""
+    """Clients that send requests sequentially until ``is_over`` is set."""
 
     system: Deployment
-    told: Counter[tuple[int, str]] = field(default_factory=Counter)
-    bought: int = 0
+    outcomes: Counter[tuple[int, str]] = field(default_factory=Counter)
+    non_repeatable_sent: int = 0
     is_over: bool = False
 
     async def run(self, number: int, fresh: bool) -> None:
-        """Send requests, on a new connection each if ``fresh``."""
+        """Send requests, each on a new connection if ``fresh``."""
         connector = aiohttp.TCPConnector(force_close=fresh)
         async with aiohttp.ClientSession(connector=connector) as session:
             count = 0
             while not self.is_over:
                 count += 1
-                await self._send(session, f"c{number}-{count}", is_bought=count % 5 == 0)
+                await self._send(session, f"c{number}-{count}", is_non_repeatable=count % 5 == 0)
 
-    async def _send(self, session: aiohttp.ClientSession, name: str, *, is_bought: bool) -> None:
-        path = f"/buy/{name}" if is_bought else f"/look/{name}"
+    async def _send(
+        self, session: aiohttp.ClientSession, name: str, *, is_non_repeatable: bool
+    ) -> None:
+        path = f"/buy/{name}" if is_non_repeatable else f"/look/{name}"
         headers = {"finchshed-service": "licence"}
-        if is_bought:
+        if is_non_repeatable:
             headers["idempotency-key"] = make_key()
         url = f"http://{self.system.edge.http_address}{path}"
-        method = "POST" if is_bought else "GET"
+        method = "POST" if is_non_repeatable else "GET"
         try:
             async with session.request(method, url, headers=headers) as response:
                 body = await response.read()
                 reason = response.headers.get("finchshed-reason", "")
                 if body != path.encode():
                     reason = reason or "another answer"
-                self.told[response.status, reason] += 1
+                self.outcomes[response.status, reason] += 1
         except aiohttp.ClientError as error:
-            self.told[0, repr(error)] += 1
-        self.bought += is_bought
+            self.outcomes[0, repr(error)] += 1
+        self.non_repeatable_sent += is_non_repeatable
 
-    def bought_twice(self) -> list[str]:
-        """Return what ran more than once of what may not be repeated."""
+    def run_more_than_once(self) -> list[str]:
+        """Return the paths of non-repeatable requests that ran more than once."""
         runs = Counter(
             received.path
             for backend in self.system.backends
@@ -66,9 +68,9 @@
         return [path for path, count in runs.items() if count > 1]
 
     async def past(self, answers: int) -> None:
-        """Wait until that many more answers have come."""
-        wanted = self.told.total() + answers
-        await eventually(lambda: self.told.total() >= wanted, seconds=20.0)
+        """Wait for ``answers`` more answers."""
+        wanted = self.outcomes.total() + answers
+        await eventually(lambda: self.outcomes.total() >= wanted, seconds=20.0)
 
 
 async def test_a_rolling_restart_of_the_daemons_fails_no_request() -> None:
@@ -85,9 +87,9 @@
         await load.past(60)
         load.is_over = True
         await asyncio.gather(*clients)
-        assert load.bought_twice() == []
-    assert set(load.told) == {(200, "")}
-    assert load.bought > 20
+        assert load.run_more_than_once() == []
+    assert set(load.outcomes) == {(200, "")}
+    assert load.non_repeatable_sent > 20
 
 
 async def test_an_edge_hands_its_address_to_its_successor_without_a_failed_request() -> None:
@@ -111,8 +113,8 @@
         load.is_over = True
         await asyncio.gather(*clients)
         await edges[-1].__aexit__()
-        assert load.bought_twice() == []
-    assert set(load.told) == {(200, "")}
+        assert load.run_more_than_once() == []
+    assert set(load.outcomes) == {(200, "")}
 
 
 async def test_a_stopping_edge_finishes_what_it_has_and_what_comes_meanwhile() -> None:
@@ -159,7 +161,7 @@
         writer.write(answer(b"inner"))
 
     async with deployment(outer) as system:
-        # A connection of the back end from before the stop: new ones are not taken any more.
+        # Opens the connection before the stop, since new ones are refused afterwards.
         url = f"http://{system.daemons[0].http_address}/none"
         async with system.session.get(url) as response:
             assert response.status == 404
--- a/tests/daemon/test_platform_hints.py
+++ b/tests/daemon/test_platform_hints.py
@@ -1,3 +1,5 @@
+"""A listed machine drains, unless the entry may refer to an earlier machine at its address."""
+
 import asyncio
 import random
 import signal
@@ -67,13 +69,13 @@
         system.control.tell(Hints((LeavingHint("licence-1", 0.0),), 0.0))
         await asyncio.sleep(0.3)
         before = len(system.backends[0].received)
-        told = [await system.ask(f"/b{number}") for number in range(30)]
+        responses = [await system.ask(f"/b{number}") for number in range(30)]
         assert len(system.backends[0].received) == before
         system.control.tell(Hints((), 0.0))
         await asyncio.sleep(0.3)
-        told += await asyncio.gather(*(system.ask(f"/c{number}") for number in range(30)))
+        responses += await asyncio.gather(*(system.ask(f"/c{number}") for number in range(30)))
         assert len(system.backends[0].received) > before
-    assert {answered.status for answered in told} == {200}
+    assert {response.status for response in responses} == {200}
 
 
 def test_own_listing_counts_for_a_daemon_older_than_the_lag_only() -> None:
@@ -95,6 +97,6 @@
         await edge.stopped()
         await edge.start()
         before = len(system.backends[0].received)
-        told = [await system.ask(f"/b{number}") for number in range(30)]
+        responses = [await system.ask(f"/b{number}") for number in range(30)]
         assert len(system.backends[0].received) == before
-    assert {answered.status for answered in told} == {200}
+    assert {response.status for response in responses} == {200}
--- a/tests/daemon/test_quarantine.py
+++ b/tests/daemon/test_quarantine.py
@@ -1,4 +1,4 @@
-"""How a daemon hears and tells of requests that crash back ends."""
+"""Crash records are exchanged with control, or over links without it, and suspects run serially."""
 
 from typing import Any
 from unittest.mock import Mock
@@ -20,11 +20,11 @@
 SIGNATURES = SignatureFactory(HeaderNames())
 REQUEST = Request("s", "GET", "/p", (), b"", CallContext("r", Importance.NORMAL, 1.0, 1))
 SIGNATURE = SIGNATURES.compute(REQUEST)
-SIGNER = SIGNATURES.lazy_signature(REQUEST)
+LAZY_SIGNATURE = SIGNATURES.lazy_signature(REQUEST)
 
 
-class Node:
-    """A daemon's quarantine, its client to control and its links as they are told."""
+class QuarantineFixture:
+    """A quarantine with a fake control client that records what is sent to control and links."""
 
     def __init__(self, *, is_connected: bool) -> None:
         self.client = Mock(is_connected=is_connected, connections_made=int(is_connected))
@@ -42,70 +42,70 @@
 
 
 def test_control_is_told_of_each_crash_once_and_links_are_spared() -> None:
-    node = Node(is_connected=True)
-    node.crash("i-1")
-    node.quarantine.tick()
-    node.quarantine.tick()
-    assert len(node.to_control) == 1
-    assert not node.to_links
+    fixture = QuarantineFixture(is_connected=True)
+    fixture.crash("i-1")
+    fixture.quarantine.tick()
+    fixture.quarantine.tick()
+    assert len(fixture.to_control) == 1
+    assert not fixture.to_links
 
 
 def test_without_control_links_are_told_and_pass_on_what_is_news() -> None:
-    first, second = Node(is_connected=False), Node(is_connected=False)
+    first, second = QuarantineFixture(is_connected=False), QuarantineFixture(is_connected=False)
     first.crash("i-1", "i-2", "i-3")
     for news in first.to_links:
         second.quarantine.on_peer_news(news.records)
-    assert second.quarantine.check(SIGNER).suspicion is Suspicion.QUARANTINED
-    passed_on = len(second.to_links)
-    assert passed_on == len(first.to_links) == 3
+    assert second.quarantine.check(LAZY_SIGNATURE).suspicion is Suspicion.QUARANTINED
+    forwarded = len(second.to_links)
+    assert forwarded == len(first.to_links) == 3
     for news in first.to_links:
         second.quarantine.on_peer_news(news.records)
-    assert len(second.to_links) == passed_on
+    assert len(second.to_links) == forwarded
 
 
 def test_control_that_returns_is_told_what_was_heard_without_it() -> None:
-    node = Node(is_connected=False)
-    node.crash("i-1")
-    node.quarantine.tick()
-    node.client.is_connected = True
-    node.client.connections_made += 1
-    node.quarantine.tick()
-    assert [news.records[0].signature for news in node.to_control] == [SIGNATURE]
-    # A control node that is lost may not have passed on what it was told last.
-    node.client.is_connected = False
-    told = len(node.to_links)
-    node.quarantine.tick()
-    assert len(node.to_links) == told + 1
+    fixture = QuarantineFixture(is_connected=False)
+    fixture.crash("i-1")
+    fixture.quarantine.tick()
+    fixture.client.is_connected = True
+    fixture.client.connections_made += 1
+    fixture.quarantine.tick()
+    assert [news.records[0].signature for news in fixture.to_control] == [SIGNATURE]
+    # The last records may be lost with the control node, so they are sent on the links.
+    fixture.client.is_connected = False
+    sent = len(fixture.to_links)
+    fixture.quarantine.tick()
+    assert len(fixture.to_links) == sent + 1
 
 
 def test_another_control_node_is_told_all_and_one_that_knows_nothing_again() -> None:
-    node = Node(is_connected=True)
-    node.crash("i-1", "i-2")
-    node.quarantine.tick()
-    assert len(node.to_control) == 2
-    node.client.connections_made += 1
-    node.quarantine.tick()
-    node.quarantine.tick()
-    assert len(node.to_control) == 3
-    assert len(node.to_control[-1].records[0].crashes) == 2
+    fixture = QuarantineFixture(is_connected=True)
+    fixture.crash("i-1", "i-2")
+    fixture.quarantine.tick()
+    assert len(fixture.to_control) == 2
+    fixture.client.connections_made += 1
+    fixture.quarantine.tick()
+    fixture.quarantine.tick()
+    assert len(fixture.to_control) == 3
+    assert len(fixture.to_control[-1].records[0].crashes) == 2
 
 
 def test_an_answer_tells_the_daemon_that_sent_the_request() -> None:
-    beside, sender = Node(is_connected=True), Node(is_connected=True)
-    beside.crash("i-1", "i-2", "i-3")
-    record = beside.quarantine.crash_record(SIGNER)
+    callee, sender = QuarantineFixture(is_connected=True), QuarantineFixture(is_connected=True)
+    callee.crash("i-1", "i-2", "i-3")
+    record = callee.quarantine.crash_record(LAZY_SIGNATURE)
     assert record is not None
     sender.quarantine.on_answer(record)
-    assert sender.quarantine.check(SIGNER).suspicion is Suspicion.QUARANTINED
+    assert sender.quarantine.check(LAZY_SIGNATURE).suspicion is Suspicion.QUARANTINED
 
 
 def test_a_request_that_ran_to_an_end_is_free_again_everywhere() -> None:
-    node = Node(is_connected=True)
-    node.crash("i-1")
-    assert node.quarantine.check(SIGNER).suspicion is Suspicion.SUSPECT
-    node.quarantine.on_completed(SIGNER)
-    assert node.quarantine.check(SIGNER).suspicion is Suspicion.FREE
-    assert node.to_control[-1].records[0].refuted == ("i-1",)
+    fixture = QuarantineFixture(is_connected=True)
+    fixture.crash("i-1")
+    assert fixture.quarantine.check(LAZY_SIGNATURE).suspicion is Suspicion.SUSPECT
+    fixture.quarantine.on_completed(LAZY_SIGNATURE)
+    assert fixture.quarantine.check(LAZY_SIGNATURE).suspicion is Suspicion.FREE
+    assert fixture.to_control[-1].records[0].refuted == ("i-1",)
 
 
 def test_suspects_take_turns_and_few_of_them_wait() -> None:
--- a/tests/daemon/test_quota_gate.py
+++ b/tests/daemon/test_quota_gate.py
@@ -1,4 +1,4 @@
-"""A daemon's gate of quotas: tokens from its bucket or the leader, and what is refused."""
+"""Quota gate: tokens come from the local bucket or the leader; other requests are refused."""
 
 import asyncio
 import random
@@ -20,11 +20,11 @@
 )
 
 LIMITED = Tenant("t", requests_per_second=100.0, burst_requests=100.0)
-LIFE = "life"
+INCARNATION = "life"
 
 
 class FakeClient:
-    """Keeps what is sent to the leader."""
+    """Records requests sent to the leader."""
 
     def __init__(self) -> None:
         self.sent: list[QuotaRequest] = []
@@ -43,100 +43,100 @@
         self.on_quota(answer)  # type: ignore[no-untyped-call]
 
 
-class Deployed:
-    """A gate over a fake client."""
+class QuotaFixture:
+    """A quota gate with a fake client."""
 
     def __init__(self) -> None:
         self.client = FakeClient()
-        self.gate = QuotaGate(self.client, LIFE, 1, random.Random(1))  # type: ignore[arg-type]
+        self.gate = QuotaGate(self.client, INCARNATION, 1, random.Random(1))  # type: ignore[arg-type]
         self.gate.configure(Catalogue((LIMITED, Tenant("free"))))
-        self.decided: list[Refused | None] = []
+        self.decisions: list[Refused | None] = []
 
     def ask(self, count: int = 1, tenant: str = "t") -> None:
         for _ in range(count):
-            self.leave = self.gate.admit(tenant, self.decided.append)
+            self.cancel = self.gate.admit(tenant, self.decisions.append)
 
-    def tokens(self, tokens: int, incarnation: str = LIFE) -> None:
+    def grant(self, tokens: int, incarnation: str = INCARNATION) -> None:
         number = self.client.asks()[-1].number
         self.client.answer(QuotaTokens(incarnation, number, tokens, 0.1))
 
     def reasons(self) -> list[RefusalReason | None]:
-        return [None if item is None else item.reason for item in self.decided]
+        return [None if item is None else item.reason for item in self.decisions]
 
 
 @pytest.fixture
-async def deployed() -> Deployed:
-    return Deployed()
+async def quotas() -> QuotaFixture:
+    return QuotaFixture()
 
 
-async def test_a_tenant_without_a_limit_needs_no_token(deployed: Deployed) -> None:
-    deployed.ask(3, "free")
-    assert deployed.decided == [None, None, None]
-    assert not deployed.client.asks()
+async def test_a_tenant_without_a_limit_needs_no_token(quotas: QuotaFixture) -> None:
+    quotas.ask(3, "free")
+    assert quotas.decisions == [None, None, None]
+    assert not quotas.client.asks()
 
 
 async def test_requests_wait_for_one_ask_and_the_next_asks_for_all_that_wait(
-    deployed: Deployed,
+    quotas: QuotaFixture,
 ) -> None:
-    deployed.ask(4)
-    assert [ask.tokens for ask in deployed.client.asks()] == [1]
-    deployed.tokens(1)
-    assert deployed.decided == [None]
-    assert [ask.tokens for ask in deployed.client.asks()] == [1, 3]
-    deployed.tokens(2)
-    assert deployed.reasons() == [None, None, None, RefusalReason.QUOTA_EXCEEDED]
-    refused = deployed.decided[-1]
+    quotas.ask(4)
+    assert [ask.tokens for ask in quotas.client.asks()] == [1]
+    quotas.grant(1)
+    assert quotas.decisions == [None]
+    assert [ask.tokens for ask in quotas.client.asks()] == [1, 3]
+    quotas.grant(2)
+    assert quotas.reasons() == [None, None, None, RefusalReason.QUOTA_EXCEEDED]
+    refused = quotas.decisions[-1]
     assert refused is not None
     assert refused.retry_after > 0.0
     assert "tenant t" in refused.detail
 
 
-async def test_an_answer_to_a_former_life_is_passed_over(deployed: Deployed) -> None:
-    deployed.ask()
-    deployed.tokens(1, incarnation="former")
-    assert not deployed.decided
+async def test_an_answer_to_a_former_life_is_passed_over(quotas: QuotaFixture) -> None:
+    quotas.ask()
+    quotas.grant(1, incarnation="former")
+    assert not quotas.decisions
 
 
-async def test_without_an_answer_nothing_is_said_of_the_limit(deployed: Deployed) -> None:
-    deployed.ask(2)
+async def test_without_an_answer_nothing_is_said_of_the_limit(quotas: QuotaFixture) -> None:
+    quotas.ask(2)
     await asyncio.sleep(2.0 * ANSWER_SECONDS)
-    assert deployed.reasons() == [RefusalReason.QUOTA_UNCONFIRMED] * 2
-    deployed.tokens(1)
-    deployed.ask()
-    assert deployed.reasons() == [RefusalReason.QUOTA_UNCONFIRMED] * 3
-
-
-async def test_without_a_connection_nothing_waits(deployed: Deployed) -> None:
-    deployed.client.is_connected = False
-    deployed.ask()
-    assert deployed.reasons() == [RefusalReason.QUOTA_UNCONFIRMED]
-
-
-async def test_a_request_that_left_leaves_its_token_to_the_next(deployed: Deployed) -> None:
-    deployed.ask()
-    number = next(item for item in deployed.client.sent if isinstance(item, QuotaReport)).number
-    deployed.client.answer(QuotaShares(LIFE, number, (GrantedShare("t", 0.0, 5.0),)))
-    deployed.leave()
-    deployed.tokens(1)
-    assert not deployed.decided
-    deployed.ask()
-    assert deployed.decided == [None]
-
-
-async def test_the_bucket_serves_without_asking(deployed: Deployed) -> None:
-    number = next(item for item in deployed.client.sent if isinstance(item, QuotaReport)).number
-    deployed.ask()
-    deployed.client.answer(QuotaShares(LIFE, number, (GrantedShare("t", 0.0, 5.0, 3.0),)))
-    deployed.tokens(0)
-    deployed.ask(2)
-    assert deployed.decided == [None, None, None]
-    assert len(deployed.client.asks()) == 1
-
-
-async def test_a_limit_that_goes_ends_the_reports(deployed: Deployed) -> None:
-    deployed.gate.configure(Catalogue((Tenant("t"),)))
-    deployed.ask()
-    assert deployed.decided == [None]
-    sent = len(deployed.client.sent)
+    assert quotas.reasons() == [RefusalReason.QUOTA_UNCONFIRMED] * 2
+    quotas.grant(1)
+    quotas.ask()
+    assert quotas.reasons() == [RefusalReason.QUOTA_UNCONFIRMED] * 3
+
+
+async def test_without_a_connection_nothing_waits(quotas: QuotaFixture) -> None:
+    quotas.client.is_connected = False
+    quotas.ask()
+    assert quotas.reasons() == [RefusalReason.QUOTA_UNCONFIRMED]
+
+
+async def test_a_request_that_left_leaves_its_token_to_the_next(quotas: QuotaFixture) -> None:
+    quotas.ask()
+    number = next(item for item in quotas.client.sent if isinstance(item, QuotaReport)).number
+    quotas.client.answer(QuotaShares(INCARNATION, number, (GrantedShare("t", 0.0, 5.0),)))
+    quotas.cancel()
+    quotas.grant(1)
+    assert not quotas.decisions
+    quotas.ask()
+    assert quotas.decisions == [None]
+
+
+async def test_the_bucket_serves_without_asking(quotas: QuotaFixture) -> None:
+    number = next(item for item in quotas.client.sent if isinstance(item, QuotaReport)).number
+    quotas.ask()
+    quotas.client.answer(QuotaShares(INCARNATION, number, (GrantedShare("t", 0.0, 5.0, 3.0),)))
+    quotas.grant(0)
+    quotas.ask(2)
+    assert quotas.decisions == [None, None, None]
+    assert len(quotas.client.asks()) == 1
+
+
+async def test_a_limit_that_goes_ends_the_reports(quotas: QuotaFixture) -> None:
+    quotas.gate.configure(Catalogue((Tenant("t"),)))
+    quotas.ask()
+    assert quotas.decisions == [None]
+    sent = len(quotas.client.sent)
     await asyncio.sleep(0.6)
-    assert len(deployed.client.sent) == sent
+    assert len(quotas.client.sent) == sent
--- a/tests/daemon/test_refusals_and_cancellation.py
+++ b/tests/daemon/test_refusals_and_cancellation.py
@@ -1,3 +1,5 @@
+"""Refusals, failures, deadlines and cancellation are reported truthfully to the client."""
+
 import asyncio
 import signal
 
@@ -14,19 +16,19 @@
         writer.write(answer(b"busy", 503, finchshed_ran="no"))
 
     async with deployment(handler, retry_budget=0) as system:
-        told = [await system.ask(f"/{number}") for number in range(5)]
-    assert {answered.ran for answered in told} == {"no"}
-    waits = [int(answered.headers["finchshed-retry-after-ms"]) for answered in told]
+        responses = [await system.ask(f"/{number}") for number in range(5)]
+    assert {response.ran for response in responses} == {"no"}
+    waits = [int(response.headers["finchshed-retry-after-ms"]) for response in responses]
     assert min(waits) > 0
     assert len(set(waits)) > 1
-    assert all(int(answered.headers["retry-after"]) >= 1 for answered in told)
+    assert all(int(response.headers["retry-after"]) >= 1 for response in responses)
 
 
 async def test_a_backend_that_is_gone_means_not_run() -> None:
     async with deployment(retry_budget=0) as system:
         await system.backends[0].stop()
-        told = await system.ask("/a")
-    assert (told.status, told.ran, told.reason) == (503, "no", "connect_failed")
+        response = await system.ask("/a")
+    assert (response.status, response.ran, response.reason) == (503, "no", "connect_failed")
 
 
 async def test_a_connection_cut_after_the_send_means_unknown() -> None:
@@ -34,9 +36,9 @@
         writer.transport.abort()
 
     async with deployment(handler, retry_budget=0) as system:
-        told = await system.ask("/a")
+        response = await system.ask("/a")
         assert system.runs("/a") == 1
-    assert (told.status, told.ran, told.reason) == (502, "unknown", "backend_broken")
+    assert (response.status, response.ran, response.reason) == (502, "unknown", "backend_broken")
 
 
 async def test_a_reused_connection_found_closed_is_not_silently_sent_again() -> None:
@@ -48,9 +50,9 @@
 
     async with deployment(handler, retry_budget=0) as system:
         await system.ask("/first")
-        told = await system.ask("/second")
+        response = await system.ask("/second")
         assert system.runs("/second") == 1
-    assert told.ran == "unknown"
+    assert response.ran == "unknown"
 
 
 async def test_a_repeatable_call_is_retried_within_its_budget() -> None:
@@ -58,10 +60,10 @@
         writer.transport.abort()
 
     async with deployment(broken, broken, broken, broken, broken, retry_budget=2) as system:
-        told = await system.ask("/a")
+        response = await system.ask("/a")
         assert system.runs("/a") <= 3
         assert system.runs("/a") >= 2
-    assert told.ran == "unknown"
+    assert response.ran == "unknown"
 
 
 async def test_a_daemon_killed_mid_call_is_answered_by_another() -> None:
@@ -74,9 +76,9 @@
         await eventually(lambda: system.runs("/a"))
         first = 0 if system.backends[0].received else 1
         system.daemons[first].signal(signal.SIGKILL)
-        told = await asked
+        response = await asked
         assert system.runs("/a") == 2
-    assert (told.status, told.body) == (200, b"/a")
+    assert (response.status, response.body) == (200, b"/a")
 
 
 async def test_a_frozen_daemon_is_noticed_by_its_silence() -> None:
@@ -85,10 +87,10 @@
             await system.ask(f"/{number}")
         system.daemons[0].signal(signal.SIGSTOP)
         try:
-            told = await asyncio.gather(*(system.ask(f"/n{number}") for number in range(8)))
+            responses = await asyncio.gather(*(system.ask(f"/n{number}") for number in range(8)))
         finally:
             system.daemons[0].signal(signal.SIGCONT)
-    assert {answered.status for answered in told} == {200}
+    assert {response.status for response in responses} == {200}
 
 
 async def test_a_caller_that_closes_cancels_at_the_backend() -> None:
@@ -101,16 +103,16 @@
 
 async def test_the_deadline_ends_a_call_at_both_sides() -> None:
     async with deployment(_hang) as system:
-        told = await system.ask("/a", finchshed_deadline_ms="200")
+        response = await system.ask("/a", finchshed_deadline_ms="200")
         await eventually(lambda: system.backends[0].closed_early)
-    assert (told.status, told.ran, told.reason) == (504, "unknown", "deadline")
+    assert (response.status, response.ran, response.reason) == (504, "unknown", "deadline")
 
 
 async def test_a_passed_deadline_is_refused_as_not_run() -> None:
     async with deployment() as system:
-        told = await system.ask("/a", finchshed_deadline_ms="0")
+        response = await system.ask("/a", finchshed_deadline_ms="0")
         assert system.runs("/a") == 0
-    assert (told.ran, told.reason) == ("no", "deadline")
+    assert (response.ran, response.reason) == ("no", "deadline")
 
 
 async def test_cancellations_racing_the_start_leave_no_call_behind() -> None:
@@ -125,8 +127,8 @@
             await asyncio.sleep(0.0005 * (number % 7))
             asked[number // 2].cancel()
         await asyncio.gather(*asked, return_exceptions=True)
-        told = await asyncio.gather(*(system.ask(f"/after{number}") for number in range(8)))
-    assert [answered.body for answered in told] == [f"/after{n}".encode() for n in range(8)]
+        responses = await asyncio.gather(*(system.ask(f"/after{number}") for number in range(8)))
+    assert [response.body for response in responses] == [f"/after{n}".encode() for n in range(8)]
 
 
 async def test_context_and_account_reach_the_backend_and_nested_calls() -> None:
@@ -144,7 +146,7 @@
         writer.write(answer(headers["finchshed-root"].encode()))
 
     async with deployment(outer) as system:
-        told = await system.ask("/outer", finchshed_root="root-7", finchshed_importance="3")
+        response = await system.ask("/outer", finchshed_root="root-7", finchshed_importance="3")
         importances = {
             received.headers["finchshed-importance"] for received in system.backends[0].received
         }
@@ -152,6 +154,6 @@
             int(received.headers["finchshed-deadline-ms"])
             for received in system.backends[0].received
         ]
-    assert told.body == b"root-7 root-7"
+    assert response.body == b"root-7 root-7"
     assert importances == {"1"}
     assert 0 < left[1] <= left[0] <= 5000
--- a/tests/daemon/test_return_after_leaving.py
+++ b/tests/daemon/test_return_detection.py
@@ -1,4 +1,4 @@
-"""An endpoint that left and came back takes work again, whichever process was restarted."""
+"""A drained endpoint accepts calls again after a restart of its daemon or its back end."""
 
 import asyncio
 import signal
@@ -8,37 +8,37 @@
 from tests.daemon.deployment import Deployment, deployment, eventually
 from tests.daemon.scripted_backend import Received, answer
 
-MAX_ASKS = 300
+MAX_ATTEMPTS = 300
 PAUSE_SECONDS = 0.05
 FLAGS = {"drain-notice-seconds": "0.2"}
 
-WELL = BackendAnswer(200, (), b"", ran=True, draining=False)
-LEAVING = BackendAnswer(200, (), b"", ran=True, draining=True)
+HEALTHY = BackendAnswer(200, (), b"", ran=True, draining=False)
+DRAINING = BackendAnswer(200, (), b"", ran=True, draining=True)
 
 
 async def until_answered(system: Deployment, path: str) -> None:
-    for _ in range(MAX_ASKS):
+    for _ in range(MAX_ATTEMPTS):
         if (await system.ask(path)).status == 200:
             return
         await asyncio.sleep(PAUSE_SECONDS)
-    raise AssertionError(f"{path} was never answered")
+    raise AssertionError(f"{path} was not answered in {MAX_ATTEMPTS} attempts")
 
 
 def test_back_end_that_was_gone_has_returned_with_its_first_good_answer() -> None:
-    watch = ReturnDetector()
-    assert not watch.has_returned(LEAVING, 1.0)
-    assert not watch.has_returned(BackendUnreached("refused"), 2.0)
-    assert not watch.has_returned(BackendBroken("reset"), 2.5)
-    assert watch.has_returned(WELL, 3.0)
+    detector = ReturnDetector()
+    assert not detector.has_returned(DRAINING, 1.0)
+    assert not detector.has_returned(BackendUnreached("refused"), 2.0)
+    assert not detector.has_returned(BackendBroken("reset"), 2.5)
+    assert detector.has_returned(HEALTHY, 3.0)
 
 
 def test_good_answers_of_a_back_end_never_seen_gone_must_last() -> None:
-    watch = ReturnDetector()
-    assert not watch.has_returned(WELL, 1.0)
-    assert not watch.has_returned(LEAVING, 1.0 + STABLE_SECONDS - 0.1)
-    assert not watch.has_returned(WELL, 1.0 + STABLE_SECONDS)
-    assert not watch.has_returned(WELL, 1.0 + 2 * STABLE_SECONDS - 0.1)
-    assert watch.has_returned(WELL, 1.0 + 2 * STABLE_SECONDS)
+    detector = ReturnDetector()
+    assert not detector.has_returned(HEALTHY, 1.0)
+    assert not detector.has_returned(DRAINING, 1.0 + STABLE_SECONDS - 0.1)
+    assert not detector.has_returned(HEALTHY, 1.0 + STABLE_SECONDS)
+    assert not detector.has_returned(HEALTHY, 1.0 + 2 * STABLE_SECONDS - 0.1)
+    assert detector.has_returned(HEALTHY, 1.0 + 2 * STABLE_SECONDS)
 
 
 async def test_restarted_daemon_gets_work_of_callers_that_saw_it_leave() -> None:
@@ -54,12 +54,12 @@
 
 
 async def test_daemon_takes_work_again_once_its_back_end_is_back() -> None:
-    leaving = False
+    is_draining = False
 
     async def handler(received: Received, writer: asyncio.StreamWriter) -> None:
-        nonlocal leaving
-        leaving = leaving or received.path == "/a"
-        headers = {"finchshed_draining": "1"} if leaving else {}
+        nonlocal is_draining
+        is_draining = is_draining or received.path == "/a"
+        headers = {"finchshed_draining": "1"} if is_draining else {}
         writer.write(answer(received.path.encode(), 200, **headers))
 
     async with deployment(handler, health=handler) as system:
@@ -67,6 +67,6 @@
         assert (await system.ask("/b")).ran == "no"
         await eventually(lambda: system.backends[0].health_checks >= 2)
         assert (await system.ask("/c")).ran == "no"
-        leaving = False
+        is_draining = False
         await until_answered(system, "/d")
     assert system.runs("/b") == system.runs("/c") == 0
--- a/tests/daemon/test_pins.py
+++ b/tests/daemon/test_session_pins.py
@@ -1,4 +1,4 @@
-"""Which endpoint an edge takes for a session's request: its own pin, or what the client claims."""
+"""Selection of a session's endpoint: an answered pin takes precedence over the client's claim."""
 
 import random
 
@@ -70,9 +70,9 @@
 
 def test_the_answer_tells_the_place_and_not_what_the_back_end_says() -> None:
     forged = msgspec.structs.replace(SERVED, headers=(("finchshed-session-at", "z"), ("etag", "1")))
-    told = with_session_endpoint(request(), "a", forged)
-    assert isinstance(told, Answered)
-    assert told.headers == (("etag", "1"), ("finchshed-session-at", "a"))
+    response = with_session_endpoint(request(), "a", forged)
+    assert isinstance(response, Answered)
+    assert response.headers == (("etag", "1"), ("finchshed-session-at", "a"))
     assert with_session_endpoint(request(in_session=False), "a", SERVED) == SERVED
     refused = Refused(RefusalReason.OVERLOAD, 0.1)
     assert with_session_endpoint(request(), "a", refused) == refused
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -1,3 +1,5 @@
+"""Validation of control addresses with a zone."""
+
 import pytest
 
 from finchshed.common.errors import SettingsError
--- a/tests/daemon/test_sockets.py
+++ b/tests/daemon/test_sockets.py
@@ -1,3 +1,5 @@
+"""Handover of a listening address to a successor loses no connection."""
+
 import socket
 
 from finchshed.daemon.sockets import listening_socket, prefer_successor
@@ -7,7 +9,7 @@
 
 
 def accepted(listener: socket.socket) -> int:
-    """Accept what waits; return how many that were."""
+    """Accept all queued connections; return their number."""
     count = 0
     while True:
         try:
--- a/tests/daemon/test_suspension.py
+++ b/tests/daemon/test_suspension.py
@@ -1,7 +1,6 @@
-"""A machine that was suspended trusts nothing longer than one that stood still otherwise.
+"""Leases expire during a suspension of the machine, although the monotonic clock doesn't advance.
 
-The steady clock and the event loop's stand still while the machine is suspended; control, clients
-and other daemons go on, and give away what its leases held.
+Otherwise the daemon would use a lease that control has meanwhile given to another.
 """
 
 import random
@@ -19,18 +18,18 @@
 from finchshed.daemon.serving.inbound_call import InboundCall
 from finchshed.distribution.messages import LeaseRenewed, LedgerGranted
 from finchshed.quota.messages import GrantedShare, QuotaReport, QuotaShares
-from tests.daemon.test_host_front import Front, route
-from tests.daemon.test_quota_gate import LIFE, Deployed
-from tests.daemon.test_tenants_at_the_front import KEY, TENANT
+from tests.daemon.test_host_requests import HostFixture, route
+from tests.daemon.test_quota_gate import INCARNATION, QuotaFixture
+from tests.daemon.test_tenants import KEY, TENANT
 
-ASLEEP_SECONDS = 30.0
+SUSPENDED_SECONDS = 30.0
 
 
 @dataclass
 class Machine:
-    """A machine whose clocks but for the steady ones count the time asleep."""
+    """Simulates a suspension by advancing CLOCK_BOOTTIME only."""
 
-    asleep: float = 0.0
+    suspended_seconds: float = 0.0
 
 
 @pytest.fixture
@@ -39,7 +38,7 @@
     real = time.clock_gettime
 
     def clock_gettime(clock: int) -> float:
-        return real(clock) + (suspended.asleep if clock == time.CLOCK_BOOTTIME else 0.0)
+        return real(clock) + (suspended.suspended_seconds if clock == time.CLOCK_BOOTTIME else 0.0)
 
     monkeypatch.setattr(time, "clock_gettime", clock_gettime)
     return suspended
@@ -48,29 +47,29 @@
 async def test_api_keys_are_not_trusted_past_their_lease(machine: Machine) -> None:
     client = Mock()
     renewal = LeaseRenewal(client)
-    front = Front(route("/a/"), TENANT, lease=renewal.lease)
+    fixture = HostFixture(route("/a/"), TENANT, lease=renewal.lease)
     catalogue = Mock(policy=Policy(key_trust_seconds=3.0), revision=1, tenants={"officers": TENANT})
     renewal.configure(catalogue)
     client.on_lease(LeaseRenewed(1, 1))
-    assert front.ask("/a/1", x_api_key=KEY).status == 200
-    machine.asleep = ASLEEP_SECONDS
-    assert front.ask("/a/1", x_api_key=KEY).status == 503
+    assert fixture.ask("/a/1", x_api_key=KEY).status == 200
+    machine.suspended_seconds = SUSPENDED_SECONDS
+    assert fixture.ask("/a/1", x_api_key=KEY).status == 503
     renewal.close()
 
 
 async def test_a_share_of_a_limit_ends_with_its_lease(machine: Machine) -> None:
-    deployed = Deployed()
-    report = next(item for item in deployed.client.sent if isinstance(item, QuotaReport))
-    deployed.ask()
+    quotas = QuotaFixture()
+    report = next(item for item in quotas.client.sent if isinstance(item, QuotaReport))
+    quotas.ask()
     shares = (GrantedShare("t", 0.0, 5.0, 5.0),)
-    deployed.client.answer(QuotaShares(LIFE, report.number, shares))
-    deployed.tokens(0)
-    deployed.client.is_connected = False
-    deployed.ask()
-    assert deployed.reasons() == [None, None]
-    machine.asleep = ASLEEP_SECONDS
-    deployed.ask()
-    assert deployed.reasons()[-1] is RefusalReason.QUOTA_UNCONFIRMED
+    quotas.client.answer(QuotaShares(INCARNATION, report.number, shares))
+    quotas.grant(0)
+    quotas.client.is_connected = False
+    quotas.ask()
+    assert quotas.reasons() == [None, None]
+    machine.suspended_seconds = SUSPENDED_SECONDS
+    quotas.ask()
+    assert quotas.reasons()[-1] is RefusalReason.QUOTA_UNCONFIRMED
 
 
 async def test_a_grant_of_the_ledger_is_not_used_after_its_lease(machine: Machine) -> None:
@@ -78,14 +77,14 @@
     ledger = Mock()
     ledger.begin = lambda key, attempt, timeout, done: answers.append(done)
     settings = Mock(ledger_timeout_seconds=2.0, grant_lease_seconds=1.0)
-    runs = AtMostOnceRunner(settings, ledger, random.Random(1))
-    work = Mock(
+    runner = AtMostOnceRunner(settings, ledger, random.Random(1))
+    inbound = Mock(
         spec=InboundCall, deadline=float("inf"), abandoned=False, ledger_key="k", attempt=""
     )
     sent: list[InboundCall] = []
     ended: list[Outcome] = []
-    runs.begin(work, sent.append, lambda _work, outcome: ended.append(outcome))
-    machine.asleep = ASLEEP_SECONDS
+    runner.begin(inbound, sent.append, lambda _work, outcome: ended.append(outcome))
+    machine.suspended_seconds = SUSPENDED_SECONDS
     answers[0](LedgerGranted(1))
     assert not sent
     assert isinstance(ended[0], Refused)
--- a/tests/daemon/test_unframed_answers.py
+++ b/tests/daemon/test_unframed_answers.py
@@ -1,4 +1,4 @@
-"""Answers of back ends that lack a length end with their connection, and so do ours."""
+"""Answers delimited by the end of their connection are forwarded the same way."""
 
 import asyncio
 import socket
@@ -17,13 +17,13 @@
 from tests.daemon.scripted_backend import Received, ScriptedBackend, healthy
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""``struct linger``: a close sends a reset (socket(7))."""
+"""``struct linger`` with zero timeout: closing sends a reset (socket(7))."""
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Part: one\r\n\r\n"
 
 
 async def result_of(*, is_reset: bool) -> BackendResult:
-    """Return the result of an answer without length whose connection ends or is reset."""
+    """Return the result of an answer without length whose connection is closed or reset."""
 
     async def handler(received: Received, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + b"half of the body")
--- a/tests/daemon/test_whole_answers.py
+++ b/tests/daemon/test_whole_answers.py
@@ -1,3 +1,5 @@
+"""Truncated, duplicated or misrouted answers of a back end never reach a client."""
+
 import asyncio
 import os
 
@@ -8,9 +10,9 @@
 async def test_answer_and_request_arrive_whole() -> None:
     async with deployment() as system:
         body = os.urandom(50_000)
-        told = await system.ask("/a?x=1%20b", "POST", body)
-    assert told.status == 200
-    assert told.body == b"POST /a?x=1%20b " + body
+        response = await system.ask("/a?x=1%20b", "POST", body)
+    assert response.status == 200
+    assert response.body == b"POST /a?x=1%20b " + body
 
 
 async def test_status_and_headers_of_the_backend_are_kept() -> None:
@@ -18,10 +20,10 @@
         writer.write(answer(b"gone", 410, X_Edition="7", Connection="X-Hop", X_Hop="1"))
 
     async with deployment(handler) as system:
-        told = await system.ask("/a")
-    assert (told.status, told.body, told.headers["x-edition"]) == (410, b"gone", "7")
-    assert "x-hop" not in told.headers
-    assert told.ran == ""
+        responses = await system.ask("/a")
+    assert (responses.status, responses.body, responses.headers["x-edition"]) == (410, b"gone", "7")
+    assert "x-hop" not in responses.headers
+    assert responses.ran == ""
 
 
 async def test_an_answer_shorter_than_its_content_length_is_never_passed_on() -> None:
@@ -30,8 +32,8 @@
         writer.close()
 
     async with deployment(handler, retry_budget=0) as system:
-        told = await system.ask("/a")
-    assert (told.status, told.ran, told.reason) == (502, "unknown", "backend_broken")
+        response = await system.ask("/a")
+    assert (response.status, response.ran, response.reason) == (502, "unknown", "backend_broken")
 
 
 async def test_a_chunked_answer_cut_short_is_never_passed_on() -> None:
@@ -40,8 +42,8 @@
         writer.close()
 
     async with deployment(handler, retry_budget=0) as system:
-        told = await system.ask("/a")
-    assert (told.status, told.ran, told.reason) == (502, "unknown", "backend_broken")
+        response = await system.ask("/a")
+    assert (response.status, response.ran, response.reason) == (502, "unknown", "backend_broken")
 
 
 async def test_a_whole_chunked_answer_is_passed_on() -> None:
@@ -51,8 +53,8 @@
         writer.write(b"6\r\n world\r\n0\r\n\r\n")
 
     async with deployment(handler) as system:
-        told = await system.ask("/a")
-    assert (told.status, told.body) == (200, b"hello world")
+        response = await system.ask("/a")
+    assert (response.status, response.body) == (200, b"hello world")
 
 
 async def test_an_answer_that_ends_with_its_connection_is_whole() -> None:
@@ -61,8 +63,8 @@
         writer.close()
 
     async with deployment(handler) as system:
-        told = await system.ask("/a")
-    assert (told.status, told.body) == (200, b"all there is")
+        response = await system.ask("/a")
+    assert (response.status, response.body) == (200, b"all there is")
 
 
 async def test_bytes_past_an_answer_never_reach_the_next_request() -> None:
@@ -84,8 +86,8 @@
 
     async with deployment(handler, handler) as system:
         paths = [f"/n/{number}" for number in range(60)]
-        told = await asyncio.gather(*(system.ask(path) for path in paths))
-    assert [answered.body.decode() for answered in told] == paths
+        responses = await asyncio.gather(*(system.ask(path) for path in paths))
+    assert [response.body.decode() for response in responses] == paths
 
 
 async def test_an_answer_to_a_call_given_up_on_finds_nobody() -> None:
@@ -105,10 +107,10 @@
 
 async def test_too_large_a_request_is_refused_as_not_run() -> None:
     async with deployment() as system:
-        told = await system.ask("/a", "POST", bytes(MAX_BODY_BYTES + 1))
+        responses = await system.ask("/a", "POST", bytes(MAX_BODY_BYTES + 1))
         assert system.runs("/a") == 0
-    assert (told.status, told.ran, told.reason) == (413, "no", "request_too_large")
-    assert str(MAX_BODY_BYTES) in told.body.decode()
+    assert (responses.status, responses.ran, responses.reason) == (413, "no", "request_too_large")
+    assert str(MAX_BODY_BYTES) in responses.body.decode()
 
 
 async def test_too_large_an_answer_is_told_as_such() -> None:
@@ -124,8 +126,12 @@
     async with deployment(handler) as system:
         declared = await system.ask("/declared")
         chunked = await system.ask("/chunked")
-    for told in (declared, chunked):
-        assert (told.status, told.ran, told.reason) == (502, "unknown", "answer_too_large")
+    for response in (declared, chunked):
+        assert (response.status, response.ran, response.reason) == (
+            502,
+            "unknown",
+            "answer_too_large",
+        )
 
 
 async def test_an_answer_doubled_late_never_reaches_the_next_request() -> None:
@@ -166,13 +172,17 @@
         account = received.headers["finchshed-account"]
         own = answer(received.path.encode(), finchshed_account=account)
         if received.path == "/0":
-            # A second answer that arrives only when the next request has been sent.
+            # Duplicated after the next request has been sent.
             held.append(own)
         writer.write(held.pop() if received.path == "/1" else own)
 
     held: list[bytes] = []
     async with deployment(handler, retry_budget=0) as system:
-        told = [await system.ask(f"/{number}") for number in range(4)]
-    assert [answered.body for answered in told if answered.status == 200] == [b"/0", b"/2", b"/3"]
-    assert (told[1].ran, told[1].reason) == ("unknown", "backend_broken")
-    assert "finchshed-account" not in told[0].headers
+        responses = [await system.ask(f"/{number}") for number in range(4)]
+    assert [response.body for response in responses if response.status == 200] == [
+        b"/0",
+        b"/2",
+        b"/3",
+    ]
+    assert (responses[1].ran, responses[1].reason) == ("unknown", "backend_broken")
+    assert "finchshed-account" not in responses[0].headers
