--- a/src/finchshed/storage/__init__.py
+++ b/src/finchshed/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a control node: journal, snapshots, disk incarnation."""
+"""Durable state of a control node: journal, snapshots and disk incarnation."""
--- a/src/finchshed/storage/disk.py
+++ b/src/finchshed/storage/disk.py
@@ -1,11 +1,8 @@
-"""What durable state needs of a disk.
+"""Disk interface used by durable state.
 
-The operations are those whose order matters for durability, so that a simulated disk can forget
-whatever has not been synced: contents of a file last once :meth:`Disk.sync` returns, names of
-files last once :meth:`Disk.sync_folder` returns.
-
-Owns no state; :mod:`finchshed.storage.folder` and :mod:`finchshed.storage.simulated_disk` hold
-files.
+File contents are durable once :meth:`Disk.sync` returns, and file names once
+:meth:`Disk.sync_folder` returns. :mod:`finchshed.storage.folder` implements the interface on a file
+system, :mod:`finchshed.storage.simulated_disk` in memory with faults.
 """
 
 from typing import Protocol
@@ -16,53 +13,53 @@
 class Disk(Protocol):
     """Files of one flat folder.
 
-    Each operation may raise :class:`~finchshed.common.errors.StorageError`; operations that need
-    room raise :class:`~finchshed.common.errors.DiskFullError`.
+    Any operation may raise :class:`~finchshed.common.errors.StorageError`; operations that allocate
+    space may raise :class:`~finchshed.common.errors.DiskFullError`.
     """
 
     def names(self) -> list[str]:
-        """Return the names of the files, sorted."""
+        """Return the sorted file names."""
         ...
 
     def read(self, name: str) -> bytes:
-        """Return the whole content of a file."""
+        """Return the content of a file."""
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Write ``data`` at the end of a file, which is made if it is missing.
+        """Append ``data`` to a file, creating it if missing.
 
-        When the disk is full a part of ``data`` may have been written.
+        If the disk is full, part of ``data`` may have been written.
         """
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes."""
+        """Truncate a file to ``size`` bytes."""
         ...
 
     def sync(self, name: str) -> None:
-        """Return once the content of the file is on the disk."""
+        """Flush the content of a file to stable storage."""
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing the file of that name."""
+        """Rename a file, replacing any file named ``new``."""
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a file; a missing one is no error."""
+        """Remove a file if it exists."""
         ...
 
     def sync_folder(self) -> None:
-        """Return once the names of the files are on the disk."""
+        """Flush the directory entries to stable storage."""
         ...
 
 
 def replace_file(disk: Disk, name: str, data: bytes) -> None:
-    """Write a whole file so that after a crash either the old or the new content is found.
+    """Replace a file atomically: after a crash it has either the old or the new content.
 
     Raises
     ------
     DiskFullError
-        There was no room; the old content is unharmed.
+        The disk is full; the old content is unchanged.
     """
     temporary = name + TEMPORARY_SUFFIX
     disk.remove(temporary)
@@ -77,7 +74,7 @@
 
 
 def remove_temporary_files(disk: Disk) -> None:
-    """Remove what writes cut short by a crash left behind."""
+    """Remove temporary files left behind by a crash."""
     for name in disk.names():
         if name.endswith(TEMPORARY_SUFFIX):
             disk.remove(name)
--- a/src/finchshed/storage/folder.py
+++ b/src/finchshed/storage/folder.py
@@ -1,7 +1,4 @@
-"""A folder of the real file system as a :class:`~finchshed.storage.disk.Disk`.
-
-Owns the folder and its lock: one process at a time. Relies on the file system for sync and rename.
-"""
+"""Implements :class:`~finchshed.storage.disk.Disk` on a folder of the file system."""
 
 import errno
 import fcntl
@@ -14,53 +11,53 @@
 
 LOCK_NAME = "LOCK"
 
-_NO_ROOM = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
+_DISK_FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
 
 
 @contextmanager
-def _translated_errors(action: str, name: str) -> Iterator[None]:
+def _translate_os_errors(action: str, name: str) -> Iterator[None]:
     try:
         yield
     except OSError as error:
         text = f"cannot {action} {name}: {error.strerror}"
-        if error.errno in _NO_ROOM:
+        if error.errno in _DISK_FULL_ERRNOS:
             raise DiskFullError(text) from error
         raise StorageError(text) from error
 
 
 class DataFolder:
-    """One folder, held under an exclusive lock for as long as the object is open.
+    """A folder that stays exclusively locked until :meth:`close`.
 
-    The calls block; a program with an event loop makes those that sync in a thread of its own.
+    All calls block; programs with an event loop should sync in a separate thread.
 
     Parameters
     ----------
     path
-        The folder; it is made if it is missing.
+        The folder; created if missing.
 
     Raises
     ------
     FolderLockedError
-        Another process holds the folder.
+        Another process has locked the folder.
     StorageError
-        The folder can't be made or opened.
+        The folder cannot be created or opened.
     """
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._handles: dict[str, int] = {}
-        with _translated_errors("open the folder", str(path)):
+        with _translate_os_errors("open the folder", str(path)):
             path.mkdir(parents=True, exist_ok=True)
             self._folder_handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         self._lock_handle = self._lock()
 
     @property
     def path(self) -> Path:
-        """The folder."""
+        """Path of the folder."""
         return self._path
 
     def close(self) -> None:
-        """Close every file and give the lock up."""
+        """Close all files and release the lock."""
         for handle in self._handles.values():
             os.close(handle)
         self._handles.clear()
@@ -68,50 +65,50 @@
         os.close(self._folder_handle)
 
     def names(self) -> list[str]:
-        """Return the names of the files, sorted, without the lock file."""
-        with _translated_errors("list", str(self._path)):
+        """Return the sorted file names, without the lock file."""
+        with _translate_os_errors("list", str(self._path)):
             entries = sorted(entry.name for entry in self._path.iterdir() if entry.is_file())
         return [name for name in entries if name != LOCK_NAME]
 
     def read(self, name: str) -> bytes:
-        """Return the whole content of a file."""
-        with _translated_errors("read", name):
+        """Return the content of a file."""
+        with _translate_os_errors("read", name):
             return (self._path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Write ``data`` at the end of a file, which is made if it is missing."""
-        with _translated_errors("write", name):
+        """Append ``data`` to a file, creating it if missing."""
+        with _translate_os_errors("write", name):
             handle = self._handle(name)
             rest = memoryview(data)
             while rest:
                 rest = rest[os.write(handle, rest) :]
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes."""
-        with _translated_errors("truncate", name):
+        """Truncate a file to ``size`` bytes."""
+        with _translate_os_errors("truncate", name):
             os.ftruncate(self._handle(name), size)
 
     def sync(self, name: str) -> None:
-        """Return once the content of the file is on the disk."""
-        with _translated_errors("sync", name):
+        """Flush the content of a file to stable storage."""
+        with _translate_os_errors("sync", name):
             os.fsync(self._handle(name))
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing the file of that name."""
-        self._release(old)
-        self._release(new)
-        with _translated_errors("rename", old):
+        """Rename a file, replacing any file named ``new``."""
+        self._close_handle(old)
+        self._close_handle(new)
+        with _translate_os_errors("rename", old):
             (self._path / old).rename(self._path / new)
 
     def remove(self, name: str) -> None:
-        """Remove a file; a missing one is no error."""
-        self._release(name)
-        with _translated_errors("remove", name):
+        """Remove a file if it exists."""
+        self._close_handle(name)
+        with _translate_os_errors("remove", name):
             (self._path / name).unlink(missing_ok=True)
 
     def sync_folder(self) -> None:
-        """Return once the names of the files are on the disk."""
-        with _translated_errors("sync the folder", str(self._path)):
+        """Flush the directory entries to stable storage."""
+        with _translate_os_errors("sync the folder", str(self._path)):
             os.fsync(self._folder_handle)
 
     def _handle(self, name: str) -> int:
@@ -122,13 +119,13 @@
             self._handles[name] = handle
         return handle
 
-    def _release(self, name: str) -> None:
+    def _close_handle(self, name: str) -> None:
         handle = self._handles.pop(name, None)
         if handle is not None:
             os.close(handle)
 
     def _lock(self) -> int:
-        with _translated_errors("open", LOCK_NAME):
+        with _translate_os_errors("open", LOCK_NAME):
             flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
             handle = os.open(self._path / LOCK_NAME, flags, 0o640)
         try:
--- a/src/finchshed/storage/framing.py
+++ b/src/finchshed/storage/framing.py
@@ -1,15 +1,14 @@
-"""Checksummed JSON lines, and telling a torn tail from damage.
-
-Each line is one JSON object: the size and checksum of a record, and the record itself. JSON never
-holds a raw line feed or NUL, so what a crash leaves behind looks different from what a failing
-disk leaves behind:
-
-- A crash in the middle of a write leaves a line that ends early, or blocks of NUL bytes at the
-  end of the file where the size was stored and the data was not. No valid line follows. This is
-  a *torn tail*: it was never synced, so nobody was told it is durable, and it may be cut.
-- Anything else that fails its checksum was whole once: *damage*. Synced data is lost, and the
-  reader must not go on as if it had never been written. (The distinction is that of
-  "Protocol-Aware Recovery for Consensus-Based Storage", FAST '18.)
+"""Checksummed JSON lines, and the distinction between a torn tail and corruption.
+
+Each line is one JSON object with the size and checksum of a record and the record itself. Encoded
+JSON never contains a raw line feed or NUL byte, so an interrupted write can be told from corrupted
+data ("Protocol-Aware Recovery for Consensus-Based Storage", FAST '18):
+
+- A crash during a write leaves an incomplete last line, or blocks of NUL bytes at the end of the
+  file if its size was stored but its data was not. No valid line follows. This *torn tail* was
+  never synced or acknowledged, so it can be truncated.
+- Any other line that fails its checksum is *damage*: synced data was lost, and the reader must not
+  continue as if it had never been written.
 """
 
 import enum
@@ -28,67 +27,67 @@
 _UNWRITTEN_BLOCK = b"\0" * 16
 
 
-class Tail(enum.Enum):
-    """What the end of a file of records looks like."""
+class TailState(enum.Enum):
+    """State of the data after the last valid line."""
 
     WHOLE = "whole"
     TORN = "torn"
     DAMAGED = "damaged"
 
 
-class Scan(msgspec.Struct, frozen=True):
-    """The records found in a file.
+class ScanResult(msgspec.Struct, frozen=True):
+    """Result of :func:`scan`.
 
     Attributes
     ----------
     records
-        The record of each valid line, undecoded, up to the first invalid one.
-    good_size
-        Bytes up to the first invalid line.
+        Encoded records of the valid lines before the first invalid one.
+    valid_size
+        Number of bytes before the first invalid line.
     tail
-        What follows them.
+        State of the remaining bytes.
     """
 
     records: list[bytes]
-    good_size: int
-    tail: Tail
+    valid_size: int
+    tail: TailState
 
 
 def frame(record: bytes) -> bytes:
-    """Return the line that holds ``record``, which must be JSON."""
+    """Return a line that contains ``record``, which must be encoded JSON."""
     checksum = xxhash.xxh3_64_hexdigest(record).encode()
     return b"".join((_HEADER % (len(record), checksum), record, _TRAILER))
 
 
-def scan(data: bytes) -> Scan:
-    """Read lines up to the first invalid one and judge what follows."""
+def scan(data: bytes) -> ScanResult:
+    """Read lines up to the first invalid one and classify the remaining bytes."""
     records: list[bytes] = []
     position = 0
     while position < len(data):
         end = data.find(_LINE_FEED, position) + 1
-        record = _record_of(data[position:end]) if end else None
+        record = _parse_line(data[position:end]) if end else None
         if record is None:
-            return Scan(records, position, _judge(data[position:]))
+            return ScanResult(records, position, _classify_tail(data[position:]))
         records.append(record)
         position = end
-    return Scan(records, position, Tail.WHOLE)
+    return ScanResult(records, position, TailState.WHOLE)
 
 
-def read_whole(data: bytes, name: str) -> list[bytes]:
-    """Return the records of a file that was replaced as a whole and so can't be torn.
+def read_complete(data: bytes, name: str) -> list[bytes]:
+    """Return the records of a file that was replaced atomically and so cannot be torn.
 
     Raises
     ------
     CorruptRecordError
-        Any line is invalid.
+        A line is invalid, or there is none.
     """
-    found = scan(data)
-    if found.tail is not Tail.WHOLE or not found.records:
-        raise CorruptRecordError(f"{name} is damaged at byte {found.good_size}")
-    return found.records
+    result = scan(data)
+    if result.tail is not TailState.WHOLE or not result.records:
+        raise CorruptRecordError(f"{name} is damaged at byte {result.valid_size}")
+    return result.records
 
 
-def _record_of(line: bytes) -> bytes | None:
+def _parse_line(line: bytes) -> bytes | None:
     header = _HEADER_PATTERN.match(line)
     if header is None or not line.endswith(_TRAILER):
         return None
@@ -100,25 +99,25 @@
     return record
 
 
-def _judge(rest: bytes) -> Tail:
-    if _holds_valid_line(rest):
-        return Tail.DAMAGED
+def _classify_tail(rest: bytes) -> TailState:
+    if _contains_valid_line(rest):
+        return TailState.DAMAGED
     if _UNWRITTEN_BLOCK in rest:
-        return Tail.TORN
+        return TailState.TORN
     if _LINE_FEED in rest:
-        return Tail.DAMAGED
+        return TailState.DAMAGED
     header = _HEADER_PATTERN.match(rest)
     if header is None:
-        return Tail.TORN if len(rest) < _HEADER_SIZE else Tail.DAMAGED
+        return TailState.TORN if len(rest) < _HEADER_SIZE else TailState.DAMAGED
     expected = _HEADER_SIZE + int(header[1], 16) + len(_TRAILER)
-    return Tail.TORN if len(rest) < expected else Tail.DAMAGED
+    return TailState.TORN if len(rest) < expected else TailState.DAMAGED
 
 
-def _holds_valid_line(rest: bytes) -> bool:
+def _contains_valid_line(rest: bytes) -> bool:
     position = rest.find(_LINE_FEED) + 1
     while position:
         end = rest.find(_LINE_FEED, position) + 1
-        if end and _record_of(rest[position:end]) is not None:
+        if end and _parse_line(rest[position:end]) is not None:
             return True
         position = end
     return False
--- a/src/finchshed/storage/incarnation.py
+++ b/src/finchshed/storage/incarnation.py
@@ -1,8 +1,7 @@
-"""The identity of a disk.
+"""Disk incarnation: a random identifier stored on the disk.
 
-A member of the control group is a node's name together with the incarnation of its disk. A disk
-that is empty, or whose contents were found damaged, gets a new incarnation, and with it a new
-member that has promised nothing to anybody.
+A member of the control group is identified by its node name and disk incarnation. An empty or
+damaged disk gets a new incarnation, and so becomes a new member without votes or acknowledgements.
 """
 
 import random
@@ -10,7 +9,7 @@
 import msgspec
 
 from finchshed.storage.disk import Disk, replace_file
-from finchshed.storage.framing import frame, read_whole
+from finchshed.storage.framing import frame, read_complete
 
 INCARNATION_NAME = "incarnation.json"
 
@@ -24,12 +23,12 @@
 
 
 def new_incarnation(rng: random.Random) -> str:
-    """Return an identity that no other disk has."""
+    """Return a new random incarnation."""
     return f"{rng.getrandbits(_INCARNATION_BITS):016x}"
 
 
 def read_incarnation(disk: Disk) -> str | None:
-    """Return the disk's incarnation, or None on an empty disk.
+    """Return the stored incarnation, or None if the file is missing.
 
     Raises
     ------
@@ -38,7 +37,7 @@
     """
     if INCARNATION_NAME not in disk.names():
         return None
-    record = read_whole(disk.read(INCARNATION_NAME), INCARNATION_NAME)[0]
+    record = read_complete(disk.read(INCARNATION_NAME), INCARNATION_NAME)[0]
     return msgspec.json.decode(record, type=DiskIncarnation).incarnation
 
 
--- a/src/finchshed/storage/journal.py
+++ b/src/finchshed/storage/journal.py
@@ -1,17 +1,14 @@
-"""The append-only journal of a control node.
+"""Append-only journal of a control node.
 
-One file is current at any time. Compaction writes a whole new file under the next number and
-renames it into place, so the current file is always the one with the highest number.
-
-Owns the current journal file. Relies on :mod:`finchshed.storage.framing` for telling a torn
-end from damage.
+The current journal file is the one with the highest number. Compaction writes a new file with the
+next number and renames it into place.
 """
 
 import msgspec
 
 from finchshed.common.errors import CorruptRecordError, DiskFullError
 from finchshed.storage.disk import Disk, replace_file
-from finchshed.storage.framing import Tail, frame, scan
+from finchshed.storage.framing import TailState, frame, scan
 from finchshed.storage.records import JournalRecord
 
 _PREFIX = "journal-"
@@ -22,7 +19,7 @@
 
 
 class OpenedJournal(msgspec.Struct, frozen=True):
-    """A journal found on the disk: its records and the size of the torn end that was cut."""
+    """An existing journal, its records and the size of the truncated torn tail."""
 
     journal: "Journal"
     records: list[JournalRecord]
@@ -30,7 +27,7 @@
 
 
 class Journal:
-    """Writes records so that they are durable once a call returns."""
+    """Appends records durably to the current journal file."""
 
     def __init__(self, disk: Disk, number: int, size: int) -> None:
         self._disk = disk
@@ -48,14 +45,14 @@
         return self._size
 
     def append(self, records: list[JournalRecord]) -> None:
-        """Write ``records`` with one sync; they are durable on return.
+        """Append ``records`` with one sync; they are durable on return.
 
         Raises
         ------
         DiskFullError
-            There was no room. Nothing of ``records`` is left in the file.
+            The disk is full; no part of ``records`` remains in the file.
         StorageError
-            The disk failed. What is on the disk is known only after a restart.
+            The disk failed; its content is unknown until a restart.
         """
         data = encode_records(records)
         try:
@@ -67,12 +64,12 @@
         self._size += len(data)
 
     def replace(self, records: list[JournalRecord]) -> None:
-        """Start a new file that holds ``records`` only; durable on return.
+        """Start a new journal file that contains only ``records``; durable on return.
 
         Raises
         ------
         DiskFullError
-            There was no room; the current file is unharmed and stays current.
+            The disk is full; the current file is unchanged and stays current.
         """
         data = encode_records(records)
         replace_file(self._disk, journal_name(self._number + 1), data)
@@ -82,32 +79,32 @@
 
 
 def journal_name(number: int) -> str:
-    """Return the name of the journal file of this number."""
+    """Return the name of the journal file with this number."""
     return f"{_PREFIX}{number:016d}{_SUFFIX}"
 
 
 def encode_records(records: list[JournalRecord]) -> bytes:
-    """Return the lines that hold ``records``."""
+    """Return ``records`` as framed lines."""
     return b"".join(frame(_encoder.encode(record)) for record in records)
 
 
 def create_journal(disk: Disk, records: list[JournalRecord]) -> Journal:
-    """Make the first journal of a disk."""
+    """Create the first journal file on a disk."""
     data = encode_records(records)
     replace_file(disk, journal_name(1), data)
     return Journal(disk, 1, len(data))
 
 
 def open_journal(disk: Disk) -> OpenedJournal | None:
-    """Open the current journal, or return None where there is none.
+    """Open the current journal, or return None if there is none.
 
-    A torn tail is cut. What a crashed process wrote and did not sync may be read back from memory
-    of the operating system, so the file is synced before its records count as durable.
+    A torn tail is truncated. The file is synced before its records count as durable, because
+    unsynced writes of a crashed process may be read back from the page cache.
 
     Raises
     ------
     CorruptRecordError
-        A record that had been synced is damaged.
+        A synced record is damaged.
     """
     numbers = [_number_of(name) for name in disk.names() if _is_journal_name(name)]
     if not numbers:
@@ -115,19 +112,19 @@
     number = max(numbers)
     name = journal_name(number)
     data = disk.read(name)
-    found = scan(data)
-    if found.tail is Tail.DAMAGED or not found.records:
-        raise CorruptRecordError(f"{name} is damaged at byte {found.good_size}")
-    if found.tail is Tail.TORN:
-        disk.truncate(name, found.good_size)
+    result = scan(data)
+    if result.tail is TailState.DAMAGED or not result.records:
+        raise CorruptRecordError(f"{name} is damaged at byte {result.valid_size}")
+    if result.tail is TailState.TORN:
+        disk.truncate(name, result.valid_size)
     disk.sync(name)
     disk.sync_folder()
     for older in numbers:
         if older != number:
             disk.remove(journal_name(older))
-    records = [_decoder.decode(record) for record in found.records]
-    journal = Journal(disk, number, found.good_size)
-    return OpenedJournal(journal, records, len(data) - found.good_size)
+    records = [_decoder.decode(record) for record in result.records]
+    journal = Journal(disk, number, result.valid_size)
+    return OpenedJournal(journal, records, len(data) - result.valid_size)
 
 
 def _is_journal_name(name: str) -> bool:
--- a/src/finchshed/storage/log_store.py
+++ b/src/finchshed/storage/log_store.py
@@ -1,7 +1,7 @@
-"""All durable state of one control node: vote, log entries, snapshot, disk incarnation.
+"""Durable state of a control node: vote, log entries, snapshot and disk incarnation.
 
-Owns what a control node has promised: it is durable before a write returns. Relies on the journal,
-the snapshots and the incarnation, each a file of one :class:`~finchshed.storage.disk.Disk`.
+The journal, the snapshot and the incarnation are files of one
+:class:`~finchshed.storage.disk.Disk`.
 """
 
 import enum
@@ -20,7 +20,7 @@
 from finchshed.storage.journal import Journal, create_journal, open_journal
 from finchshed.storage.records import (
     Entry,
-    Head,
+    JournalHeader,
     JournalRecord,
     Snapshot,
     StoredState,
@@ -37,25 +37,25 @@
 
 DAMAGED_PREFIX = "damaged-"
 
-_NO_SNAPSHOT = Head(snapshot_index=0, snapshot_term=0)
+_NO_SNAPSHOT = JournalHeader(snapshot_index=0, snapshot_term=0)
 
 
 class WriteOutcome(enum.Enum):
-    """How a write ended. A failing disk raises instead."""
+    """Outcome of a write; a failed disk raises StorageError instead."""
 
     DURABLE = "durable"
     DISK_FULL = "disk_full"
 
 
 class OpenedStore(msgspec.Struct, frozen=True):
-    """A store and what was found in it."""
+    """An opened store and the state found in it."""
 
     store: "LogStore"
     stored: StoredState
 
 
 class LogStore:
-    """Writes durable state; made by :func:`open_store`."""
+    """Writes durable state. Use :func:`open_store` to create one."""
 
     def __init__(self, disk: Disk, journal: Journal) -> None:
         self._disk = disk
@@ -65,24 +65,24 @@
 
     @property
     def journal_bytes(self) -> int:
-        """Size of the journal."""
+        """Size of the journal in bytes."""
         return self._journal.size_bytes
 
     @property
     def batches(self) -> int:
-        """Syncs so far; fewer than writes where several were grouped."""
+        """Number of successful calls of :meth:`write`."""
         return self._batches
 
     @property
     def writes(self) -> int:
-        """Writes so far."""
+        """Number of writes made durable."""
         return self._writes
 
     def write(self, writes: list[Write]) -> WriteOutcome:
-        """Make ``writes`` durable, all under one sync where none replaces a snapshot.
+        """Make ``writes`` durable, with a single sync unless one contains a snapshot.
 
-        The call blocks until the disk has them. After ``DISK_FULL`` the same list may be tried
-        again: a write that was made durable before the disk got full is harmless when repeated.
+        Blocks until they are durable. After ``DISK_FULL`` the same list can be retried: repeating
+        a durable write is harmless.
 
         Raises
         ------
@@ -95,7 +95,7 @@
                 if write.snapshot is None:
                     records.extend(_records_of(write))
                 else:
-                    self._replace(write, write.snapshot)
+                    self._replace_all(write, write.snapshot)
                     records.clear()
             if records:
                 self._journal.append(records)
@@ -105,11 +105,11 @@
         self._writes += len(writes)
         return WriteOutcome.DURABLE
 
-    def _replace(self, write: Write, snapshot: Snapshot) -> None:
-        """Store a snapshot and what comes after it; earlier writes are contained in it."""
+    def _replace_all(self, write: Write, snapshot: Snapshot) -> None:
+        """Replace all stored state with a snapshot and the entries after it."""
         save_snapshot(self._disk, snapshot)
-        head = Head(snapshot.index, snapshot.term)
-        self._journal.replace([head, *_records_of(write)])
+        header = JournalHeader(snapshot.index, snapshot.term)
+        self._journal.replace([header, *_records_of(write)])
         _remove_other_snapshots(self._disk, snapshot_name(snapshot.index, snapshot.term))
 
 
@@ -119,42 +119,42 @@
     Parameters
     ----------
     disk
-        Where the state is.
+        Disk that contains the state.
     rng
-        Source of a new incarnation; must differ between starts.
+        Source of randomness for a new incarnation; must differ between starts.
 
     Raises
     ------
     CorruptRecordError
-        Synced data is damaged or missing. The node must not go on with it: see
+        Synced data is damaged or missing and must not be used; see
         :func:`set_aside_damaged_files`.
     """
     remove_temporary_files(disk)
     incarnation = read_incarnation(disk)
     opened = open_journal(disk)
     if opened is None:
-        return _create(disk, incarnation, rng)
+        return _create_store(disk, incarnation, rng)
     if incarnation is None:
-        raise CorruptRecordError("the incarnation file is missing beside a journal")
-    head, *records = opened.records
-    if not isinstance(head, Head):
-        raise CorruptRecordError("the journal does not begin with its head")
+        raise CorruptRecordError(f"{INCARNATION_NAME} is missing but {opened.journal.name} exists")
+    header, *records = opened.records
+    if not isinstance(header, JournalHeader):
+        raise CorruptRecordError(f"{opened.journal.name} does not start with a journal header")
     snapshot = None
-    if head.snapshot_index:
-        snapshot = load_snapshot(disk, head.snapshot_index, head.snapshot_term)
-    _remove_other_snapshots(disk, snapshot_name(head.snapshot_index, head.snapshot_term))
-    vote, entries = _replay(head, records)
+    if header.snapshot_index:
+        snapshot = load_snapshot(disk, header.snapshot_index, header.snapshot_term)
+    _remove_other_snapshots(disk, snapshot_name(header.snapshot_index, header.snapshot_term))
+    vote, entries = _replay(header, records)
     stored = StoredState(incarnation, vote, snapshot, entries, opened.torn_bytes)
     return OpenedStore(LogStore(disk, opened.journal), stored)
 
 
 def set_aside_damaged_files(disk: Disk) -> None:
-    """Set everything aside on a disk that was found damaged, under names that are never opened.
+    """Rename all files of a damaged disk with :data:`DAMAGED_PREFIX`, so that they are not opened.
 
-    The next start finds no state, takes a new incarnation and joins its group as a learner. What
-    is set aside stays for an operator who lost a majority and needs whatever is left; an earlier
-    set is replaced. The incarnation goes first, so that a crash half-way never leaves an old
-    identity with a part of its data.
+    The next start finds no state, creates a new incarnation and joins the group as a learner. The
+    renamed files, which replace earlier ones, remain for manual recovery after the loss of a
+    majority. The incarnation is renamed first, so that a crash cannot leave an old identity with
+    only part of its data.
     """
     names = [name for name in disk.names() if not name.startswith(DAMAGED_PREFIX)]
     if INCARNATION_NAME in names:
@@ -166,15 +166,15 @@
     disk.sync_folder()
 
 
-def _create(disk: Disk, incarnation: str | None, rng: random.Random) -> OpenedStore:
+def _create_store(disk: Disk, incarnation: str | None, rng: random.Random) -> OpenedStore:
     if incarnation is not None:
-        # An identity without its journal: the journal was lost, or its making was cut short.
-        # Either way a new identity is safe, since it has promised nothing.
+        # The journal was lost or its creation was interrupted. A new incarnation is safe in both
+        # cases, as it has no votes or acknowledgements.
         set_aside_damaged_files(disk)
-    fresh = new_incarnation(rng)
-    write_incarnation(disk, fresh)
+    created = new_incarnation(rng)
+    write_incarnation(disk, created)
     journal = create_journal(disk, [_NO_SNAPSHOT])
-    return OpenedStore(LogStore(disk, journal), StoredState(fresh, Vote(), None, []))
+    return OpenedStore(LogStore(disk, journal), StoredState(created, Vote(), None, []))
 
 
 def _records_of(write: Write) -> list[JournalRecord]:
@@ -187,8 +187,8 @@
     return records
 
 
-def _replay(head: Head, records: list[JournalRecord]) -> tuple[Vote, list[Entry]]:
-    first_index = head.snapshot_index + 1
+def _replay(header: JournalHeader, records: list[JournalRecord]) -> tuple[Vote, list[Entry]]:
+    first_index = header.snapshot_index + 1
     vote = Vote()
     entries: list[Entry] = []
     for record in records:
@@ -198,19 +198,23 @@
             case Truncate():
                 del entries[max(0, record.from_index - first_index) :]
             case Entry():
-                _place(entries, record, first_index)
-            case Head():
-                raise CorruptRecordError("a second head in the journal")
+                _append_replayed(entries, record, first_index)
+            case JournalHeader():
+                raise CorruptRecordError(
+                    f"journal contains a second header, for snapshot index {record.snapshot_index}"
+                )
     return vote, entries
 
 
-def _place(entries: list[Entry], entry: Entry, first_index: int) -> None:
-    """Add an entry; one that stands there already is a repeated write."""
+def _append_replayed(entries: list[Entry], entry: Entry, first_index: int) -> None:
+    """Append an entry, ignoring an identical one from a repeated write."""
     position = entry.index - first_index
     if position < len(entries) and position >= 0 and entries[position] == entry:
         return
     if position != len(entries):
-        raise CorruptRecordError(f"entry {entry.index} follows {first_index + len(entries) - 1}")
+        raise CorruptRecordError(
+            f"journal entry {entry.index} found, expected index {first_index + len(entries)}"
+        )
     entries.append(entry)
 
 
--- a/src/finchshed/storage/records.py
+++ b/src/finchshed/storage/records.py
@@ -1,6 +1,6 @@
-"""What a control node keeps on its disk, as typed records.
+"""Record types stored on the disk of a control node.
 
-Owns no state; what is written here stays readable by later versions.
+Later versions must be able to read these records.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class EntryKind(enum.StrEnum):
-    """What an entry of the replicated log holds."""
+    """Kind of a log entry."""
 
     COMMAND = "command"
     MEMBERSHIP = "membership"
@@ -27,36 +27,36 @@
 
 
 class Vote(msgspec.Struct, frozen=True, omit_defaults=True, tag="vote"):
-    """Highest term seen, and the identity voted for in it (empty: none)."""
+    """Current term, and the identity voted for in it, empty if none."""
 
     term: int = 0
     voted_for: str = ""
 
 
 class Truncate(msgspec.Struct, frozen=True, tag="truncate"):
-    """Entries from ``from_index`` on were dropped: another leader's log replaced them."""
+    """Entries from ``from_index`` on were removed because they conflict with the leader's log."""
 
     from_index: int
 
 
-class Head(msgspec.Struct, frozen=True, tag="head"):
-    """First record of a journal: the snapshot on which its entries build (index 0: none)."""
+class JournalHeader(msgspec.Struct, frozen=True, tag="head"):
+    """First record of a journal: the snapshot before its entries, index 0 if none."""
 
     snapshot_index: int
     snapshot_term: int
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """State that stands for all entries up to ``index``.
+    """Application state that replaces all entries up to ``index``.
 
     Attributes
     ----------
     index, term
-        Last entry included.
+        Index and term of the last included entry.
     membership
-        Membership of the group after that entry, encoded by the consensus package.
+        Group membership at that entry, encoded by :mod:`finchshed.consensus.membership`.
     data
-        State of the application.
+        Encoded application state.
     """
 
     index: int
@@ -66,10 +66,10 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Something to be made durable, in this order: truncation, entries, vote.
+    """A batch of changes to make durable, in this order: truncation, entries, vote.
 
-    With ``snapshot`` the write replaces all that is stored: the snapshot, ``entries`` after it
-    and ``vote``.
+    With ``snapshot`` the write replaces all stored state by the snapshot, the ``entries`` after
+    it and ``vote``.
     """
 
     vote: Vote | None = None
@@ -79,16 +79,16 @@
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """What a restart finds on the disk.
+    """State found on the disk at start.
 
     Attributes
     ----------
     incarnation
-        Identity of the disk, see :mod:`finchshed.storage.incarnation`.
+        Disk incarnation, see :mod:`finchshed.storage.incarnation`.
     vote, snapshot, entries
-        The last written.
+        Last durable values.
     torn_bytes
-        Size of the unsynced end that was cut off.
+        Size of the torn tail that was truncated.
     """
 
     incarnation: str
@@ -98,4 +98,4 @@
     torn_bytes: int = 0
 
 
-JournalRecord: TypeAlias = Head | Entry | Vote | Truncate
+JournalRecord: TypeAlias = JournalHeader | Entry | Vote | Truncate
--- a/src/finchshed/storage/simulated_disk.py
+++ b/src/finchshed/storage/simulated_disk.py
@@ -1,7 +1,7 @@
-"""A disk for simulations that forgets what was not synced.
+"""In-memory disk for simulations that loses unsynced data on power loss.
 
-It is stricter than a usual file system: a file's name lasts only once the folder is synced, even
-if the file's content was synced.
+It is stricter than most file systems: a file name is durable only after a folder sync, even if the
+file's content was synced.
 """
 
 import random
@@ -9,31 +9,31 @@
 from finchshed.common.errors import DiskFullError, StorageError
 
 _SECTOR_BYTES = 512
-_CHANCE_OF_UNWRITTEN_BLOCK = 0.3
+_UNWRITTEN_BLOCK_PROBABILITY = 0.3
 
 
 class _File:
-    """Content as the process sees it, and as the disk holds it."""
+    """File content as seen by the process, and as of the last sync."""
 
     def __init__(self) -> None:
-        self.seen = b""
-        self.durable = b""
+        self.content = b""
+        self.durable_content = b""
 
 
 class SimulatedDisk:
-    """Implements :class:`~finchshed.storage.disk.Disk` in memory, with faults.
+    """In-memory :class:`~finchshed.storage.disk.Disk` with fault injection.
 
     Parameters
     ----------
     rng
-        Decides what a crash leaves of unsynced writes, and which bit rots.
+        Determines which unsynced data survives a power loss and which bit is flipped.
     capacity_bytes
-        Room for all files together.
+        Total capacity for all files.
 
     Attributes
     ----------
     syncs
-        Number of syncs of files so far.
+        Number of file syncs.
     """
 
     def __init__(self, rng: random.Random, capacity_bytes: int = 1 << 40) -> None:
@@ -46,127 +46,127 @@
         self.syncs = 0
 
     def names(self) -> list[str]:
-        """Return the names of the files, sorted."""
-        self._check()
+        """Return the sorted file names."""
+        self._ensure_not_failed()
         return sorted(self._files)
 
     def read(self, name: str) -> bytes:
-        """Return the whole content of a file."""
-        self._check()
+        """Return the content of a file."""
+        self._ensure_not_failed()
         if name not in self._files:
             raise StorageError(f"cannot read {name}: no such file")
-        return self._files[name].seen
+        return self._files[name].content
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file; a full disk takes a part and raises."""
-        self._check_append(name, data)
+        """Append to a file; if the disk is full, write what fits and raise DiskFullError."""
+        self._begin_append(name, data)
         room = self.capacity_bytes - self.used_bytes
         file = self._files.setdefault(name, _File())
-        file.seen += data[: max(0, room)]
+        file.content += data[: max(0, room)]
         if len(data) > room:
             raise DiskFullError(f"cannot write {name}: the simulated disk is full")
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes."""
-        self._check_change()
-        self._files[name].seen = self._files[name].seen[:size]
+        """Truncate a file to ``size`` bytes."""
+        self._begin_operation()
+        self._files[name].content = self._files[name].content[:size]
 
     def sync(self, name: str) -> None:
-        """Make the content of a file last."""
-        self._check_change()
+        """Make the content of a file durable."""
+        self._begin_operation()
         self.syncs += 1
         file = self._files[name]
-        file.durable = file.seen
+        file.durable_content = file.content
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name."""
-        self._check_change()
+        """Rename a file, replacing any file named ``new``."""
+        self._begin_operation()
         self._files[new] = self._files.pop(old)
 
     def remove(self, name: str) -> None:
-        """Remove a file; a missing one is no error."""
-        self._check_change()
+        """Remove a file if it exists."""
+        self._begin_operation()
         self._files.pop(name, None)
 
     def sync_folder(self) -> None:
-        """Make the names of the files last."""
-        self._check_change()
+        """Make the file names durable."""
+        self._begin_operation()
         self._durable_names = dict(self._files)
 
     @property
     def used_bytes(self) -> int:
-        """Bytes in all files."""
-        return sum(len(file.seen) for file in self._files.values())
+        """Total size of all files in bytes."""
+        return sum(len(file.content) for file in self._files.values())
 
     @property
     def failed(self) -> bool:
-        """Whether every operation raises."""
+        """Whether the disk has failed, so that every operation raises."""
         return self._failed
 
     def lose_power(self) -> None:
-        """Forget what was not synced, or keep a part of it, as a real disk may."""
+        """Lose unsynced data, or keep a random part of it as a real disk may."""
         if self._rng.random() < 0.5:
             self._files = dict(self._durable_names)
         for file in self._files.values():
-            file.seen = self._left_of(file)
-            file.durable = file.seen
+            file.content = self._content_after_power_loss(file)
+            file.durable_content = file.content
         self._durable_names = dict(self._files)
 
     def lose_data(self) -> None:
-        """Become an empty disk, as after its replacement."""
+        """Replace the disk by an empty, working one."""
         self._files = {}
         self._durable_names = {}
         self._failed = False
 
     def fail(self) -> None:
-        """Let every operation raise from now on, until the data is lost."""
+        """Make every operation raise until :meth:`lose_data`."""
         self._failed = True
 
     def crash_after(self, operations: int) -> None:
-        """Let every change raise after this many more, the last one half done, until a restart."""
+        """Crash the process after this many more modifications, possibly within an append."""
         self._operations_left = operations
 
     def restart(self) -> None:
-        """Serve the next process."""
+        """Clear a simulated crash for the next process."""
         self._operations_left = None
 
     def flip_bit(self) -> str:
-        """Change one bit of a synced file; return the file's name, or nothing if all are empty."""
-        names = [name for name, file in sorted(self._files.items()) if file.durable]
+        """Flip a random bit of a synced file; return its name, or ``""`` if there is none."""
+        names = [name for name, file in sorted(self._files.items()) if file.durable_content]
         if not names:
             return ""
         name = self._rng.choice(names)
-        self.flip_bit_at(name, self._rng.randrange(len(self._files[name].durable) * 8))
+        self.flip_bit_at(name, self._rng.randrange(len(self._files[name].durable_content) * 8))
         return name
 
     def flip_bit_at(self, name: str, bit: int) -> None:
-        """Change one bit of a file, counted from its start."""
+        """Flip the bit at offset ``bit`` of a file."""
         file = self._files[name]
-        content = bytearray(file.seen)
+        content = bytearray(file.content)
         content[bit // 8] ^= 1 << (bit % 8)
-        file.seen = bytes(content)
-        file.durable = file.seen[: len(file.durable)]
-
-    def _left_of(self, file: _File) -> bytes:
-        if not file.seen.startswith(file.durable):
-            return self._rng.choice((file.seen, file.durable))
-        unsynced = len(file.seen) - len(file.durable)
-        kept = file.seen[: len(file.durable) + self._rng.randint(0, unsynced)]
-        if len(kept) < len(file.seen) and self._rng.random() < _CHANCE_OF_UNWRITTEN_BLOCK:
+        file.content = bytes(content)
+        file.durable_content = file.content[: len(file.durable_content)]
+
+    def _content_after_power_loss(self, file: _File) -> bytes:
+        if not file.content.startswith(file.durable_content):
+            return self._rng.choice((file.content, file.durable_content))
+        unsynced = len(file.content) - len(file.durable_content)
+        kept = file.content[: len(file.durable_content) + self._rng.randint(0, unsynced)]
+        if len(kept) < len(file.content) and self._rng.random() < _UNWRITTEN_BLOCK_PROBABILITY:
             kept += b"\0" * _SECTOR_BYTES
         return kept
 
-    def _check_append(self, name: str, data: bytes) -> None:
-        """Write a part of ``data`` and raise, if the process is to crash in this append."""
+    def _begin_append(self, name: str, data: bytes) -> None:
+        """Count an append; if the process crashes in it, write part of ``data`` and raise."""
         crashes_now = self._operations_left == 0 and not self._failed
         if crashes_now:
             file = self._files.setdefault(name, _File())
-            file.seen += data[: self._rng.randint(0, len(data))]
+            file.content += data[: self._rng.randint(0, len(data))]
             self._operations_left = -1
-        self._check_change()
+        self._begin_operation()
 
-    def _check_change(self) -> None:
-        self._check()
+    def _begin_operation(self) -> None:
+        self._ensure_not_failed()
         if self._operations_left is None:
             return
         if self._operations_left <= 0:
@@ -174,6 +174,6 @@
             raise StorageError("the simulated process has crashed")
         self._operations_left -= 1
 
-    def _check(self) -> None:
+    def _ensure_not_failed(self) -> None:
         if self._failed:
             raise StorageError("the simulated disk has failed")
--- a/src/finchshed/storage/snapshots.py
+++ b/src/finchshed/storage/snapshots.py
@@ -1,13 +1,10 @@
-"""Snapshots as files: a header line, then lines that each hold a part of the data.
-
-Owns the form of those files. Relies on :mod:`finchshed.storage.disk` to replace a file whole.
-"""
+"""Snapshot files: a header line followed by lines with chunks of the data."""
 
 import msgspec
 
 from finchshed.common.errors import CorruptRecordError
 from finchshed.storage.disk import Disk, replace_file
-from finchshed.storage.framing import frame, read_whole
+from finchshed.storage.framing import frame, read_complete
 from finchshed.storage.records import Snapshot
 
 PART_BYTES = 256 << 10
@@ -26,17 +23,17 @@
 
 
 def snapshot_name(index: int, term: int) -> str:
-    """Return the name of the file that holds the snapshot of an entry."""
+    """Return the file name of the snapshot at ``index`` and ``term``."""
     return f"{_PREFIX}{index:016d}-{term:08d}{_SUFFIX}"
 
 
 def is_snapshot_name(name: str) -> bool:
-    """Whether a file holds a snapshot."""
+    """Whether ``name`` is the name of a snapshot file."""
     return name.startswith(_PREFIX) and name.endswith(_SUFFIX)
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the content of a snapshot file."""
+    """Encode a snapshot as file content."""
     size = len(snapshot.data)
     header = SnapshotHeader(snapshot.index, snapshot.term, snapshot.membership, size)
     lines = [frame(msgspec.json.encode(header))]
@@ -47,18 +44,20 @@
 
 
 def decode_snapshot(content: bytes, name: str) -> Snapshot:
-    """Read a snapshot file.
+    """Decode the content of a snapshot file.
 
     Raises
     ------
     CorruptRecordError
         A line is damaged or missing.
     """
-    first, *rest = read_whole(content, name)
+    first, *rest = read_complete(content, name)
     header = msgspec.json.decode(first, type=SnapshotHeader)
     data = b"".join(msgspec.json.decode(line, type=bytes) for line in rest)
     if len(data) != header.size:
-        raise CorruptRecordError(f"{name} holds {len(data)} of {header.size} bytes")
+        raise CorruptRecordError(
+            f"{name} contains {len(data)} bytes of data, expected {header.size}"
+        )
     return Snapshot(header.index, header.term, header.membership, data)
 
 
@@ -69,12 +68,12 @@
 
 
 def load_snapshot(disk: Disk, index: int, term: int) -> Snapshot:
-    """Return the snapshot of an entry.
+    """Load the snapshot at ``index`` and ``term``.
 
     Raises
     ------
     CorruptRecordError
-        It is missing or damaged.
+        The file is missing or damaged.
     """
     name = snapshot_name(index, term)
     if name not in disk.names():
--- a/tests/consensus/broken_variants.py
+++ b/tests/consensus/broken_variants.py
@@ -26,7 +26,7 @@
 from finchshed.consensus.state import LeaderState, NodeState, PendingRead
 from finchshed.proof.consensus.campaign import ConsensusSummary
 from finchshed.storage import framing, log_store
-from finchshed.storage.framing import Tail
+from finchshed.storage.framing import TailState
 from finchshed.storage.journal import Journal, encode_records
 from finchshed.storage.records import Vote as StoredVote
 from finchshed.storage.simulated_disk import SimulatedDisk
@@ -150,7 +150,7 @@
         "all-restarted", SimulatedDisk, "sync_folder", return_constant(None), first_seed=1
     ),
     "damage taken for a torn tail": BrokenVariant(
-        "bit-rot", framing, "_judge", return_constant(Tail.TORN), first_seed=4
+        "bit-rot", framing, "_classify_tail", return_constant(TailState.TORN), first_seed=4
     ),
     "incarnation forgotten": BrokenVariant(
         "lost-disks", log_store, "new_incarnation", return_constant("same"), first_seed=0
--- a/tests/storage/test_folder.py
+++ b/tests/storage/test_folder.py
@@ -1,4 +1,4 @@
-"""A real folder keeps what was written and admits one process."""
+"""DataFolder persists state and is locked against a second process."""
 
 import random
 from pathlib import Path
@@ -11,7 +11,7 @@
 from finchshed.storage.records import Entry, Snapshot, Vote, Write
 
 
-def test_state_is_found_after_reopening(tmp_path: Path) -> None:
+def test_state_survives_reopening(tmp_path: Path) -> None:
     folder = DataFolder(tmp_path / "data")
     store = open_store(folder, random.Random(1)).store
     store.write([Write(vote=Vote(2, "b"), entries=(Entry(1, 1, data=b"one"), Entry(2, 2)))])
@@ -26,7 +26,7 @@
     assert stored.vote == Vote(2, "b")
 
 
-def test_second_opening_is_refused_until_the_first_closes(tmp_path: Path) -> None:
+def test_folder_is_locked_until_closed(tmp_path: Path) -> None:
     folder = DataFolder(tmp_path)
     with pytest.raises(FolderLockedError):
         DataFolder(tmp_path)
@@ -34,7 +34,7 @@
     DataFolder(tmp_path).close()
 
 
-def test_missing_file_is_a_typed_error(tmp_path: Path) -> None:
+def test_reading_a_missing_file_raises_storage_error(tmp_path: Path) -> None:
     folder = DataFolder(tmp_path)
     with pytest.raises(StorageError):
         folder.read("missing")
--- a/tests/storage/test_log_store.py
+++ b/tests/storage/test_log_store.py
@@ -1,4 +1,4 @@
-"""Durable state survives crashes whole, and damage is never taken for a torn write."""
+"""Durable state survives crashes, and corruption is never mistaken for a torn write."""
 
 import random
 
@@ -20,33 +20,33 @@
     return tuple(Entry(index, term, data=b"entry %d" % index) for index in range(first, last + 1))
 
 
-def fresh(seed: int = 1) -> tuple[SimulatedDisk, LogStore]:
+def open_new_store(seed: int = 1) -> tuple[SimulatedDisk, LogStore]:
     disk = SimulatedDisk(random.Random(seed))
     return disk, open_store(disk, random.Random(seed)).store
 
 
-def reopened(disk: SimulatedDisk) -> StoredState:
+def reopen(disk: SimulatedDisk) -> StoredState:
     return open_store(disk, random.Random(99)).stored
 
 
-def test_restart_returns_what_was_written() -> None:
-    disk, store = fresh()
-    incarnation = reopened(disk).incarnation
+def test_reopening_returns_written_state() -> None:
+    disk, store = open_new_store()
+    incarnation = reopen(disk).incarnation
     store.write([Write(vote=Vote(3, "a"), entries=entries(1, 5)), Write(entries=entries(6, 7))])
     store.write([Write(truncate_from=5, entries=entries(5, 6, term=4))])
-    stored = reopened(disk)
+    stored = reopen(disk)
     assert stored.vote == Vote(3, "a")
     assert stored.entries == [*entries(1, 4), *entries(5, 6, term=4)]
     assert stored.incarnation == incarnation
 
 
 def test_snapshot_replaces_earlier_entries_and_keeps_later_ones() -> None:
-    disk, store = fresh()
+    disk, store = open_new_store()
     store.write([Write(entries=entries(1, 10))])
     snapshot = Snapshot(8, 1, b"members", b"x" * 600_000)
     store.write([Write(vote=Vote(2), entries=entries(9, 10), snapshot=snapshot)])
     store.write([Write(entries=entries(11, 11, term=2))])
-    stored = reopened(disk)
+    stored = reopen(disk)
     assert stored.snapshot == snapshot
     assert stored.entries == [*entries(9, 10), *entries(11, 11, term=2)]
     assert stored.vote == Vote(2)
@@ -54,9 +54,9 @@
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_power_loss_keeps_all_that_was_reported_durable(seed: int) -> None:
+def test_power_loss_keeps_durable_writes(seed: int) -> None:
     rng = random.Random(seed)
-    disk, store = fresh(seed)
+    disk, store = open_new_store(seed)
     durable: list[Entry] = []
     snapshot = None
     for _ in range(rng.randint(1, 12)):
@@ -72,14 +72,14 @@
     journal = next(name for name in disk.names() if name.startswith("journal"))
     disk.append(journal, b'{"size":"000000ff","checksum":"0123')
     disk.lose_power()
-    stored = reopened(disk)
+    stored = reopen(disk)
     assert stored.entries == durable
     assert stored.snapshot == snapshot
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_power_loss_in_a_write_leaves_a_prefix_of_it(seed: int) -> None:
-    disk, store = fresh(seed)
+def test_power_loss_during_a_write_keeps_a_prefix(seed: int) -> None:
+    disk, store = open_new_store(seed)
     store.write([Write(entries=entries(1, 3))])
     synced = disk.read(journal_name(1))
     store.write([Write(entries=entries(4, 9))])
@@ -91,25 +91,25 @@
     torn.sync_folder()
     torn.append(journal_name(1), unsynced)
     torn.lose_power()
-    found = reopened(torn).entries
+    found = reopen(torn).entries
     assert found == list(entries(1, max(3, len(found))))
 
 
-def test_every_flipped_bit_is_found() -> None:
-    disk, store = fresh()
+def test_every_flipped_bit_is_detected() -> None:
+    disk, store = open_new_store()
     store.write([Write(vote=Vote(1, "a"))])
     store.write([Write(entries=entries(1, 3))])
     for name in disk.names():
         for bit in range(len(disk.read(name)) * 8):
             disk.flip_bit_at(name, bit)
             with pytest.raises(CorruptRecordError):
-                reopened(disk)
+                reopen(disk)
             disk.flip_bit_at(name, bit)
-    assert reopened(disk).entries == list(entries(1, 3))
+    assert reopen(disk).entries == list(entries(1, 3))
 
 
-def test_every_cut_of_the_last_write_is_taken_for_torn() -> None:
-    disk, store = fresh()
+def test_every_truncation_of_the_last_write_is_torn() -> None:
+    disk, store = open_new_store()
     store.write([Write(entries=entries(1, 3))])
     synced = len(disk.read(journal_name(1)))
     store.write([Write(entries=entries(4, 4))])
@@ -117,57 +117,57 @@
     for size in range(synced, len(whole)):
         disk.truncate(journal_name(1), 0)
         disk.append(journal_name(1), whole[:size])
-        stored = reopened(disk)
+        stored = reopen(disk)
         assert stored.entries == list(entries(1, 3))
         assert stored.torn_bytes == size - synced
 
 
-def test_damaged_snapshot_is_found() -> None:
-    disk, store = fresh()
+def test_damaged_snapshot_is_detected() -> None:
+    disk, store = open_new_store()
     store.write([Write(entries=entries(1, 2))])
     store.write([Write(vote=Vote(1), snapshot=Snapshot(2, 1, b"", b"state"))])
     name = next(name for name in disk.names() if name.startswith("snapshot"))
     disk.flip_bit_at(name, 300)
     with pytest.raises(CorruptRecordError):
-        reopened(disk)
+        reopen(disk)
 
 
-def test_discarded_disk_gets_a_new_incarnation_and_keeps_the_remains() -> None:
-    disk, store = fresh()
+def test_damaged_disk_gets_a_new_incarnation_and_keeps_its_files() -> None:
+    disk, store = open_new_store()
     store.write([Write(entries=entries(1, 2))])
-    before = reopened(disk).incarnation
+    before = reopen(disk).incarnation
     set_aside_damaged_files(disk)
-    stored = reopened(disk)
+    stored = reopen(disk)
     assert stored.incarnation != before
     assert stored.entries == []
     assert "damaged-" + journal_name(1) in disk.names()
 
 
-def test_lost_journal_is_never_replaced_under_the_old_incarnation() -> None:
-    disk, store = fresh()
+def test_lost_journal_changes_the_incarnation() -> None:
+    disk, store = open_new_store()
     store.write([Write(entries=entries(1, 2))])
-    before = reopened(disk).incarnation
+    before = reopen(disk).incarnation
     disk.remove(journal_name(1))
-    assert reopened(disk).incarnation != before
+    assert reopen(disk).incarnation != before
 
 
-def test_full_disk_is_an_outcome_and_the_write_can_be_repeated() -> None:
-    disk, store = fresh()
+def test_write_can_be_retried_after_a_full_disk() -> None:
+    disk, store = open_new_store()
     store.write([Write(entries=entries(1, 3))])
     disk.capacity_bytes = disk.used_bytes + 50
     batch = [Write(entries=entries(4, 9))]
     assert store.write(batch) is WriteOutcome.DISK_FULL
-    assert reopened(disk).entries == list(entries(1, 3))
+    assert reopen(disk).entries == list(entries(1, 3))
     snapshot = Write(vote=Vote(), snapshot=Snapshot(2, 1, b"", b"x" * 100), entries=entries(3, 3))
     assert store.write([snapshot]) is WriteOutcome.DISK_FULL
-    assert reopened(disk).entries == list(entries(1, 3))
+    assert reopen(disk).entries == list(entries(1, 3))
     disk.capacity_bytes = 1 << 30
     assert store.write([*batch, snapshot, *batch]) is WriteOutcome.DURABLE
-    assert reopened(disk).entries == [*entries(3, 3), *entries(4, 9)]
+    assert reopen(disk).entries == [*entries(3, 3), *entries(4, 9)]
 
 
-def test_writes_of_one_batch_share_one_sync() -> None:
-    disk, store = fresh()
+def test_batched_writes_share_one_sync() -> None:
+    disk, store = open_new_store()
     before = disk.syncs
     store.write([Write(entries=entries(index, index)) for index in range(1, 101)])
     assert disk.syncs == before + 1
