--- a/src/finchshed/ledger/__init__.py
+++ b/src/finchshed/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once ledger of requests that may not be repeated."""
+"""Ledger that executes non-repeatable requests at most once."""
--- a/src/finchshed/ledger/ledger.py
+++ b/src/finchshed/ledger/ledger.py
@@ -1,13 +1,12 @@
-"""The at-most-once ledger as a pure state machine.
+"""At-most-once ledger as a deterministic state machine.
 
-The replicated log applies the same operations in the same order on every control node. Time is
-the time of the log's entries (Unix seconds, proposed by the leader); it never goes back here, so
-restarts and changes of leader don't prolong or shorten a key's life.
+The replicated log applies the same operations in the same order on every control node. Time is the
+timestamp of log entries (Unix seconds, proposed by the leader) and never decreases, so restarts and
+leader changes do not alter the lifetime of a key.
 
-Owns the keys of one log. A key is free, begun by one attempt, or completed. It is forgotten once it
-is older than the window; :attr:`Ledger.oldest_issued` only rises, so a forgotten key is refused for
-good, also when the window is made longer later. Relies on the control program to apply each entry
-once, in order.
+A key is free, begun by one attempt, or completed, and is dropped once it is older than the window.
+:attr:`Ledger.oldest_issued` never decreases, so a dropped key stays refused even if the window is
+extended later.
 """
 
 import collections
@@ -30,28 +29,27 @@
 )
 
 MAX_CLOCK_LEAD_SECONDS = 60.0
-"""How far a key's time may lie ahead of the log's time: clocks of callers differ. Chosen, not
-measured."""
+"""Maximum lead of a key's issue time over the log time, to tolerate clock skew of callers."""
 
 DEFAULT_MAX_KEYS = 500_000
-"""Keys held at most; one more is refused. docs/design/ledger.md says how many a window needs."""
+"""Maximum number of keys; docs/design/ledger.md explains how many a window needs."""
 
 DEFAULT_MAX_ANSWER_BYTES = 64 << 10
-"""Longest answer kept; a resend of a longer one gets "outcome unknown". Chosen, not measured."""
+"""Maximum size of a stored answer; resends of a request with a larger one get OutcomeUnknown."""
 
 DEFAULT_MAX_TOTAL_ANSWER_BYTES = 512 << 20
-"""Bytes of all answers kept; past them no key is begun. Chosen, not measured."""
+"""Maximum total size of stored answers; new keys are refused once it is reached."""
 
 CANCELLED_ATTEMPTS_KEPT = 8
-"""Cancelled attempts remembered per key: a late begin of one of them is refused.
+"""Number of cancelled attempts stored per key; a late begin of one of them is refused.
 
-A begin of an attempt cancelled longer ago leaves the key begun by nobody: resends then get
-"outcome unknown", which is safe. Chosen, not measured.
+A late begin of an older cancelled attempt is granted but never executed, so resends of the request
+get OutcomeUnknown, which is safe.
 """
 
 
 class KeyState(enum.IntEnum):
-    """What is known of a key."""
+    """State of a key."""
 
     FREE = 0
     BEGUN = 1
@@ -59,10 +57,10 @@
 
 
 class LedgerEntry(msgspec.Struct, array_like=True):
-    """One key.
+    """State and stored answer of a key.
 
-    ``answer`` is None for a completed key whose answer exceeded the byte limit: a resend then
-    gets "outcome unknown".
+    ``answer`` is None for a completed key without an answer, or whose answer exceeded the size
+    limits; resends then get OutcomeUnknown.
     """
 
     issued: float
@@ -73,16 +71,16 @@
 
 
 class LedgerSnapshot(msgspec.Struct):
-    """Everything a ledger holds.
+    """Serialized state of a ledger. Times are in Unix seconds.
 
     Attributes
     ----------
     time
-        Time of the log, Unix seconds.
+        Time of the log.
     oldest_issued
-        Keys made before this are forgotten, Unix seconds; stored as ``floor``.
+        Keys issued before this have expired; stored as ``floor``.
     unknown_before
-        Keys made before this may have been begun in a part of the log that was lost, Unix seconds.
+        Keys issued before this may have been begun in a lost part of the log.
     """
 
     time: float
@@ -92,7 +90,7 @@
 
 
 class LedgerLimits(msgspec.Struct, frozen=True):
-    """Bounds of the ledger's size."""
+    """Size limits of a ledger."""
 
     max_keys: int = DEFAULT_MAX_KEYS
     max_answer_bytes: int = DEFAULT_MAX_ANSWER_BYTES
@@ -100,7 +98,7 @@
 
 
 def answer_bytes(answer: Answered | None) -> int:
-    """Return how much of the answers' byte limit ``answer`` takes."""
+    """Return the size of ``answer`` as counted towards the limits."""
     if answer is None:
         return 0
     headers = sum(len(name) + len(value) for name, value in answer.headers)
@@ -108,18 +106,18 @@
 
 
 class Ledger:
-    """Grants each key at most once within its window.
+    """Grants each key to at most one attempt within its window.
 
     Parameters
     ----------
     limits
-        Bounds of the size; equal on every control node.
+        Size limits; must be equal on every control node.
     """
 
     def __init__(self, limits: LedgerLimits | None = None) -> None:
         self._limits = limits or LedgerLimits()
         self._entries: dict[str, LedgerEntry] = {}
-        self._by_issue: list[tuple[float, str]] = []
+        self._keys_by_issue_time: list[tuple[float, str]] = []
         self._total_answer_bytes = 0
         self._counts: collections.Counter[KeyState] = collections.Counter()
         self.time = 0.0
@@ -131,7 +129,7 @@
 
     @property
     def total_answer_bytes(self) -> int:
-        """Bytes of answers held."""
+        """Total size of stored answers in bytes."""
         return self._total_answer_bytes
 
     def counts(self) -> dict[str, int]:
@@ -139,19 +137,19 @@
         return {state.name.lower(): self._counts[state] for state in KeyState}
 
     def advance(self, time: float, window_seconds: float) -> None:
-        """Move the log's time forward to ``time`` and forget keys older than the window."""
+        """Advance the log time to ``time`` and drop keys older than the window."""
         self.time = max(self.time, time)
         self.oldest_issued = max(self.oldest_issued, self.time - window_seconds)
-        while self._by_issue and self._by_issue[0][0] < self.oldest_issued:
-            _, key = heapq.heappop(self._by_issue)
+        while self._keys_by_issue_time and self._keys_by_issue_time[0][0] < self.oldest_issued:
+            _, key = heapq.heappop(self._keys_by_issue_time)
             entry = self._entries.pop(key)
             self._counts[entry.state] -= 1
             self._total_answer_bytes -= answer_bytes(entry.answer)
 
     def begin(self, key: str, attempt: str) -> LedgerResult:
-        """Ask leave to run the request under ``key``; a resend of an attempt is granted again."""
+        """Request to execute ``attempt`` of ``key``; the same attempt is granted again."""
         issued = issued_at(key)
-        refusal = self._refusal_of_time(issued)
+        refusal = self._timestamp_refusal(issued)
         if refusal is not None or issued is None:
             return LedgerRefusal(refusal or LedgerRefusalReason.NO_TIME_IN_KEY)
         entry = self._entries.get(key)
@@ -159,29 +157,29 @@
         if is_free and issued < self.unknown_before:
             return OutcomeUnknown()
         if entry is None:
-            if self._is_full():
+            if self._is_at_capacity():
                 return LedgerRefusal(LedgerRefusalReason.FULL)
             entry = self._insert(key, issued)
-        return self._begin_entry(entry, attempt)
+        return self._begin_key(entry, attempt)
 
     def cancel(self, key: str, attempt: str) -> LedgerResult:
-        """Free ``key``: ``attempt`` was never sent. A begin that arrives later is refused."""
+        """Free ``key`` because ``attempt`` was never sent; a later begin of it is refused."""
         issued = issued_at(key)
-        refusal = self._refusal_of_time(issued)
+        refusal = self._timestamp_refusal(issued)
         if refusal is LedgerRefusalReason.MADE_IN_THE_FUTURE:
-            # It can't be kept, and a begin that comes late enough would be granted.
+            # The cancel cannot be stored yet, and a later begin would be granted.
             return LedgerRefusal(refusal)
         if refusal is not None or issued is None:
             return Recorded()
         entry = self._entries.get(key)
         if entry is None:
-            if self._is_full():
+            if self._is_at_capacity():
                 return LedgerRefusal(LedgerRefusalReason.FULL)
             entry = self._insert(key, issued)
         if attempt in entry.cancelled:
             return Recorded()
-        holds = entry.state is KeyState.BEGUN and entry.attempt == attempt
-        if entry.state is not KeyState.FREE and not holds:
+        is_holder = entry.state is KeyState.BEGUN and entry.attempt == attempt
+        if entry.state is not KeyState.FREE and not is_holder:
             if entry.attempt == attempt:
                 return NotHolder()
             self._remember_cancelled(entry, attempt)
@@ -192,9 +190,9 @@
         return Recorded()
 
     def complete(self, key: str, attempt: str, answer: Answered | None) -> LedgerResult:
-        """Record the whole answer of ``attempt``; resends of the request get it from now on.
+        """Record the complete answer of ``attempt``, to be returned to resends.
 
-        Without an answer, or with one past the byte limits, they get "outcome unknown".
+        Without an answer, or if it exceeds the size limits, resends get OutcomeUnknown.
         """
         entry = self._entries.get(key)
         if entry is None or entry.state is KeyState.FREE or entry.attempt != attempt:
@@ -210,22 +208,22 @@
         return Recorded()
 
     def snapshot(self) -> LedgerSnapshot:
-        """Return everything held; the value shares its entries with the ledger."""
+        """Return the current state; it shares its entries with the ledger."""
         return LedgerSnapshot(self.time, self.oldest_issued, self._entries, self.unknown_before)
 
     def restore(self, snapshot: LedgerSnapshot) -> None:
-        """Replace everything held by ``snapshot``."""
+        """Replace the state by ``snapshot``."""
         self.time = snapshot.time
         self.oldest_issued = snapshot.oldest_issued
         self.unknown_before = snapshot.unknown_before
         self._entries = snapshot.entries
-        self._by_issue = [(entry.issued, key) for key, entry in snapshot.entries.items()]
-        heapq.heapify(self._by_issue)
+        self._keys_by_issue_time = [(entry.issued, key) for key, entry in snapshot.entries.items()]
+        heapq.heapify(self._keys_by_issue_time)
         entries = snapshot.entries.values()
         self._total_answer_bytes = sum(answer_bytes(entry.answer) for entry in entries)
         self._counts = collections.Counter(entry.state for entry in entries)
 
-    def _refusal_of_time(self, issued: float | None) -> LedgerRefusalReason | None:
+    def _timestamp_refusal(self, issued: float | None) -> LedgerRefusalReason | None:
         if issued is None:
             return LedgerRefusalReason.NO_TIME_IN_KEY
         if issued < self.oldest_issued:
@@ -234,7 +232,7 @@
             return LedgerRefusalReason.MADE_IN_THE_FUTURE
         return None
 
-    def _is_full(self) -> bool:
+    def _is_at_capacity(self) -> bool:
         full = len(self._entries) >= self._limits.max_keys
         return full or self._total_answer_bytes >= self._limits.max_total_answer_bytes
 
@@ -242,10 +240,10 @@
         entry = LedgerEntry(issued=issued, state=KeyState.FREE)
         self._entries[key] = entry
         self._counts[KeyState.FREE] += 1
-        heapq.heappush(self._by_issue, (issued, key))
+        heapq.heappush(self._keys_by_issue_time, (issued, key))
         return entry
 
-    def _begin_entry(self, entry: LedgerEntry, attempt: str) -> LedgerResult:
+    def _begin_key(self, entry: LedgerEntry, attempt: str) -> LedgerResult:
         if entry.state is KeyState.COMPLETED:
             return OutcomeUnknown() if entry.answer is None else Completed(entry.answer)
         if entry.state is KeyState.BEGUN:
--- a/src/finchshed/ledger/results.py
+++ b/src/finchshed/ledger/results.py
@@ -1,7 +1,4 @@
-"""Answers of the ledger, as values.
-
-Owns no state.
-"""
+"""Results of ledger operations."""
 
 import enum
 from typing import TypeAlias
@@ -12,7 +9,7 @@
 
 
 class LedgerRefusalReason(enum.StrEnum):
-    """Why nothing was granted."""
+    """Why an operation was refused."""
 
     EXPIRED = "expired"
     NO_TIME_IN_KEY = "no_time_in_key"
@@ -28,27 +25,27 @@
 
 
 class Completed(msgspec.Struct, frozen=True, tag="completed"):
-    """The request ran to its end before; this is its whole answer."""
+    """The request was already completed with this answer."""
 
     answer: Answered
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True, tag="unknown"):
-    """The request was begun by another attempt and may have run; it is not run again."""
+    """The request may already have run, so it must not be run again."""
 
 
 class LedgerRefusal(msgspec.Struct, frozen=True, tag="refused"):
-    """Nothing was granted."""
+    """The operation was refused and had no effect."""
 
     reason: LedgerRefusalReason
 
 
 class Recorded(msgspec.Struct, frozen=True, tag="noted"):
-    """A cancel or complete is recorded, or had been before."""
+    """A cancel or completion was recorded, now or earlier."""
 
 
 class NotHolder(msgspec.Struct, frozen=True, tag="not_holder"):
-    """A cancel or complete came from an attempt that doesn't hold the key; nothing changed."""
+    """A cancel or completion came from an attempt that does not hold the key; nothing changed."""
 
 
 LedgerResult: TypeAlias = (
--- a/tests/ledger/test_epochs.py
+++ b/tests/ledger/test_epochs.py
@@ -1,3 +1,5 @@
+"""Assignment of keys to epochs and shards."""
+
 import random
 
 import msgspec
@@ -8,79 +10,79 @@
     CLOCK_LEAD_SECONDS,
     CONFIRMATION_VALIDITY_SECONDS,
     CONTROL_GROUP,
-    MOVE_SECONDS,
+    SHARD_CHANGE_LEAD_SECONDS,
     EpochsSnapshot,
     LedgerEpochs,
 )
 from finchshed.ledger.keys import new_key
 
 START = 1_800_000_000.0
-ONE = (("10.0.0.1:1",),)
-TWO = (*ONE, ("10.0.0.2:1",))
-OTHER = (("10.0.0.9:1",),)
-THREE = (*TWO, ("10.0.0.3:1",))
+ONE_SHARD = (("10.0.0.1:1",),)
+TWO_SHARDS = (*ONE_SHARD, ("10.0.0.2:1",))
+OTHER_SHARD = (("10.0.0.9:1",),)
+THREE_SHARDS = (*TWO_SHARDS, ("10.0.0.3:1",))
 
 
-def made_at(time: float, seed: int = 1) -> str:
+def key_issued_at(time: float, seed: int = 1) -> str:
     return new_key(time, random.Random(seed))
 
 
-def used() -> LedgerEpochs:
+def used_epochs() -> LedgerEpochs:
     epochs = LedgerEpochs()
     epochs.is_used = True
     return epochs
 
 
-def test_a_ledger_that_was_never_used_is_spread_at_once() -> None:
+def test_unused_ledger_moves_to_shards_at_once() -> None:
     epochs = LedgerEpochs()
-    epochs.declare(TWO, START)
-    assert epochs.group_of(made_at(START - 100.0)) in TWO
-    assert epochs.group_of(made_at(START)) in TWO
+    epochs.declare(TWO_SHARDS, START)
+    assert epochs.group_of(key_issued_at(START - 100.0)) in TWO_SHARDS
+    assert epochs.group_of(key_issued_at(START)) in TWO_SHARDS
 
 
-def test_keys_the_own_ledger_may_have_begun_stay_there() -> None:
-    epochs = used()
-    epochs.declare(ONE, START)
-    assert epochs.group_of(made_at(START + CLOCK_LEAD_SECONDS - 0.01)) == CONTROL_GROUP
-    assert epochs.group_of(made_at(START + CLOCK_LEAD_SECONDS)) == ONE[0]
+def test_keys_issued_before_the_epoch_stay_in_the_control_group() -> None:
+    epochs = used_epochs()
+    epochs.declare(ONE_SHARD, START)
+    assert epochs.group_of(key_issued_at(START + CLOCK_LEAD_SECONDS - 0.01)) == CONTROL_GROUP
+    assert epochs.group_of(key_issued_at(START + CLOCK_LEAD_SECONDS)) == ONE_SHARD[0]
     assert epochs.group_of("no key") == CONTROL_GROUP
 
 
-def test_declaring_the_same_again_begins_nothing() -> None:
-    epochs = used()
-    epochs.declare(ONE, START)
+def test_declaring_the_same_shards_again_starts_no_epoch() -> None:
+    epochs = used_epochs()
+    epochs.declare(ONE_SHARD, START)
     before = epochs.snapshot()
-    epochs.declare(ONE, START + 500.0)
+    epochs.declare(ONE_SHARD, START + 500.0)
     assert epochs.snapshot() == before
 
 
-def test_an_epoch_is_forgotten_once_all_its_keys_are_past_the_window() -> None:
-    epochs = used()
-    epochs.declare(ONE, START)
-    epochs.declare(TWO, START + 1_000.0)
-    moved = START + 1_000.0 + MOVE_SECONDS
+def test_epoch_is_dropped_once_all_its_keys_have_expired() -> None:
+    epochs = used_epochs()
+    epochs.declare(ONE_SHARD, START)
+    epochs.declare(TWO_SHARDS, START + 1_000.0)
+    moved = START + 1_000.0 + SHARD_CHANGE_LEAD_SECONDS
     epochs.forget(moved - 1.0)
-    assert epochs.group_of(made_at(moved - 1.0)) == ONE[0]
+    assert epochs.group_of(key_issued_at(moved - 1.0)) == ONE_SHARD[0]
     epochs.forget(moved)
-    assert epochs.groups() == set(TWO)
+    assert epochs.groups() == set(TWO_SHARDS)
 
 
-def test_keys_are_spread_evenly() -> None:
+def test_keys_are_distributed_evenly() -> None:
     epochs = LedgerEpochs()
-    epochs.declare(THREE, START)
-    counts = dict.fromkeys(THREE, 0)
+    epochs.declare(THREE_SHARDS, START)
+    counts = dict.fromkeys(THREE_SHARDS, 0)
     for seed in range(3_000):
-        counts[epochs.group_of(made_at(START, seed))] += 1
+        counts[epochs.group_of(key_issued_at(START, seed))] += 1
     assert all(900 <= count <= 1_100 for count in counts.values())
 
 
-shard_sets = st.sampled_from([(), ONE, OTHER, THREE])
+shard_sets = st.sampled_from([(), ONE_SHARD, OTHER_SHARD, THREE_SHARDS])
 histories = st.lists(st.tuples(st.floats(1.0, 2_000.0), shard_sets), min_size=1, max_size=6)
 
 
 @settings(max_examples=1_000, deadline=None, derandomize=True)
-@example(  # every bound at its worst
-    history=[(1.0, ONE), (1_000.0, OTHER)],
+@example(  # all bounds at their limit
+    history=[(1.0, ONE_SHARD), (1_000.0, OTHER_SHARD)],
     since_last_change=CONFIRMATION_VALIDITY_SECONDS - 0.1,
     key_ahead=CLOCK_LEAD_SECONDS,
     lag=CONFIRMATION_VALIDITY_SECONDS,
@@ -95,7 +97,7 @@
     skew=st.floats(-CLOCK_LEAD_SECONDS, CLOCK_LEAD_SECONDS),
     restart=st.booleans(),
 )
-def test_a_node_that_lags_sends_no_key_to_another_shard_than_one_that_does_not(
+def test_lagging_node_routes_each_key_to_the_same_shard(
     *,
     history: list[tuple[float, tuple[tuple[str, ...], ...]]],
     since_last_change: float,
@@ -104,8 +106,8 @@
     skew: float,
     restart: bool,
 ) -> None:
-    """``skew``: clock of the node that is asked, against the leader's that declares epochs."""
-    up_to_date, lagging = used(), used()
+    """``skew`` is the clock offset of the lagging node from the leader that declares epochs."""
+    up_to_date, lagging = used_epochs(), used_epochs()
     asked_at = START + sum(pause for pause, _ in history) + since_last_change
     committed_at = START
     for pause, shards in history:
@@ -116,7 +118,7 @@
     if restart:
         data = msgspec.json.encode(lagging.snapshot())
         lagging.restore(msgspec.json.decode(data, type=EpochsSnapshot))
-    key = made_at(asked_at + skew + key_ahead)
-    there = lagging.group_of(key)
-    if there != CONTROL_GROUP:  # the own log decides with its own, full knowledge
-        assert there == up_to_date.group_of(key)
+    key = key_issued_at(asked_at + skew + key_ahead)
+    lagging_group = lagging.group_of(key)
+    if lagging_group != CONTROL_GROUP:  # the control group's log is up to date and decides itself
+        assert lagging_group == up_to_date.group_of(key)
--- a/tests/ledger/test_ledger_properties.py
+++ b/tests/ledger/test_ledger_properties.py
@@ -1,4 +1,4 @@
-"""At most once, over random histories of attempts, losses, cancels, restarts and time."""
+"""At-most-once execution over random histories of attempts, cancels, restarts and time."""
 
 import random
 
@@ -24,12 +24,12 @@
 )
 
 
-class Model:
-    """Back ends and daemons: a daemon runs a granted attempt once, unless it cancelled it."""
+class ExecutionModel:
+    """Model of daemons: a granted attempt is executed once unless it was cancelled before."""
 
     def __init__(self) -> None:
         self.runs: dict[str, set[str]] = {}
-        self.gave_up: set[str] = set()
+        self.cancelled_attempts: set[str] = set()
         self.answers: dict[str, Answered] = {}
 
 
@@ -41,21 +41,21 @@
     ledger = Ledger()
     time = NOW
     ledger.advance(time, 100.0)
-    model = Model()
+    model = ExecutionModel()
     for action, key_number, attempt_number in history:
         key, attempt = KEYS[key_number], f"{key_number}-{attempt_number}"
-        ran = model.runs.setdefault(key, set())
+        executed = model.runs.setdefault(key, set())
         if action in ("begin", "late_begin"):
             result = ledger.begin(key, attempt)
-            taken = action == "begin" and attempt not in model.gave_up
+            taken = action == "begin" and attempt not in model.cancelled_attempts
             if isinstance(result, Granted) and taken:
-                ran.add(attempt)
+                executed.add(attempt)
             if isinstance(result, Completed):
                 assert model.answers[key] == result.answer
-        elif action == "cancel" and attempt not in ran:
-            model.gave_up.add(attempt)
+        elif action == "cancel" and attempt not in executed:
+            model.cancelled_attempts.add(attempt)
             ledger.cancel(key, attempt)
-        elif action == "complete" and attempt in ran:
+        elif action == "complete" and attempt in executed:
             answer = Answered(200, (), f"{key}/{attempt}".encode())
             ledger.complete(key, attempt, answer)
             model.answers.setdefault(key, answer)
@@ -66,4 +66,4 @@
             data = msgspec.json.encode(ledger.snapshot())
             ledger = Ledger()
             ledger.restore(msgspec.json.decode(data, type=LedgerSnapshot))
-        assert len(ran) <= 1, "a key ran under two attempts"
+        assert len(executed) <= 1, "a key ran under two attempts"
--- a/tests/ledger/test_ledger_stateful.py
+++ b/tests/ledger/test_ledger_stateful.py
@@ -1,8 +1,7 @@
-"""The ledger under any order of requests, repeated and late ones among them.
+"""Stateful test of the ledger under arbitrary request orders, with duplicates and late requests.
 
-Two ledgers take the same requests; one of them is restored from its own snapshot now and then, as
-a control node is by a restart. Daemons are modelled as they are: an attempt is sent at most once,
-only after a grant was heard and only if it wasn't given up before.
+Two ledgers receive the same requests, and one is repeatedly restored from its snapshot. An attempt
+is sent at most once, only after it was granted and only if it was not abandoned before.
 """
 
 import random
@@ -44,18 +43,18 @@
         super().__init__()
         self.time = START
         self.window = WINDOW_SECONDS
-        self.steady = Ledger(LIMITS)
+        self.reference = Ledger(LIMITS)
         self.restarted = Ledger(LIMITS)
-        self.heard: set[tuple[str, str]] = set()
+        self.granted: set[tuple[str, str]] = set()
         self.sent: dict[str, str] = {}
-        self.given_up: set[tuple[str, str]] = set()
+        self.abandoned: set[tuple[str, str]] = set()
         self.cancelled: set[tuple[str, str]] = set()
         self.first_answers: dict[str, Answered] = {}
         self.issued: dict[str, float] = {}
         self.advance(0.0)
 
-    def both(self, name: str, *arguments: object) -> LedgerResult:
-        result: LedgerResult = getattr(self.steady, name)(*arguments)
+    def apply_to_both(self, name: str, *arguments: object) -> LedgerResult:
+        result: LedgerResult = getattr(self.reference, name)(*arguments)
         assert getattr(self.restarted, name)(*arguments) == result
         return result
 
@@ -67,46 +66,46 @@
 
     @rule(key=keys, attempt=attempts)
     def begin(self, key: str, attempt: str) -> None:
-        """Also stands for a begin that comes late or a second time."""
-        result = self.both("begin", key, attempt)
-        expired = self.issued[key] < self.steady.oldest_issued
+        """Covers duplicate and late begins as well."""
+        result = self.apply_to_both("begin", key, attempt)
+        expired = self.issued[key] < self.reference.oldest_issued
         refused = LedgerRefusal(LedgerRefusalReason.EXPIRED)
         assert (result == refused) == expired
         if isinstance(result, Granted):
             assert (key, attempt) not in self.cancelled
             assert self.sent.get(key, attempt) == attempt
-            self.heard.add((key, attempt))
+            self.granted.add((key, attempt))
         elif isinstance(result, Completed):
             assert result.answer == self.first_answers[key]
 
     @rule(key=keys, attempt=attempts)
     def send(self, key: str, attempt: str) -> None:
-        if (key, attempt) in self.heard - self.given_up:
+        if (key, attempt) in self.granted - self.abandoned:
             assert self.sent.setdefault(key, attempt) == attempt, "the key ran twice"
 
     @rule(key=keys, attempt=attempts)
     def give_up(self, key: str, attempt: str) -> None:
         if self.sent.get(key) != attempt:
-            self.given_up.add((key, attempt))
-            if self.both("cancel", key, attempt) == Recorded():
+            self.abandoned.add((key, attempt))
+            if self.apply_to_both("cancel", key, attempt) == Recorded():
                 self.cancelled.add((key, attempt))
 
     @rule(key=keys, size=st.integers(0, 60))
     def complete(self, key: str, size: int) -> None:
         if key in self.sent:
             answer = Answered(200, (), b"x" * size)
-            self.both("complete", key, self.sent[key], answer)
+            self.apply_to_both("complete", key, self.sent[key], answer)
             self.first_answers.setdefault(key, answer)
 
     @rule(key=keys, attempt=st.sampled_from(["", "a", "stray"]))
-    def complete_without_having_run(self, key: str, attempt: str) -> None:
-        if self.sent.get(key) != attempt and (key, attempt) not in self.heard:
-            self.both("complete", key, attempt, Answered(200, (), b"stray"))
+    def complete_without_execution(self, key: str, attempt: str) -> None:
+        if self.sent.get(key) != attempt and (key, attempt) not in self.granted:
+            self.apply_to_both("complete", key, attempt, Answered(200, (), b"stray"))
 
     @rule(seconds=st.floats(0.0, 60.0))
     def advance(self, seconds: float) -> None:
         self.time += seconds
-        self.both("advance", self.time, self.window)
+        self.apply_to_both("advance", self.time, self.window)
 
     @rule(seconds=st.sampled_from([20.0, WINDOW_SECONDS, 400.0]))
     def change_window(self, seconds: float) -> None:
@@ -114,7 +113,7 @@
 
     @rule()
     def clock_goes_back(self) -> None:
-        self.both("advance", self.time - 3_600.0, self.window)
+        self.apply_to_both("advance", self.time - 3_600.0, self.window)
 
     @rule()
     def restart(self) -> None:
@@ -123,8 +122,8 @@
         self.restarted.restore(msgspec.json.decode(data, type=LedgerSnapshot))
 
     @invariant()
-    def is_bounded_and_adds_up(self) -> None:
-        for ledger in (self.steady, self.restarted):
+    def sizes_are_bounded_and_consistent(self) -> None:
+        for ledger in (self.reference, self.restarted):
             entries = ledger.snapshot().entries
             assert len(entries) <= LIMITS.max_keys
             held = sum(answer_bytes(entry.answer) for entry in entries.values())
@@ -134,10 +133,10 @@
 
     @invariant()
     def restarts_change_nothing(self) -> None:
-        assert self.steady.snapshot() == self.restarted.snapshot()
+        assert self.reference.snapshot() == self.restarted.snapshot()
 
 
-def test_no_order_of_requests_runs_a_key_twice_or_changes_an_answer() -> None:
+def test_no_request_order_runs_a_key_twice_or_changes_an_answer() -> None:
     run_state_machine_as_test(
         LedgerMachine,
         settings=settings(
