--- a/src/finchshed/consensus/election.py
+++ b/src/finchshed/consensus/election.py
@@ -1,8 +1,8 @@
 """Leader election with pre-vote.
 
 A node grants at most one vote per term, only to a candidate whose log is at least as up to date
-(Raft, section 5.4.1), and none while it hears from a live leader. A candidate wins a pre-vote
-before it increments the term.
+(Raft, section 5.4.1), and none while it hears from a live leader. A node must win a pre-vote before
+it increments the term. Leadership transfers skip both the pre-vote and the check for a live leader.
 """
 
 from finchshed.consensus.effects import RaftRole
--- a/src/finchshed/consensus/node.py
+++ b/src/finchshed/consensus/node.py
@@ -281,7 +281,7 @@
             leader_state.transfer = None
         if state.now >= leader_state.heartbeat_due:
             replication.send_heartbeats(state, leader_state)
-        repair.repair(state, leader_state)
+        repair.append_next_change(state, leader_state)
 
     def _status_of(self, leader_state: LeaderState, member: Member) -> MemberStatus:
         progress = leader_state.progress.get(member.identity)
--- a/src/finchshed/consensus/repair.py
+++ b/src/finchshed/consensus/repair.py
@@ -35,7 +35,7 @@
 """Silence after which a learner is removed if the voter of the same name is responsive."""
 
 
-def repair(state: NodeState, leader_state: LeaderState) -> None:
+def append_next_change(state: NodeState, leader_state: LeaderState) -> None:
     """Append the next membership change for repair, replacement or growth, if one is due."""
     if blocking_cause(state, leader_state) is not None:
         return
--- a/src/finchshed/consensus/replication.py
+++ b/src/finchshed/consensus/replication.py
@@ -83,7 +83,7 @@
         return
     progress.last_heard = state.now
     progress.acknowledged_round = max(progress.acknowledged_round, message.round)
-    _retransmit_if_stuck(state, progress)
+    _retransmit_if_lost(state, progress)
 
 
 def on_snapshot_reply(
@@ -189,7 +189,7 @@
         progress.start_probing(progress.match_index + 1)
 
 
-def _retransmit_if_stuck(state: NodeState, progress: Progress) -> None:
+def _retransmit_if_lost(state: NodeState, progress: Progress) -> None:
     """Resend entries that a responsive follower has not acknowledged for several heartbeats."""
     retransmit_after = _RETRANSMIT_HEARTBEATS * state.options.heartbeat_interval_seconds
     if state.now - progress.last_sent < retransmit_after:
--- a/tests/consensus/broken_variants.py
+++ b/tests/consensus/broken_variants.py
@@ -64,12 +64,12 @@
 
 
 def commit_entries_of_any_term(state: NodeState, leader_state: LeaderState) -> None:
-    held = sorted(
+    match_indexes = sorted(
         (replication._match_index_of(state, leader_state, voter) for voter in state.counted_voters),
         reverse=True,
     )
-    if len(held) >= state.quorum:
-        advance_commit(state, max(state.commit_index, held[state.quorum - 1]))
+    if len(match_indexes) >= state.quorum:
+        advance_commit(state, max(state.commit_index, match_indexes[state.quorum - 1]))
 
 
 def append_without_sync(journal: Journal, records: list[Any]) -> None:
--- a/tests/consensus/test_group_size.py
+++ b/tests/consensus/test_group_size.py
@@ -136,19 +136,19 @@
     group = start_growing_group(f"replaced/{seed}", 6, 2)
     assert wait_until(group, lambda: len(voters(group)) == 5, 5.0)
     for number, name in enumerate(("n1", "n2", "n3")):
-        gone = group.nodes.pop(name)
-        gone.crash(power_lost=True)
+        removed = group.nodes.pop(name)
+        removed.crash(power_lost=True)
         added = group.add_machine(f"m{number}", f"m{number}")
-        added._options = gone._options
-        added.zone = gone.zone
+        added._options = removed._options
+        added.zone = removed.zone
         added.start()
-        assert wait_until(group, lambda gone=gone: _is_replaced(group, gone), 20.0)
+        assert wait_until(group, lambda removed=removed: _is_replaced(group, removed), 20.0)
         assert change(group, 10 * seed + number) is not None
     assert not group.observer.violations
 
 
-def _is_replaced(group: Group, gone: SimulatedNode) -> bool:
-    return gone.name not in voters(group) and len(voters(group)) == 5
+def _is_replaced(group: Group, removed: SimulatedNode) -> bool:
+    return removed.name not in voters(group) and len(voters(group)) == 5
 
 
 def test_member_keeps_its_zone_across_role_changes() -> None:
--- a/tests/consensus/test_repair.py
+++ b/tests/consensus/test_repair.py
@@ -34,14 +34,14 @@
 
 
 def change_until(group: Group, change: AddMember | RemoveMember, done: Callable[[], bool]) -> None:
-    def keep_asking() -> Process:
+    def request_until_done() -> Process:
         while not done():
             leader = group.leader()
             if leader is not None:
                 leader.change_membership(change)
             yield group.scheduler.sleep(0.2)
 
-    group.scheduler.start(keep_asking())
+    group.scheduler.start(request_until_done())
     assert wait_until(group, done)
 
 
@@ -99,8 +99,8 @@
     leader = group.leader()
     assert leader is not None
     assert wait_until(group, lambda: voters(group) == {"n1", "n2", "n3", "n4"})
-    gone = next(name for name in group.voter_names if name not in (away.name, leader.name))
-    change_until(group, RemoveMember(gone), lambda: gone not in members(group))
+    removed = next(name for name in group.voter_names if name not in (away.name, leader.name))
+    change_until(group, RemoveMember(removed), lambda: removed not in members(group))
     away.start()
     leader.crash(power_lost=True)
     assert wait_until(group, lambda: group.nodes["n4"].is_leader)
--- a/tests/consensus/test_standby.py
+++ b/tests/consensus/test_standby.py
@@ -45,7 +45,7 @@
     assert wait_until(group, group.is_whole)
     standbys = {f"n{6 + number}" for number in range(spares)}
 
-    def ask() -> Process:
+    def request_standbys() -> Process:
         while not standbys <= roles(group).keys():
             leader = group.leader()
             for name in standbys - roles(group).keys():
@@ -53,7 +53,7 @@
                     leader.change_membership(AddMember(name, voter=False))
             yield group.scheduler.sleep(0.2)
 
-    group.scheduler.start(ask())
+    group.scheduler.start(request_standbys())
     assert wait_until(group, lambda: standbys <= roles(group).keys())
     return group
 
@@ -152,8 +152,8 @@
     for name in ("n6", "n7"):
         group.nodes[name].freeze()
     wait_until(group, lambda: "promoted" in roles(group).values(), 2.0)
-    standing = {name for name in ("n6", "n7") if roles(group).get(name) == "learner"}
-    other = min(standing)
+    learners = {name for name in ("n6", "n7") if roles(group).get(name) == "learner"}
+    other = min(learners)
     group.nodes[other].thaw()
     assert wait_until(group, lambda: other in voters(group))
     assert len(voters(group)) == 5
--- a/tests/platform/play_drawn_days.py
+++ b/tests/platform/play_drawn_days.py
@@ -30,7 +30,7 @@
     notes: str
 
     @property
-    def is_sound(self) -> bool:
+    def passed(self) -> bool:
         """Whether no rule was broken and no fault was reported."""
         return not self.broken and not self.notes
 
@@ -40,7 +40,7 @@
         return f"{self.seed:>8} {self.served:7.3f} {self.worth:7.3f}  {broken}  {self.notes}"
 
 
-def play(
+def run_day(
     bench: str, site: Path, seed: int, *, kinds: tuple[str, ...], out: Path, why: str
 ) -> DayResult:
     """Run one day on the benchmark and return its result."""
@@ -86,20 +86,20 @@
     folder = Path(out).resolve()
     folder.mkdir(parents=True, exist_ok=True)
     names = tuple(str(kinds).split(",")) if kinds else ()
-    place = Path(site).resolve()
+    site_path = Path(site).resolve()
     print("    seed  served   worth  broken")
     with ThreadPoolExecutor(at_once) as pool:
-        played = pool.map(
-            lambda seed: play(
-                bench, place, seed, kinds=names, out=folder, why=f"{why}; seed {seed}"
+        results = pool.map(
+            lambda seed: run_day(
+                bench, site_path, seed, kinds=names, out=folder, why=f"{why}; seed {seed}"
             ),
             range(numbers[0], numbers[-1] + 1),
         )
-        sound = 0
-        for day in played:
-            sound += day.is_sound
+        passed_count = 0
+        for day in results:
+            passed_count += day.passed
             print(day.line(), flush=True)
-    print(f"{sound} of {numbers[-1] - numbers[0] + 1} days without a broken rule or fault")
+    print(f"{passed_count} of {numbers[-1] - numbers[0] + 1} days without a broken rule or fault")
 
 
 if __name__ == "__main__":
