--- a/src/finchshed/control/daemons/__init__.py
+++ b/src/finchshed/control/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""What daemons ask of a control node, and what it sends them."""
+"""Services of a control node for daemons."""
--- a/src/finchshed/control/daemons/daemon_view.py
+++ b/src/finchshed/control/daemons/daemon_view.py
@@ -1,8 +1,7 @@
-"""The part of the configuration that daemons are sent. Pure.
+"""Configuration as sent to daemons: everything except operators. Pure.
 
-Operators are left out: a daemon has no use for the digests of their tokens, and whoever reads a
-daemon's memory or data folder should not find them. A change of operators alone reaches daemons as
-a revision that changes nothing.
+Daemons don't need the digests of operators' tokens, so these are not exposed in daemons' memory and
+data folders. A change of operators alone reaches daemons as a revision without changes.
 """
 
 from collections.abc import Iterable
@@ -16,13 +15,13 @@
 
 
 def configuration_for_daemons(revision: int, resources: Iterable[Resource]) -> Configuration:
-    """Return the whole configuration as daemons hold it."""
+    """Return the full configuration without operators."""
     kept = (resource for resource in resources if not isinstance(resource, Operator))
     return Configuration(revision, {key_of(resource): resource for resource in kept})
 
 
 def delta_for_daemons(committed: CommittedRevision) -> Delta:
-    """Return an accepted change as daemons are sent it."""
+    """Return an accepted change without operators."""
     return Delta(
         base=committed.revision - 1,
         revision=committed.revision,
--- a/src/finchshed/control/daemons/distribution_service.py
+++ b/src/finchshed/control/daemons/distribution_service.py
@@ -1,7 +1,7 @@
-"""What control does for its daemons: configuration down, ledger requests and reports up.
+"""Serves daemons: sends the configuration, and handles ledger requests and reports.
 
-Owns the hub, and the services of soft state and quotas that share its connections. Relies on the
-replicated log for what is committed.
+Owns the hub, and the soft state and quota services that share its connections. Relies on the
+replicated log for committed changes.
 """
 
 import asyncio
@@ -12,8 +12,8 @@
 from finchshed.control.addresses import split_address
 from finchshed.control.background import BackgroundTasks
 from finchshed.control.daemons.daemon_view import configuration_for_daemons, delta_for_daemons
+from finchshed.control.daemons.decision_queries import DecisionQueries
 from finchshed.control.daemons.directory_service import DirectoryService
-from finchshed.control.daemons.explanations import Explanations
 from finchshed.control.daemons.ledger_router import LedgerRouter, ShardClient
 from finchshed.control.daemons.ledger_service import LedgerService
 from finchshed.control.daemons.quarantine_service import QuarantineService
@@ -31,26 +31,25 @@
 from finchshed.tls.handshakes import Connector
 from finchshed.tls.names import CertificateRole
 
-CONTACT_SECONDS = 0.4
-"""Time between looks at whether this node is in contact with a quorum; the hub asks for one each
-half second at least. Chosen, not measured."""
+QUORUM_CHECK_SECONDS = 0.4
+"""Interval between checks for quorum contact; the hub expects one at least every 0.5 s."""
 
-REPORT_SECONDS = 1.0
-"""Time between reports of this node's daemons to the other control nodes. Chosen, not measured."""
+REPORT_INTERVAL_SECONDS = 1.0
+"""Interval between status reports to the other control nodes."""
 
 FULL_REPORT_EVERY = 10
-"""Each so many reports one lists every daemon, in case one was lost. Chosen, not measured."""
+"""Every n-th report lists all daemons, to repair lost reports."""
 
 
 class DistributionService:
-    """Joins the hub to the replicated log.
+    """Connects the hub to the replicated log.
 
     Parameters
     ----------
     node
         Name of this control node.
     credentials
-        Keys for TLS; None: plain text.
+        TLS credentials; None for plain text.
     """
 
     def __init__(
@@ -66,14 +65,14 @@
         self._machine = machine
         self._log = log
         self._background = background
-        self._ledger = self._make_ledger(node, credentials)
+        self._ledger_router = self._make_ledger_router(node, credentials)
         self._hub = Hub(node)
-        self._explanations = Explanations()
+        self._decision_queries = DecisionQueries()
         self.directory = DirectoryService(self._broadcast, log.send_report)
         self.quarantine = QuarantineService(self._broadcast, log.send_report)
-        self.quotas = QuotaService(machine, log, self._send_to)
+        self.quotas = QuotaService(machine, log, self._send_to_daemon)
         self._server = self._make_server(networks, credentials)
-        self._requests: set[asyncio.Task[None]] = set()
+        self._ledger_tasks: set[asyncio.Task[None]] = set()
         self._status: StatusTable | None = None
         self._is_serving = False
 
@@ -85,42 +84,42 @@
         await self._server.start(host, port)
         self._is_serving = True
         self._server.restore(self._configuration())
-        self._background.spawn(self._look_for_contact())
-        self._background.spawn(self._report())
+        self._background.spawn(self._publish_quorum_contact())
+        self._background.spawn(self._report_status())
         self._background.spawn(self.directory.run())
         self._background.spawn(self.quarantine.run())
         self._background.spawn(self.quotas.run())
 
     async def stop(self, timeout_seconds: float) -> None:
-        """Answer the requests in progress and close the links."""
+        """Finish ledger requests in progress and close the connections."""
         self._is_serving = False
-        if self._requests:
-            await asyncio.wait(self._requests, timeout=timeout_seconds)
-        self._ledger.close()
+        if self._ledger_tasks:
+            await asyncio.wait(self._ledger_tasks, timeout=timeout_seconds)
+        self._ledger_router.close()
         await self._server.close()
 
     def set_alternatives(self, addresses: tuple[str, ...]) -> None:
-        """Name other control nodes' distribution addresses, for daemons that have to move."""
+        """Set the control nodes' distribution addresses, for daemons that must reconnect."""
         self._hub.set_alternatives(addresses)
         self.directory.set_control_addresses(addresses)
 
     def on_committed(self, committed: CommittedRevision) -> None:
-        """Send an accepted change on."""
+        """Send an accepted change to daemons."""
         if self._is_serving:
             self._server.commit(delta_for_daemons(committed))
 
     def on_restored(self) -> None:
-        """Send the whole configuration on: the state was replaced by a snapshot."""
+        """Send the full configuration after the state was replaced with a snapshot."""
         if self._is_serving:
             self._server.restore(self._configuration())
 
     def on_report(self, report: InForceReport) -> None:
-        """Merge another control node's report of its daemons."""
+        """Merge a status report of another control node."""
         if self._status is not None:
             self._status.merge(report, asyncio.get_running_loop().time())
 
     def send_hints(self, hints: Hints) -> None:
-        """Pass the platform's list on to every daemon."""
+        """Send hints from the platform's list to every daemon."""
         self._server.broadcast(hints)
 
     def connected_daemons(self) -> int:
@@ -128,22 +127,22 @@
         return self._hub.subscriber_count()
 
     def status(self) -> DistributionStatus:
-        """Return where which revision is in force, over all control nodes."""
-        assert self._status is not None, "status is asked for before start"
+        """Return the status of the daemons of all control nodes."""
+        assert self._status is not None, "status() called before start()"
         endpoints = (endpoint.name for endpoint in self._hub.configuration.endpoints())
         return self._status.summary(asyncio.get_running_loop().time(), endpoints)
 
     async def explain(self, node: str, root: str, limit: int) -> tuple[Decision, ...] | None:
-        """Return recent decisions of a daemon, or None when it can't be asked here."""
-        return await self._explanations.ask(self._server, node, root, limit)
+        """Return recent decisions of a daemon; None if not connected here or on timeout."""
+        return await self._decision_queries.ask(self._server, node, root, limit)
 
-    def _make_ledger(self, node: str, credentials: Credentials | None) -> LedgerRouter:
+    def _make_ledger_router(self, node: str, credentials: Credentials | None) -> LedgerRouter:
         connect = Connector(credentials, CertificateRole.CONTROL)
         return LedgerRouter(
             self._machine,
             self._log,
             LedgerService(self._log, self._background),
-            make_shard=lambda addresses: ShardClient(node, addresses, connect),
+            connect_shard=lambda addresses: ShardClient(node, addresses, connect),
             now=clock.now,
             unix_now=time.time,
         )
@@ -155,19 +154,19 @@
             self._hub,
             self._confirm,
             self._on_ledger,
-            self._explanations.on_reply,
+            self._decision_queries.on_reply,
             networks=networks,
             credentials=credentials,
             on_announce=self.directory.on_announce,
             on_quota=self.quotas.on_request,
-            on_crash_news=self.quarantine.on_daemon_news,
-            on_subscribed=self._greeting,
+            on_crash_news=self.quarantine.on_daemon_report,
+            on_subscribed=self._initial_messages,
         )
 
-    def _greeting(self) -> Sequence[ControlToDaemon]:
-        return (*self.directory.greeting(), *self.quarantine.greeting())
+    def _initial_messages(self) -> Sequence[ControlToDaemon]:
+        return (*self.directory.initial_messages(), *self.quarantine.initial_messages())
 
-    def _send_to(self, daemon: str, message: ControlToDaemon) -> bool:
+    def _send_to_daemon(self, daemon: str, message: ControlToDaemon) -> bool:
         return self._server.send_to(daemon, message)
 
     def _broadcast(self, message: ControlToDaemon) -> None:
@@ -183,22 +182,22 @@
 
     def _on_ledger(self, request: LedgerRequest, answer: Answer) -> None:
         task = self._background.spawn(self._answer_ledger(request, answer))
-        self._requests.add(task)
-        task.add_done_callback(self._requests.discard)
+        self._ledger_tasks.add(task)
+        task.add_done_callback(self._ledger_tasks.discard)
 
     async def _answer_ledger(self, request: LedgerRequest, answer: Answer) -> None:
-        answer(await self._ledger.answer(request))
+        answer(await self._ledger_router.answer(request))
 
-    async def _look_for_contact(self) -> None:
+    async def _publish_quorum_contact(self) -> None:
         while True:
             self._server.note_contact(self._log.in_contact())
-            await asyncio.sleep(CONTACT_SECONDS)
+            await asyncio.sleep(QUORUM_CHECK_SECONDS)
 
-    async def _report(self) -> None:
+    async def _report_status(self) -> None:
         number = 0
         while True:
             report = self._hub.collect_report(everything=number % FULL_REPORT_EVERY == 0)
             number += 1
             self.on_report(report)
             self._log.send_report(report)
-            await asyncio.sleep(REPORT_SECONDS)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
--- a/src/finchshed/control/daemons/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -1,6 +1,6 @@
-"""Takes daemons' ledger requests to the log that their key belongs to.
+"""Routes daemons' ledger requests to the group that owns their key.
 
-Owns the connections to shards. Relies on :mod:`finchshed.ledger.epochs` for where a key belongs.
+Owns the connections to shards. Relies on :mod:`finchshed.ledger.epochs` to map keys to groups.
 """
 
 import asyncio
@@ -34,41 +34,41 @@
 from finchshed.ledger.ledger import MAX_CLOCK_LEAD_SECONDS
 from finchshed.ledger.results import LedgerRefusalReason
 
-SHARD_SECONDS = 4.0
-"""Longest wait for a shard's answer: as long as a node waits for its own quorum by default."""
+SHARD_TIMEOUT_SECONDS = 4.0
+"""Timeout of a request to a shard; equal to the default quorum timeout of a control node."""
 
-MOVED_TRIES = 3
-"""Looks for the log that a key belongs to, while epochs change. Chosen, not measured."""
+MAX_ROUTING_ATTEMPTS = 3
+"""Attempts to route one request while the epochs change."""
 
 
-class ShardPort(Protocol):
-    """One shard's group, as a daemon sees its control group."""
+class ShardConnection(Protocol):
+    """Ledger interface of one shard's group."""
 
     async def begin(self, key: str, attempt: str, timeout_seconds: float) -> LedgerAnswer:
-        """Ask leave to run the request under ``key``."""
+        """Request permission to execute the request under ``key``."""
 
     async def cancel(self, key: str, attempt: str, timeout_seconds: float) -> bool:
-        """Free the key of an attempt that was not sent; True once committed."""
+        """Release the key of an attempt that was not sent; return whether this is committed."""
 
     async def complete(self, request: LedgerRequest, timeout_seconds: float) -> bool:
-        """Record an answer; True once committed."""
+        """Record an answer; return whether this is committed."""
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
 
 
-MakeShard = Callable[[ShardAddresses], ShardPort]
+ShardFactory = Callable[[ShardAddresses], ShardConnection]
 
 
 class ShardClient:
-    """Connection to one shard's group.
+    """Client connection to one shard's group.
 
     Parameters
     ----------
     node
-        Name of this control node, which the shard lists like a daemon.
+        Name of this control node, under which the shard lists it like a daemon.
     connect
-        Opens connections; None: the event loop does.
+        Opens connections; None for the event loop's default.
     """
 
     def __init__(
@@ -91,15 +91,15 @@
         self._task = asyncio.get_running_loop().create_task(self._client.run())
 
     async def begin(self, key: str, attempt: str, timeout_seconds: float) -> LedgerAnswer:
-        """Ask leave to run the request under ``key``."""
+        """Request permission to execute the request under ``key``."""
         return await self._client.ledger.begin(key, attempt, timeout_seconds)
 
     async def cancel(self, key: str, attempt: str, timeout_seconds: float) -> bool:
-        """Free the key of an attempt that was not sent; True once committed."""
+        """Release the key of an attempt that was not sent; return whether this is committed."""
         return await self._client.ledger.cancel(key, attempt, timeout_seconds)
 
     async def complete(self, request: LedgerRequest, timeout_seconds: float) -> bool:
-        """Record an answer; True once committed."""
+        """Record an answer; return whether this is committed."""
         answer = getattr(request, "answer", None)
         if answer is None:
             return False
@@ -108,23 +108,23 @@
         )
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self._task.cancel()
 
 
 class LedgerRouter:
-    """Answers daemons' ledger requests from the own log or from shards.
+    """Answers daemons' ledger requests from the local group's log or from shards.
 
     Parameters
     ----------
     own
-        Answers requests whose key belongs to the control group's own log.
-    make_shard
-        Opens a connection to a shard's group.
+        Answers requests whose key belongs to this control group.
+    connect_shard
+        Opens a connection to a shard.
     now
-        Monotonic seconds.
+        Returns monotonic time in seconds.
     unix_now
-        Unix seconds.
+        Returns Unix time in seconds.
     """
 
     def __init__(
@@ -133,52 +133,55 @@
         log: ReplicatedLog,
         own: LedgerService,
         *,
-        make_shard: MakeShard,
+        connect_shard: ShardFactory,
         now: Callable[[], float],
         unix_now: Callable[[], float],
     ) -> None:
         self._machine = machine
         self._log = log
         self._own = own
-        self._make_shard = make_shard
+        self._connect_shard = connect_shard
         self._now = now
         self._unix_now = unix_now
-        self._shards: dict[ShardAddresses, ShardPort] = {}
+        self._shards: dict[ShardAddresses, ShardConnection] = {}
         self._confirmed_at = float("-inf")
-        self._confirming: asyncio.Task[None] | None = None
+        self._confirmation: asyncio.Task[None] | None = None
 
     async def answer(self, request: LedgerRequest) -> LedgerAnswer:
-        """Return the answer to ``request``; never raises for a missing quorum."""
+        """Return the answer to ``request``; a missing quorum is answered with a refusal."""
         try:
             return await self._answer(request)
         except ControlUnavailableError:
             return LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
 
     def close(self) -> None:
-        """End all connections to shards."""
+        """Close all connections to shards."""
         for shard in self._shards.values():
             shard.close()
         self._shards.clear()
 
     async def _answer(self, request: LedgerRequest) -> LedgerAnswer:
-        reply: LedgerAnswer = LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
-        for _ in range(MOVED_TRIES):
+        answer: LedgerAnswer = LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
+        for _ in range(MAX_ROUTING_ATTEMPTS):
             if self._machine.epochs.group_of(request.key) == OWN:
-                reply = await self._own.answer(request)
-                if not _is_moved(reply):
-                    return reply
-                # The log knows of an epoch that isn't applied here yet.
+                answer = await self._own.answer(request)
+                if not _is_key_moved(answer):
+                    return answer
+                # The log has an epoch that isn't applied on this node yet.
                 await self._log.read_barrier()
                 continue
-            await self._confirm()
+            await self._ensure_epochs_confirmed()
             group = self._machine.epochs.group_of(request.key)
             if group != OWN:
-                refusal = self._refusal(request)
-                return refusal or await self._ask(self._shard(group), request)
-        return reply
+                refusal = self._check_key(request)
+                return refusal or await self._forward(self._shard(group), request)
+        return answer
 
-    def _refusal(self, request: LedgerRequest) -> LedgerAnswer | None:
-        """Return why a key isn't taken to its shard, if so; see :mod:`finchshed.ledger.epochs`."""
+    def _check_key(self, request: LedgerRequest) -> LedgerAnswer | None:
+        """Return the refusal of a key that must not reach a shard, or None if it may.
+
+        The rules are described in :mod:`finchshed.ledger.epochs`.
+        """
         issued = issued_at(request.key)
         ledger = self._machine.ledger
         if issued is None or issued < ledger.oldest_issued:
@@ -188,46 +191,46 @@
             reason = LedgerRefusalReason.MADE_IN_THE_FUTURE
             return LedgerRefused(request.request, expired=False, detail=reason)
         if issued < ledger.unknown_before and isinstance(request, LedgerBegin):
-            # A lost part of the log may have named other shards for it.
+            # A lost log entry may have assigned the key to another shard.
             return LedgerUnknown(request.request)
         return None
 
-    async def _confirm(self) -> None:
-        """Return once a majority confirmed the epochs known here lately enough.
+    async def _ensure_epochs_confirmed(self) -> None:
+        """Return once a quorum has confirmed the local epochs within :data:`CONFIRMED_SECONDS`.
 
-        Half-way it is asked for again in the background, so that no request waits for it as long
-        as there is a majority.
+        The confirmation is renewed in the background after half of that time, so that requests
+        don't wait for it while there is a quorum.
         """
-        if self._age() >= CONFIRMED_SECONDS / 2:
-            self._start_confirming()
-        while self._age() >= CONFIRMED_SECONDS:
-            confirming = self._start_confirming()
-            await asyncio.shield(confirming)
-            if self._age() >= CONFIRMED_SECONDS and confirming.done():
+        if self._confirmation_age() >= CONFIRMED_SECONDS / 2:
+            self._start_confirmation()
+        while self._confirmation_age() >= CONFIRMED_SECONDS:
+            confirmation = self._start_confirmation()
+            await asyncio.shield(confirmation)
+            if self._confirmation_age() >= CONFIRMED_SECONDS and confirmation.done():
                 raise ControlUnavailableError(NO_QUORUM)
 
-    def _age(self) -> float:
+    def _confirmation_age(self) -> float:
         return self._now() - self._confirmed_at
 
-    def _start_confirming(self) -> asyncio.Task[None]:
-        if self._confirming is None or self._confirming.done():
-            self._confirming = asyncio.get_running_loop().create_task(self._read_barrier())
-        return self._confirming
+    def _start_confirmation(self) -> asyncio.Task[None]:
+        if self._confirmation is None or self._confirmation.done():
+            self._confirmation = asyncio.get_running_loop().create_task(self._confirm_epochs())
+        return self._confirmation
 
-    async def _read_barrier(self) -> None:
-        """Ask a majority; without one the time of the last confirmation stays."""
-        asked_at = self._now()
+    async def _confirm_epochs(self) -> None:
+        """Confirm the epochs with a quorum; on failure keep the previous confirmation time."""
+        started_at = self._now()
         try:
             await self._log.read_barrier()
         except ControlUnavailableError:
             return
-        self._confirmed_at = asked_at
+        self._confirmed_at = started_at
         self._close_unused()
 
-    def _shard(self, group: ShardAddresses) -> ShardPort:
+    def _shard(self, group: ShardAddresses) -> ShardConnection:
         shard = self._shards.get(group)
         if shard is None:
-            shard = self._shards[group] = self._make_shard(group)
+            shard = self._shards[group] = self._connect_shard(group)
         return shard
 
     def _close_unused(self) -> None:
@@ -235,24 +238,24 @@
             self._shards.pop(group).close()
 
     @staticmethod
-    async def _ask(shard: ShardPort, request: LedgerRequest) -> LedgerAnswer:
+    async def _forward(shard: ShardConnection, request: LedgerRequest) -> LedgerAnswer:
         if isinstance(request, LedgerBegin):
-            answer = await shard.begin(request.key, request.attempt, SHARD_SECONDS)
-            return _renumbered(answer, request.request)
+            answer = await shard.begin(request.key, request.attempt, SHARD_TIMEOUT_SECONDS)
+            return _with_request_id(answer, request.request)
         if isinstance(request, LedgerCancel):
-            is_noted = await shard.cancel(request.key, request.attempt, SHARD_SECONDS)
+            is_committed = await shard.cancel(request.key, request.attempt, SHARD_TIMEOUT_SECONDS)
         else:
-            is_noted = await shard.complete(request, SHARD_SECONDS)
-        if is_noted:
+            is_committed = await shard.complete(request, SHARD_TIMEOUT_SECONDS)
+        if is_committed:
             return LedgerNoted(request.request)
         return LedgerRefused(request.request, expired=False, detail=NO_QUORUM)
 
 
-def _renumbered(answer: LedgerAnswer, request: int) -> LedgerAnswer:
+def _with_request_id(answer: LedgerAnswer, request: int) -> LedgerAnswer:
     answer_type = type(answer)
     fields = {name: getattr(answer, name) for name in answer.__struct_fields__}
     return answer_type(**{**fields, "request": request})
 
 
-def _is_moved(reply: LedgerAnswer) -> bool:
-    return isinstance(reply, LedgerRefused) and reply.detail == LedgerRefusalReason.MOVED
+def _is_key_moved(answer: LedgerAnswer) -> bool:
+    return isinstance(answer, LedgerRefused) and answer.detail == LedgerRefusalReason.MOVED
--- a/src/finchshed/control/daemons/ledger_service.py
+++ b/src/finchshed/control/daemons/ledger_service.py
@@ -1,6 +1,6 @@
-"""Carries a daemon's ledger requests to the replicated log and the results back.
+"""Executes daemons' ledger requests through the replicated log.
 
-Owns the keys that are being freed after an undecided begin. Relies on the replicated log.
+Owns the background cancels of begin requests with an unknown outcome. Relies on the replicated log.
 """
 
 import asyncio
@@ -40,15 +40,14 @@
 )
 from finchshed.observability.instruments import Counter
 
-CANCEL_TRIES = 60
-"""Tries to free a key whose begin is undecided, each of them bounded by the log's own time. Chosen,
-not measured."""
+MAX_CANCEL_ATTEMPTS = 60
+"""Attempts to cancel a begin request with an unknown outcome."""
 
 CANCEL_PAUSE_SECONDS = 1.0
-"""Pause between those tries. Chosen, not measured."""
+"""Delay between these attempts."""
 
-MAX_CANCELS = 10_000
-"""Keys that are being freed at a time: bounds the memory. Chosen, not measured."""
+MAX_CONCURRENT_CANCELS = 10_000
+"""Maximum number of concurrent background cancels, to bound memory."""
 
 NO_QUORUM = "no quorum answered in time"
 NOT_HOLDER = "the attempt doesn't hold the key"
@@ -63,6 +62,8 @@
     LedgerCancel: "cancel",
     LedgerComplete: "complete",
 }
+"""Values of the label ``kind`` of :data:`REQUESTS`."""
+
 ANSWER_LABELS: Mapping[type[LedgerAnswer], str] = {
     LedgerGranted: "granted",
     LedgerCompleted: "completed",
@@ -70,11 +71,11 @@
     LedgerRefused: "refused",
     LedgerNoted: "noted",
 }
-"""Labels of :data:`REQUESTS`: requests and answers."""
+"""Values of the label ``result`` of :data:`REQUESTS`."""
 
 
 class LedgerService:
-    """Answers ledger requests of daemons.
+    """Answers daemons' ledger requests.
 
     Parameters
     ----------
@@ -85,10 +86,10 @@
     def __init__(self, log: ReplicatedLog, background: BackgroundTasks) -> None:
         self._log = log
         self._background = background
-        self._cancels = 0
+        self._running_cancels = 0
 
     async def answer(self, request: LedgerRequest) -> LedgerAnswer:
-        """Return the answer to ``request``; never raises for a missing quorum."""
+        """Return the answer to ``request``; a missing quorum is answered with a refusal."""
         answer = await self._answer(request)
         REQUESTS.labels(REQUEST_LABELS[type(request)], ANSWER_LABELS[type(answer)]).inc()
         return answer
@@ -103,22 +104,22 @@
         return _answer_of(request.request, result)
 
     async def _cancel(self, request: LedgerBegin) -> None:
-        """Free the key of a begin that may yet be committed though its daemon was refused.
+        """Cancel a begin request that may still commit although its daemon was refused.
 
-        Tried until there is a quorum again, since the key would else be held by nobody for its
-        whole window. Past :data:`MAX_CANCELS` at a time, or :data:`CANCEL_TRIES` of one, it is
-        given up: resends then get "outcome unknown".
+        Retried until there is a quorum, because the key would otherwise stay begun by an attempt
+        that never runs. If :data:`MAX_CONCURRENT_CANCELS` are running already, or after
+        :data:`MAX_CANCEL_ATTEMPTS`, the key stays begun and resends get "outcome unknown".
         """
-        if self._cancels >= MAX_CANCELS:
+        if self._running_cancels >= MAX_CONCURRENT_CANCELS:
             return
-        self._cancels += 1
+        self._running_cancels += 1
         try:
-            for _ in range(CANCEL_TRIES):
+            for _ in range(MAX_CANCEL_ATTEMPTS):
                 if await self._cancel_once(request):
                     return
         finally:
-            self._cancels -= 1
-        logger.info("begin of attempt {} stays undecided: no quorum", request.attempt)
+            self._running_cancels -= 1
+        logger.info("giving up cancelling attempt {}: no quorum", request.attempt)
 
     async def _cancel_once(self, request: LedgerBegin) -> bool:
         try:
@@ -134,8 +135,10 @@
         return BeginRequest(request.key, request.attempt)
     if isinstance(request, LedgerCancel):
         return CancelRequest(request.key, request.attempt)
-    fits = answer_bytes(request.answer) <= DEFAULT_MAX_ANSWER_BYTES
-    return CompleteRequest(request.key, request.attempt, request.answer if fits else None)
+    is_within_limit = answer_bytes(request.answer) <= DEFAULT_MAX_ANSWER_BYTES
+    return CompleteRequest(
+        request.key, request.attempt, request.answer if is_within_limit else None
+    )
 
 
 def _answer_of(request: int, result: CommandResult) -> LedgerAnswer:
--- a/src/finchshed/control/daemons/platform_list.py
+++ b/src/finchshed/control/daemons/platform_list.py
@@ -1,8 +1,8 @@
-"""What the platform's list of machines says, and what may be made of it. Pure.
+"""Derives hints for daemons from the platform's list of machines. Pure.
 
-The list lags, and may be wrong. A machine that is missing from it is not taken for gone. A machine
-it lists as leaving is passed on to daemons as a hint, with the time since when it is listed, so
-that a machine that has meanwhile been replaced at the same address isn't taken for the old one.
+The list lags and may be wrong, so a machine missing from it is not considered gone. A machine
+listed as leaving becomes a hint with the time for which it has been listed, so that daemons don't
+apply the hint to a machine that has since replaced it at the same address.
 """
 
 import enum
@@ -15,14 +15,14 @@
 
 
 class ListedState(enum.StrEnum):
-    """What the platform says of a machine."""
+    """State of a machine in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ListedInstance(msgspec.Struct, frozen=True):
-    """One machine of the list. Another machine at the same address has another incarnation."""
+    """Machine in the list. ``incarnation`` tells apart machines at the same address."""
 
     name: str
     address: str
@@ -34,17 +34,17 @@
 
 
 def decode_instances(data: bytes) -> tuple[ListedInstance, ...]:
-    """Return the list in ``data``; raises msgspec.DecodeError when it holds none."""
+    """Decode the list; raises msgspec.DecodeError if ``data`` isn't one."""
     return _decoder.decode(data)
 
 
 class PlatformList:
-    """Remembers since when each machine is listed as leaving.
+    """Tracks since when each machine has been listed as leaving.
 
     Parameters
     ----------
     lag_seconds
-        How far the list lags at most.
+        Maximum lag of the list.
     """
 
     def __init__(self, lag_seconds: float) -> None:
@@ -52,7 +52,7 @@
         self._leaving_since: dict[tuple[str, str], float] = {}
 
     def update(self, instances: Iterable[ListedInstance], now: float) -> bool:
-        """Take a new list; return whether the machines listed as leaving changed."""
+        """Replace the list; return whether the set of leaving machines changed."""
         leaving = {
             (instance.address, instance.incarnation)
             for instance in instances
@@ -63,7 +63,7 @@
         return changed
 
     def hints(self, endpoints: Iterable[Endpoint], now: float) -> Hints:
-        """Return the hints for ``endpoints``, matched by address."""
+        """Return the hints for those of ``endpoints`` whose machines are listed as leaving."""
         since = {address: at for (address, _), at in self._leaving_since.items()}
         leaving = tuple(
             LeavingHint(endpoint.name, round(now - since[endpoint.address], 3))
--- a/src/finchshed/control/daemons/quarantine_service.py
+++ b/src/finchshed/control/daemons/quarantine_service.py
@@ -1,8 +1,9 @@
-"""What a control node does with news of requests that crash back ends: keep, pass on, lift.
+"""Distributes crash records of requests that crash back ends, and lifts quarantines.
 
-Owns the register of one control node, as soft state: any control node takes news, no quorum is
-asked, and nothing of it is written to the log or a disk. After a loss of all control nodes daemons
-report what they hold. Relies on :mod:`finchshed.quarantine.register` for what is held of a request.
+Owns the quarantine register of one control node. It is soft state: any control node accepts
+reports without a quorum, and nothing is written to the log or disk. After a restart of all control
+nodes, daemons report their records again. Relies on :mod:`finchshed.quarantine.register` to merge
+and judge records.
 """
 
 import asyncio
@@ -10,19 +11,18 @@
 
 from loguru import logger
 
-from finchshed.control.daemons.soft_state_updates import SoftStateUpdates
+from finchshed.control.daemons.soft_state_broadcaster import SoftStateBroadcaster
 from finchshed.distribution.messages import ControlToDaemon
 from finchshed.quarantine.messages import CrashNews, CrashRecord
 from finchshed.quarantine.register import FREE, Judgement, QuarantineRegister
 from finchshed.runtime import clock
 
-CONFIRM_SECONDS = 2.0
-"""Time between reports of all that is held to the other control nodes, in case one was lost.
-Chosen, not measured."""
+REPORT_INTERVAL_SECONDS = 2.0
+"""Interval between full reports to the other control nodes, which repair lost messages."""
 
 
 class QuarantineService:
-    """The register of one control node.
+    """Quarantine register of one control node.
 
     Parameters
     ----------
@@ -39,45 +39,45 @@
     ) -> None:
         self._send_report = send_report
         self._register = QuarantineRegister()
-        self._updates: SoftStateUpdates[CrashRecord] = SoftStateUpdates(
+        self._updates: SoftStateBroadcaster[CrashRecord] = SoftStateBroadcaster(
             lambda record: record.signature,
             lambda records: broadcast(CrashNews(records)),
             lambda records: send_report(CrashNews(records)),
         )
 
-    def on_daemon_news(self, news: CrashNews) -> None:
-        """Merge news of a daemon connected here."""
-        self._updates.on_own_news(self._register.merge(news.records, clock.now()))
+    def on_daemon_report(self, news: CrashNews) -> None:
+        """Merge records reported by a daemon connected here."""
+        self._updates.on_local_changes(self._register.merge(news.records, clock.now()))
 
     def on_report(self, news: CrashNews) -> None:
-        """Merge news that another control node passes on."""
-        self._updates.on_peer_news(self._register.merge(news.records, clock.now()))
+        """Merge records reported by another control node."""
+        self._updates.on_peer_changes(self._register.merge(news.records, clock.now()))
 
-    def greeting(self) -> Sequence[ControlToDaemon]:
-        """Return what a daemon is sent when it connects."""
+    def initial_messages(self) -> Sequence[ControlToDaemon]:
+        """Return the messages sent to a newly connected daemon."""
         records = self._register.records(clock.now())
         return (CrashNews(records),) if records else ()
 
-    def judged(self) -> tuple[tuple[CrashRecord, Judgement], ...]:
-        """Return what is held, and what may be done with each request."""
+    def judgements(self) -> tuple[tuple[CrashRecord, Judgement], ...]:
+        """Return the records of all suspected requests, each with its judgement."""
         now = clock.now()
         records = self._register.records(now)
         judged = ((record, self._register.judge(record.signature, now)) for record in records)
         return tuple(item for item in judged if item[1] is not FREE)
 
     def lift(self, signature: str) -> bool:
-        """Clear a request everywhere on an operator's word; return whether anything was held."""
+        """Lift the quarantine of a request on all nodes; return whether it had a crash record."""
         record = self._register.on_completed(signature, clock.now())
         if record is None:
             return False
-        logger.info("request {} is free: an operator says so", signature)
-        self._updates.on_own_news((record,))
+        logger.info("quarantine of request {} lifted by an operator", signature)
+        self._updates.on_local_changes((record,))
         return True
 
     async def run(self) -> None:
-        """Confirm to the other control nodes and forget, for as long as the node runs."""
+        """Expire records and report the rest to the other control nodes, until cancelled."""
         while True:
-            await asyncio.sleep(CONFIRM_SECONDS)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
             now = clock.now()
             self._register.expire(now)
             if self._register:
--- a/src/finchshed/control/daemons/quota_service.py
+++ b/src/finchshed/control/daemons/quota_service.py
@@ -1,10 +1,10 @@
-"""Quotas at a control node: the leader divides, the others pass on.
+"""Quotas at a control node: the leader divides limits among daemons, other nodes forward to it.
 
-Nothing of it is written to the log or a disk. A node divides limits only while a read from a quorum
-that began less than :data:`CONFIRMED_SECONDS` ago showed that it leads, so two leaders divide side
-by side for a moment only; :data:`~finchshed.quota.lease.SETTLE_SECONDS` covers it. That is
-looked at when a message is answered: a process that stood still answers none until it has read
-again.
+Shares are not written to the log or disk; only the set of daemons that may hold one is. A node
+answers only while a quorum read that started less than :data:`LEADERSHIP_VALID_SECONDS` ago
+confirmed its leadership. Two leaders can therefore overlap only briefly, which
+:data:`~finchshed.quota.lease.SETTLE_SECONDS` covers. The age is checked for each message, so a
+process that was suspended doesn't answer before a new read.
 """
 
 import asyncio
@@ -23,20 +23,20 @@
 from finchshed.quota.messages import QuotaAnswer, QuotaReport, QuotaRequest
 from finchshed.runtime import clock
 
-CONFIRM_SECONDS = 0.25
-"""Time between the leader's reads from a quorum while any tenant has a limit."""
+LEADERSHIP_CHECK_SECONDS = 0.25
+"""Interval between the leader's quorum reads while any tenant has a limit."""
 
-CONFIRMED_SECONDS = 1.0
-"""A leader divides for this long after the beginning of such a read."""
+LEADERSHIP_VALID_SECONDS = 1.0
+"""Time from the start of a quorum read during which the leader answers."""
 
 
 class QuotaService:
-    """Answers daemons' reports and asks, or has the leader answer them.
+    """Answers daemons' quota requests, or forwards them to the leader.
 
     Parameters
     ----------
     send_to_daemon
-        Sends to a daemon connected here; returns whether it is.
+        Sends to a daemon; returns False if it isn't connected here.
     """
 
     def __init__(
@@ -55,22 +55,22 @@
         self._confirmed_at = float("-inf")
 
     async def run(self) -> None:
-        """Show, for as long as the node runs and leads, that it does."""
+        """Confirm leadership periodically until cancelled."""
         while True:
-            await self.show_once()
-            await asyncio.sleep(CONFIRM_SECONDS)
+            await self.check_leadership()
+            await asyncio.sleep(LEADERSHIP_CHECK_SECONDS)
 
-    async def show_once(self) -> None:
-        """Read from a quorum if this node leads and there is a limit to divide."""
+    async def check_leadership(self) -> None:
+        """Confirm leadership with a quorum read if this node leads and any tenant has a limit."""
         self._configure()
         if self._has_limits and self._log.leading_term() is not None:
-            await self._confirm()
+            await self._confirm_leadership()
         elif self._division is not None:
             self._division = None
-            logger.info("quotas are divided here no more")
+            logger.info("stopped dividing quotas: not leader, or no tenant has a limit")
 
     def on_request(self, daemon: str, request: QuotaRequest) -> None:
-        """Take a report or an ask of a daemon connected here."""
+        """Handle a report or token request of a daemon connected here."""
         if self._log.leading_term() is None:
             self._log.send_to_leader(ForwardedQuota(daemon, request))
             return
@@ -79,7 +79,7 @@
             self._send_to_daemon(daemon, answer)
 
     def on_peer(self, link: PeerLink, message: ForwardedQuota | QuotaReply) -> None:
-        """Take what another control node passes on."""
+        """Handle a forwarded request or the leader's reply."""
         if isinstance(message, QuotaReply):
             self._send_to_daemon(message.daemon, message.answer)
             return
@@ -88,9 +88,12 @@
             link.send(QuotaReply(message.daemon, answer))
 
     def _answer(self, daemon: str, request: QuotaRequest) -> QuotaAnswer | None:
-        """Return the leader's answer; None: this node doesn't surely lead, or it is an old line."""
+        """Return the answer, or None if leadership isn't confirmed or the request is outdated."""
         now = clock.now()
-        if self._log.leading_term() != self._term or now >= self._confirmed_at + CONFIRMED_SECONDS:
+        if (
+            self._log.leading_term() != self._term
+            or now >= self._confirmed_at + LEADERSHIP_VALID_SECONDS
+        ):
             return None
         if self._division is None:
             return None
@@ -99,12 +102,12 @@
             return self._division.on_report(daemon, request, now)
         return self._division.on_ask(request, now)
 
-    async def _confirm(self) -> None:
-        began = clock.now()
+    async def _confirm_leadership(self) -> None:
+        started_at = clock.now()
         try:
             await self._log.read_barrier()
         except FinchshedError as error:
-            logger.debug("quotas are not divided, no quorum answers: {}", error)
+            logger.debug("quota leadership not confirmed: {}", error)
             return
         term = self._log.leading_term()
         if term is None:
@@ -113,27 +116,27 @@
             self._division = QuotaDivision(clock.now(), self._machine.quota_holders)
             self._revision = -1
             self._configure()
-            logger.info("quotas are divided here, term {}", term)
+            logger.info("dividing quotas as leader of term {}", term)
         self._term = term
-        self._confirmed_at = began
+        self._confirmed_at = started_at
         self._division.tick(clock.now())
-        await self._note_holders(self._division)
+        await self._record_holders(self._division)
 
-    async def _note_holders(self, division: QuotaDivision) -> None:
-        """Have the log note the daemons that get shares from now on, and drop those long gone."""
+    async def _record_holders(self, division: QuotaDivision) -> None:
+        """Record new holders of shares in the log, and remove daemons that have gone."""
         added, removed = division.to_note(), division.gone(clock.now())
         if not added and not removed:
             return
         try:
             await self._log.propose(RecordQuotaHolders(added, removed))
         except FinchshedError as error:
-            logger.info("daemons that want shares of quotas could not be noted: {}", error)
+            logger.info("cannot record holders of quota shares: {}", error)
             return
         division.on_noted(added, removed)
-        logger.info("shares of quotas: {} daemons more, {} less", len(added), len(removed))
+        logger.info("holders of quota shares: {} added, {} removed", len(added), len(removed))
 
     def _configure(self) -> None:
-        """Take the limits of the configuration in force, if they are others."""
+        """Apply the tenants' limits if the configuration revision has changed."""
         store = self._machine.store
         if store.revision == self._revision:
             return
--- a/src/finchshed/control/operators/answers.py
+++ b/src/finchshed/control/operators/answers.py
@@ -78,7 +78,7 @@
     )
 
 
-def quarantine_answer(judged: Iterable[tuple[CrashRecord, Judgement]]) -> pb.QuarantineResponse:
+def quarantine_answer(judgements: Iterable[tuple[CrashRecord, Judgement]]) -> pb.QuarantineResponse:
     """Return which requests are held to crash back ends."""
     return pb.QuarantineResponse(
         requests=[
@@ -89,7 +89,7 @@
                 age_seconds=record.age_seconds,
                 refused_seconds=judgement.seconds,
             )
-            for record, judgement in judged
+            for record, judgement in judgements
         ]
     )
 
--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -211,7 +211,7 @@
     ) -> pb.QuarantineResponse:
         """Read which requests are held to crash back ends."""
         await self._access.operator(context)
-        return quarantine_answer(self._distribution.quarantine.judged())
+        return quarantine_answer(self._distribution.quarantine.judgements())
 
     async def LiftQuarantine(  # noqa: N802
         self, request: pb.LiftQuarantineRequest, context: grpc.aio.ServicerContext
--- a/tests/control/test_directory_service.py
+++ b/tests/control/test_directory_service.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchshed.control.daemons import directory_service, soft_state_updates
+from finchshed.control.daemons import directory_service, soft_state_broadcaster
 from finchshed.control.daemons.directory_service import DirectoryService
 from finchshed.control.raft.node_messages import DirectoryReport
 from finchshed.directory.registration import InstanceState, Registration
@@ -46,7 +46,7 @@
     service = outside.service()
     service.on_report(DirectoryReport((registration(2),)))
     service.on_report(DirectoryReport((registration(1), registration(1, host=2))))
-    await asyncio.sleep(2 * soft_state_updates.GATHER_SECONDS)
+    await asyncio.sleep(2 * soft_state_broadcaster.BATCH_INTERVAL_SECONDS)
     assert outside.to_daemons == [
         DirectoryUpdate((registration(2),)),
         DirectoryUpdate((registration(1, host=2),)),
@@ -61,7 +61,7 @@
     service.set_control_addresses(("10.1.0.1:7621",))
     service.set_control_addresses(("10.1.0.1:7621",))
     assert outside.to_daemons[1:] == [ControlNodes(("10.1.0.1:7621",))]
-    assert list(service.greeting()) == [
+    assert list(service.initial_messages()) == [
         DirectoryUpdate((registration(1),), is_whole=True),
         ControlNodes(("10.1.0.1:7621",)),
     ]
@@ -70,9 +70,9 @@
 async def test_own_registrations_are_repeated_to_peers_and_lost_ones_forgotten(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(directory_service, "CONFIRM_SECONDS", 0.02)
-    monkeypatch.setattr(directory_service, "FORGET_SECONDS", 0.1)
-    monkeypatch.setattr(directory_service, "OWN_SECONDS", 0.05)
+    monkeypatch.setattr(directory_service, "REPORT_INTERVAL_SECONDS", 0.02)
+    monkeypatch.setattr(directory_service, "REGISTRATION_EXPIRY_SECONDS", 0.1)
+    monkeypatch.setattr(directory_service, "LOCAL_ANNOUNCE_SECONDS", 0.05)
     outside = Outside()
     service = outside.service()
     service.on_announce(Announce(registration(1)))
@@ -95,7 +95,7 @@
     for host in range(1, 189):
         service.on_announce(Announce(registration(1, host=host)))
         service.on_announce(Announce(registration(2, host=host)))
-    await asyncio.sleep(3 * soft_state_updates.GATHER_SECONDS)
+    await asyncio.sleep(3 * soft_state_broadcaster.BATCH_INTERVAL_SECONDS)
     updates = [item for item in outside.to_daemons if isinstance(item, DirectoryUpdate)]
     assert len(updates) <= 3
     latest = {item.address: item.serial for update in updates for item in update.registrations}
@@ -106,7 +106,7 @@
     outside = Outside()
     service = outside.service()
     service.on_announce(Announce(registration(1)))
-    await asyncio.sleep(3 * soft_state_updates.GATHER_SECONDS)
+    await asyncio.sleep(3 * soft_state_broadcaster.BATCH_INTERVAL_SECONDS)
     service.on_announce(Announce(registration(2)))
     assert outside.to_daemons == [
         DirectoryUpdate((registration(1),)),
--- a/tests/control/test_ledger_router.py
+++ b/tests/control/test_ledger_router.py
@@ -101,12 +101,12 @@
             self.log.here,
             self.log,
             own,
-            make_shard=self._make_shard,
+            connect_shard=self._connect_shard,
             now=lambda: self.now,
             unix_now=lambda: NOW + self.now,
         )
 
-    def _make_shard(self, group: ShardAddresses) -> FakeShard:
+    def _connect_shard(self, group: ShardAddresses) -> FakeShard:
         return self.shards.setdefault(group, FakeShard())
 
     async def apply(self, identity: str, revision: int, shards: tuple[ShardAddresses, ...]) -> None:
--- a/tests/control/test_quarantine_service.py
+++ b/tests/control/test_quarantine_service.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from finchshed.control.daemons.quarantine_service import QuarantineService
-from finchshed.control.daemons.soft_state_updates import GATHER_SECONDS
+from finchshed.control.daemons.soft_state_broadcaster import BATCH_INTERVAL_SECONDS
 from finchshed.distribution.messages import ControlToDaemon
 from finchshed.quarantine.messages import Crash, CrashNews, CrashRecord
 from finchshed.quarantine.register import Suspicion
@@ -25,8 +25,8 @@
 
 async def test_news_goes_to_daemons_and_peers_once() -> None:
     node, peer = Node(), Node()
-    node.service.on_daemon_news(news("a", "i-1"))
-    node.service.on_daemon_news(news("a", "i-1"))
+    node.service.on_daemon_report(news("a", "i-1"))
+    node.service.on_daemon_report(news("a", "i-1"))
     assert len(node.to_daemons) == len(node.to_peers) == 1
     peer.service.on_report(node.to_peers[0])
     peer.service.on_report(node.to_peers[0])
@@ -37,21 +37,23 @@
 async def test_what_follows_soon_is_sent_together() -> None:
     node = Node()
     for number in range(20):
-        node.service.on_daemon_news(news(f"r-{number}", "i-1"))
+        node.service.on_daemon_report(news(f"r-{number}", "i-1"))
     assert len(node.to_daemons) == 1
-    await asyncio.sleep(3 * GATHER_SECONDS)
+    await asyncio.sleep(3 * BATCH_INTERVAL_SECONDS)
     sent = [item for item in node.to_daemons if isinstance(item, CrashNews)]
     assert [len(item.records) for item in sent] == [1, 19]
 
 
 async def test_a_daemon_that_connects_hears_of_all_and_a_lift_clears_it() -> None:
     node = Node()
-    assert node.service.greeting() == ()
-    node.service.on_daemon_news(news("a", "i-1", "i-2", "i-3"))
-    (greeting,) = node.service.greeting()
-    assert isinstance(greeting, CrashNews)
-    assert [judged.suspicion for _, judged in node.service.judged()] == [Suspicion.QUARANTINED]
+    assert node.service.initial_messages() == ()
+    node.service.on_daemon_report(news("a", "i-1", "i-2", "i-3"))
+    (initial_message,) = node.service.initial_messages()
+    assert isinstance(initial_message, CrashNews)
+    assert [judgement.suspicion for _, judgement in node.service.judgements()] == [
+        Suspicion.QUARANTINED
+    ]
     assert not node.service.lift("b")
     assert node.service.lift("a")
-    assert node.service.judged() == ()
+    assert node.service.judgements() == ()
     assert node.to_peers[-1].records[0].refuted == ("i-1", "i-2", "i-3")
--- a/tests/control/test_quota_service.py
+++ b/tests/control/test_quota_service.py
@@ -7,7 +7,7 @@
 from finchshed.configuration.resources import Tenant
 from finchshed.configuration.store import BOOTSTRAP_OPERATOR
 from finchshed.control.daemons import quota_service
-from finchshed.control.daemons.quota_service import CONFIRMED_SECONDS, QuotaService
+from finchshed.control.daemons.quota_service import LEADERSHIP_VALID_SECONDS, QuotaService
 from finchshed.control.raft.node_messages import ForwardedQuota, QuotaReply
 from finchshed.control.state.commands import (
     ApplyChange,
@@ -93,7 +93,7 @@
     async def turn(self, seconds: float = 0.0) -> None:
         """Let the time pass, and do once what the service does again and again."""
         self.now += seconds
-        await self.service.show_once()
+        await self.service.check_leadership()
 
 
 @pytest.fixture
@@ -117,7 +117,7 @@
     assert not node.answers
     await node.turn()
     node.log.has_quorum = False
-    await node.turn(CONFIRMED_SECONDS - 0.01)
+    await node.turn(LEADERSHIP_VALID_SECONDS - 0.01)
     node.service.on_request("d1", ASK)
     assert len(node.answers) == 1
     await node.turn(0.02)
