--- a/src/finchshed/control/operators/__init__.py
+++ b/src/finchshed/control/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a control node."""
+"""Services of a control node for operators."""
--- a/src/finchshed/control/operators/access.py
+++ b/src/finchshed/control/operators/access.py
@@ -1,6 +1,6 @@
-"""Who may call the operators' service: the holders of declared operators' tokens.
+"""Authentication of operators' calls by bearer token and client certificate.
 
-Owns no state. Relies on the declared operators in the replicated state.
+Owns no state. Relies on the operators declared in the replicated state.
 """
 
 import hashlib
@@ -16,17 +16,17 @@
 from finchshed.tls.names import CertificateRole, has_role, name_of, shown
 from finchshed.tls.rpc import caller_names
 
-AUTHORIZATION = "authorization"
-BEARER = "Bearer "
+AUTHORIZATION_KEY = "authorization"
+BEARER_PREFIX = "Bearer "
 
 
-class Access:
-    """Finds the operator of a call, and ends calls that may not go on.
+class CallAuthenticator:
+    """Authenticates calls and aborts those that are not permitted.
 
     Parameters
     ----------
     bootstrap_token_sha256
-        Digest of the token that may change a configuration without operators; empty: none.
+        Digest of the token accepted while no operator is declared; empty for none.
     """
 
     def __init__(
@@ -36,33 +36,33 @@
         self._log = log
         self._bootstrap_digest = bootstrap_token_sha256
 
-    async def barrier(self, context: grpc.aio.ServicerContext) -> None:
-        """Return once this node holds all that was committed before; else end the call."""
+    async def read_barrier(self, context: grpc.aio.ServicerContext) -> None:
+        """Wait until every entry committed so far is applied; abort the call without a quorum."""
         try:
             await self._log.read_barrier()
         except ControlUnavailableError as error:
             await abort(context, grpc.StatusCode.UNAVAILABLE, str(error))
 
-    async def operator(self, context: grpc.aio.ServicerContext) -> str:
-        """Return the operator's name; end the call when the token is none of an operator."""
+    async def authenticate(self, context: grpc.aio.ServicerContext) -> str:
+        """Return the operator's name; abort the call if authentication fails."""
         metadata = dict(context.invocation_metadata() or ())
-        value = str(metadata.get(AUTHORIZATION, ""))
-        if not value.startswith(BEARER):
-            detail = "give an operator's token in the metadata key 'authorization'"
+        value = str(metadata.get(AUTHORIZATION_KEY, ""))
+        if not value.startswith(BEARER_PREFIX):
+            detail = "metadata key 'authorization' must be 'Bearer TOKEN' with an operator's token"
             await abort(context, grpc.StatusCode.UNAUTHENTICATED, detail)
-        digest = hashlib.sha256(value.removeprefix(BEARER).encode()).hexdigest()
+        digest = hashlib.sha256(value.removeprefix(BEARER_PREFIX).encode()).hexdigest()
         name = self._operator_of(digest)
         if name is None:
-            # This node may not know the latest operators: nobody is denied on old state.
-            await self.barrier(context)
+            # The operator may have been declared in an entry not applied here yet.
+            await self.read_barrier(context)
             name = self._operator_of(digest)
         if name is None:
-            logger.warning("call with an unknown token from {}", context.peer())
+            logger.warning("call from {} rejected: unknown token", context.peer())
             detail = "the token is none of a declared operator"
             await abort(context, grpc.StatusCode.PERMISSION_DENIED, detail)
-        if fault := _unproven_operator(context, name):
-            logger.warning("call from {} refused: {}", context.peer(), fault)
-            await abort(context, grpc.StatusCode.PERMISSION_DENIED, fault)
+        if mismatch := _certificate_mismatch(context, name):
+            logger.warning("call from {} rejected: {}", context.peer(), mismatch)
+            await abort(context, grpc.StatusCode.PERMISSION_DENIED, mismatch)
         return name
 
     def _operator_of(self, digest: str) -> str | None:
@@ -73,7 +73,7 @@
         return None if operator is None else operator.name
 
 
-def _unproven_operator(context: grpc.aio.ServicerContext, name: str) -> str:
+def _certificate_mismatch(context: grpc.aio.ServicerContext, name: str) -> str:
     """Return why the caller's certificate isn't that of operator ``name``; empty if it is."""
     names = caller_names(context.auth_context())
     if names is None or name_of(CertificateRole.OPERATOR, name) in names:
@@ -84,6 +84,6 @@
 
 
 async def abort(context: grpc.aio.ServicerContext, code: grpc.StatusCode, detail: str) -> NoReturn:
-    """End the call with ``code``."""
+    """Abort the call with status ``code``."""
     await context.abort(code, detail)
-    raise AssertionError("abort returns")  # pragma: no cover - abort always raises
+    raise AssertionError("context.abort() returned")  # pragma: no cover - abort always raises
--- a/src/finchshed/control/operators/configuration_document.py
+++ b/src/finchshed/control/operators/configuration_document.py
@@ -1,7 +1,7 @@
-"""The configuration as one document of the operator's: replaced whole, read back as it was given.
+"""Replaces and reads the configuration as a single document.
 
-Built on the replicated log: a document is one change of it, named by its content, so that the same
-document offered again, to any node and after any failure, gets the first answer.
+A document is applied as one change whose identifier is a hash of its content. Submitting the same
+document again, to any node and after any failure, returns the first result.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 
 class ConfigurationDocument(msgspec.Struct, frozen=True):
-    """A whole configuration as an operator offers it.
+    """Complete configuration submitted by an operator.
 
-    ``version`` is the operator's number for it, ``base_version`` that of the one it was made from,
-    0 for none; ``source`` is what is read back.
+    ``version`` is the operator's version number, ``base_version`` that of the document it was
+    derived from or 0; ``source`` is the text that is returned when the document is read.
     """
 
     version: int
@@ -32,18 +32,18 @@
 
 
 class Unavailable(msgspec.Struct, frozen=True):
-    """No quorum answered in time. An offered document may have been accepted all the same."""
+    """No quorum answered in time. A submitted document may still be accepted."""
 
     detail: str
 
 
 class ConfigurationDocuments:
-    """Replaces and reads the configuration.
+    """Replaces and reads the configuration document.
 
     Parameters
     ----------
     timeout_seconds
-        Longest wait for a quorum.
+        Timeout of a request.
     """
 
     def __init__(
@@ -56,9 +56,9 @@
     async def replace(
         self, document: ConfigurationDocument
     ) -> Accepted | Conflict | Invalid | Unavailable:
-        """Offer a document; the same one offered again gets the first answer."""
+        """Submit a document; submitting it again returns the first result."""
         change = Change(
-            change_id=_identity_of(document),
+            change_id=_change_id_of(document),
             operator=BOOTSTRAP_OPERATOR,
             expected_revision=0,
             puts=document.resources,
@@ -72,11 +72,13 @@
                 result = await self._log.propose(ApplyChange(change))
         except (ControlUnavailableError, TimeoutError) as error:
             return Unavailable(str(error) or "no quorum answered in time")
-        assert isinstance(result, Accepted | Conflict | Invalid), "no other result"
+        assert isinstance(result, Accepted | Conflict | Invalid), (
+            f"unexpected result of a change: {result}"
+        )
         return result
 
     async def read(self) -> ConfigurationDocument | Unavailable:
-        """Return the latest document, without its resources; version 0: none was accepted."""
+        """Return the latest document without its resources; version 0 if there is none."""
         try:
             async with asyncio.timeout(self._timeout):
                 await self._log.read_barrier()
@@ -86,6 +88,6 @@
         return ConfigurationDocument(store.version, 0, (), store.source)
 
 
-def _identity_of(document: ConfigurationDocument) -> str:
+def _change_id_of(document: ConfigurationDocument) -> str:
     text = f"{document.version}/{document.base_version}/{document.source}"
     return hashlib.sha256(text.encode()).hexdigest()
--- a/src/finchshed/control/operators/replacement.py
+++ b/src/finchshed/control/operators/replacement.py
@@ -1,7 +1,7 @@
-"""Replacement of a control node as a sequence of small steps. Pure.
+"""Replacement of a control group member as a sequence of steps. Pure.
 
-Each step follows from the members as they are, so the operator's command may stop anywhere and be
-run again: it goes on where the group is.
+Each step is derived from the current members, so an interrupted replacement continues when the
+operator's command is run again.
 """
 
 from collections.abc import Sequence
@@ -11,14 +11,14 @@
 from finchshed.consensus.membership import AddMember, MembershipChange, RemoveMember
 from finchshed.control.raft.replicated_log import LogMemberRole, LogMemberStatus
 
-VOTING = (LogMemberRole.LEADER, LogMemberRole.VOTER)
+VOTING_ROLES = (LogMemberRole.LEADER, LogMemberRole.VOTER)
 
 
 @dataclass(frozen=True, slots=True)
-class Replacement:
-    """Take ``remove`` out and put ``add`` in; either may be empty.
+class MemberReplacement:
+    """Requested replacement: remove member ``remove`` and add member ``add``; either may be empty.
 
-    ``standby``: the node put in stays a learner and doesn't vote.
+    With ``standby`` the added member stays a learner and doesn't vote.
     """
 
     remove: str = ""
@@ -26,35 +26,37 @@
     standby: bool = False
 
     def describe(self) -> str:
-        """Return it in the words of the command line."""
+        """Return the flags of the operator's command."""
         parts = [f"--remove={self.remove}" if self.remove else ""]
         parts += [f"--add={self.add}" if self.add else "", "--standby" if self.standby else ""]
         return " ".join(part for part in parts if part)
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """What is to be done next: a change, waiting (no change), or nothing more."""
+class ReplacementStep:
+    """Next step: a membership change, waiting (no change), or completion."""
 
     text: str
     change: MembershipChange | None = None
     is_done: bool = False
 
 
-def next_step(members: Sequence[LogMemberStatus], replacement: Replacement) -> Step:
-    """Return the next step that brings ``members`` to what ``replacement`` asks for."""
+def next_step(
+    members: Sequence[LogMemberStatus], replacement: MemberReplacement
+) -> ReplacementStep:
+    """Return the next step from ``members`` towards the requested replacement."""
     if replacement.add:
-        step = _step_of_adding(members, replacement)
+        step = _next_adding_step(members, replacement)
         if step is not None:
             return step
     remove = replacement.remove
-    if remove and remove != replacement.add and _named(members, remove):
-        return Step(f"taking {remove} out", RemoveMember(remove))
-    return Step("done", is_done=True)
+    if remove and remove != replacement.add and _members_named(members, remove):
+        return ReplacementStep(f"taking {remove} out", RemoveMember(remove))
+    return ReplacementStep("done", is_done=True)
 
 
-def explain_refusal(cause: RefusalCause, replacement: Replacement) -> str:
-    """Return what an operator can do about a refused step."""
+def explain_refusal(cause: RefusalCause, replacement: MemberReplacement) -> str:
+    """Return text for the operator on why a step was refused and what to do."""
     if cause is RefusalCause.UNKNOWN_NODE:
         return f"{replacement.add} hasn't made itself known; start it, or wait"
     if cause is RefusalCause.WOULD_LOSE_QUORUM:
@@ -62,41 +64,43 @@
     return cause.value
 
 
-def _step_of_adding(members: Sequence[LogMemberStatus], replacement: Replacement) -> Step | None:
-    """Return the next step of putting the new member in, or None when it is in."""
+def _next_adding_step(
+    members: Sequence[LogMemberStatus], replacement: MemberReplacement
+) -> ReplacementStep | None:
+    """Return the next step of adding the new member, or None if it has been added."""
     name = replacement.add
-    present = _named(members, name)
-    shall_vote = _shall_vote(members, replacement)
+    present = _members_named(members, name)
+    should_vote = _should_vote(members, replacement)
     if not present:
-        kind = "a learner" if shall_vote else "a standby"
-        return Step(f"putting {name} in as {kind}", AddMember(name, shall_vote))
-    votes = [member for member in present if member.role in VOTING]
-    if not shall_vote:
+        kind = "a learner" if should_vote else "a standby"
+        return ReplacementStep(f"putting {name} in as {kind}", AddMember(name, should_vote))
+    votes = [member for member in present if member.role in VOTING_ROLES]
+    if not should_vote:
         done = replacement.standby and votes
-        return Step(f"{name} is a voter already", is_done=True) if done else None
+        return ReplacementStep(f"{name} is a voter already", is_done=True) if done else None
     if len(present) > 1:
-        return Step(f"{name} comes back on another disk and catches up")
+        return ReplacementStep(f"{name} comes back on another disk and catches up")
     if not votes:
         entry = present[0].match_index
-        return Step(f"{name} catches up, at entry {entry}", AddMember(name, voter=True))
+        return ReplacementStep(f"{name} catches up, at entry {entry}", AddMember(name, voter=True))
     return None
 
 
-def _shall_vote(members: Sequence[LogMemberStatus], replacement: Replacement) -> bool:
-    """Whether the new member is to vote: it takes the role of the one it replaces.
+def _should_vote(members: Sequence[LogMemberStatus], replacement: MemberReplacement) -> bool:
+    """Return whether the new member should vote: it takes the role of the member it replaces.
 
-    A standby that the replaced one left behind stays one: the replaced member had lost its vote to
-    another standby before.
+    After that member was removed, a new member that is a standby stays one, because the removed
+    member had already lost its vote to another standby.
     """
     if replacement.standby:
         return False
-    leaving = _named(members, replacement.remove) if replacement.remove else []
+    leaving = _members_named(members, replacement.remove) if replacement.remove else []
     if leaving:
         return any(member.role is not LogMemberRole.STANDBY for member in leaving)
-    present = _named(members, replacement.add)
-    took_the_place = bool(replacement.remove) and bool(present)
-    return not (took_the_place and all(item.role is LogMemberRole.STANDBY for item in present))
+    present = _members_named(members, replacement.add)
+    joined_before = bool(replacement.remove) and bool(present)
+    return not (joined_before and all(item.role is LogMemberRole.STANDBY for item in present))
 
 
-def _named(members: Sequence[LogMemberStatus], name: str) -> list[LogMemberStatus]:
+def _members_named(members: Sequence[LogMemberStatus], name: str) -> list[LogMemberStatus]:
     return [member for member in members if member.name == name]
--- a/src/finchshed/control/operators/answers.py
+++ b/src/finchshed/control/operators/responses.py
@@ -1,6 +1,6 @@
-"""Answers of the operators' RPC, made of the state of a control node.
+"""Builds gRPC responses for operators from the state of a control node.
 
-Owns nothing: the schema's fields are filled in here and nowhere else.
+All fields of the schema's responses are set here.
 """
 
 import time
@@ -16,7 +16,7 @@
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 
-def status_answer(
+def status_response(
     log: LogStatus,
     distribution: DistributionStatus,
     *,
@@ -24,7 +24,7 @@
     is_confirmed: bool,
     ledger: Ledger,
 ) -> pb.StatusResponse:
-    """Return which daemons act on which revision."""
+    """Return the revision in force at each daemon."""
     return pb.StatusResponse(
         node=log.node,
         leader=log.leader,
@@ -38,7 +38,7 @@
     )
 
 
-def members_answer(log: LogStatus) -> pb.MembersResponse:
+def members_response(log: LogStatus) -> pb.MembersResponse:
     """Return the members of the control group."""
     members = [
         pb.Member(
@@ -61,8 +61,8 @@
     )
 
 
-def explain_answer(decisions: Iterable[Decision]) -> pb.ExplainResponse:
-    """Return recent decisions of a daemon."""
+def explain_response(decisions: Iterable[Decision]) -> pb.ExplainResponse:
+    """Return a daemon's decisions."""
     return pb.ExplainResponse(
         decisions=[
             pb.Decision(
@@ -78,8 +78,10 @@
     )
 
 
-def quarantine_answer(judgements: Iterable[tuple[CrashRecord, Judgement]]) -> pb.QuarantineResponse:
-    """Return which requests are held to crash back ends."""
+def quarantine_response(
+    judgements: Iterable[tuple[CrashRecord, Judgement]],
+) -> pb.QuarantineResponse:
+    """Return the requests suspected of crashing back ends."""
     return pb.QuarantineResponse(
         requests=[
             pb.QuarantinedRequest(
@@ -94,8 +96,8 @@
     )
 
 
-def history_answer(entries: Iterable[AuditEntry]) -> pb.HistoryResponse:
-    """Return who changed what."""
+def history_response(entries: Iterable[AuditEntry]) -> pb.HistoryResponse:
+    """Return entries of the audit trail."""
     return pb.HistoryResponse(
         entries=[
             pb.HistoryEntry(
--- a/src/finchshed/control/operators/rpc_server.py
+++ b/src/finchshed/control/operators/rpc_server.py
@@ -1,6 +1,6 @@
-"""The gRPC server of a control node: operators' service, health and reflection.
+"""gRPC server of a control node: operators' service, health checks and reflection.
 
-Owns the listener. Relies on :mod:`finchshed.control.operators.service` for what is answered.
+Owns the listener. Relies on :mod:`finchshed.control.operators.service` to handle calls.
 """
 
 import grpc
@@ -14,7 +14,7 @@
 from finchshed.tls.rpc import server_credentials
 
 MAX_MESSAGE_BYTES = 16 << 20
-"""Largest request taken from an operator."""
+"""Largest request accepted from an operator."""
 
 SERVICE_NAME = pb.DESCRIPTOR.services_by_name["Operators"].full_name
 
@@ -25,7 +25,7 @@
     Parameters
     ----------
     credentials
-        Keys for TLS; None: plain text.
+        TLS credentials; None for plain text.
     """
 
     def __init__(self, service: OperatorService, credentials: Credentials | None = None) -> None:
@@ -54,6 +54,6 @@
         return port
 
     async def stop(self, timeout_seconds: float) -> None:
-        """Take no new call and finish those in progress."""
+        """Reject new calls and finish those in progress."""
         await self._health.enter_graceful_shutdown()
         await self._server.stop(timeout_seconds)
--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -1,7 +1,7 @@
-"""The operators' RPC service on a control node: who may ask, what is done, and in which order.
+"""gRPC service for operators: authenticates calls, executes them and builds the responses.
 
-Owns no state. Relies on the replicated log for everything that is changed, and on
-:mod:`finchshed.control.operators.answers` for the form of the answers.
+Owns no state. Relies on the replicated log for all changes and on
+:mod:`finchshed.control.operators.responses` to build responses.
 """
 
 from collections.abc import AsyncIterator
@@ -13,15 +13,15 @@
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.configuration.changes import Accepted, Change, Conflict, Invalid
 from finchshed.control.daemons.distribution_service import DistributionService
-from finchshed.control.operators.access import Access, abort
-from finchshed.control.operators.answers import (
-    explain_answer,
-    history_answer,
-    members_answer,
-    quarantine_answer,
-    status_answer,
+from finchshed.control.operators.access import CallAuthenticator, abort
+from finchshed.control.operators.replacement import MemberReplacement
+from finchshed.control.operators.responses import (
+    explain_response,
+    history_response,
+    members_response,
+    quarantine_response,
+    status_response,
 )
-from finchshed.control.operators.replacement import Replacement
 from finchshed.control.operators.revisions import RevisionFeed
 from finchshed.control.raft.replicated_log import ReplicatedLog
 from finchshed.control.state.commands import ApplyChange, RecordAction
@@ -38,36 +38,36 @@
 from finchshed.rpc.generated import finchshed_pb2_grpc as pb_grpc
 
 MAX_CHANGE_ID_CHARACTERS = 200
-"""Longest identity of a change; the store keeps it. Chosen, not measured."""
+"""Longest accepted change identifier, as the store keeps it."""
 
 MAX_EXPLAINED_DECISIONS = 1_000
-"""Most decisions of a daemon in one answer. Chosen, not measured."""
+"""Maximum number of a daemon's decisions in one response."""
 
 MAX_HISTORY_ENTRIES = 1_000
-"""Most entries of the audit trail in one answer. Chosen, not measured."""
+"""Maximum number of audit entries in one response."""
 
 MAX_NAME_CHARACTERS = 63
-"""Longest name of a member or signature that is kept in the audit trail: that of any resource."""
+"""Longest member name or request signature accepted; equal to the limit of resource names."""
 
-BACKUP_PIECE_BYTES = 1 << 20
-"""Size of one message of a backup, a quarter of gRPC's default bound. Chosen, not measured."""
+BACKUP_CHUNK_BYTES = 1 << 20
+"""Size of one backup message; a quarter of gRPC's default message limit."""
 
 
 class MemberReplacer(Protocol):
-    """Changes the members of the control group."""
+    """Interface for replacing members of the control group."""
 
-    async def replace_member(self, replacement: Replacement) -> tuple[bool, str]:
-        """Go on with a replacement; return whether it is finished, and the step."""
+    async def replace_member(self, replacement: MemberReplacement) -> tuple[bool, str]:
+        """Execute the next step of a replacement; return whether it is done and a description."""
         ...
 
 
 class OperatorService(pb_grpc.OperatorsServicer):  # type: ignore[misc] # generated, untyped
-    """Answers operators' calls from the replicated state.
+    """Implements the operators' gRPC service.
 
     Parameters
     ----------
     bootstrap_token_sha256
-        Digest of the token that may change a configuration without operators; empty: none.
+        Digest of the token accepted while no operator is declared; empty for none.
     """
 
     def __init__(
@@ -84,17 +84,20 @@
         self._log = log
         self._distribution = distribution
         self._feed = feed
-        self._access = Access(machine, log, bootstrap_token_sha256)
+        self._authenticator = CallAuthenticator(machine, log, bootstrap_token_sha256)
         self._membership = membership
 
-    async def Apply(  # noqa: N802 - named by the schema
+    async def Apply(  # noqa: N802 - name from the schema
         self, request: pb.ApplyRequest, context: grpc.aio.ServicerContext
     ) -> pb.ApplyResponse:
-        """Apply a change."""
-        await self._access.barrier(context)
-        operator = await self._access.operator(context)
+        """Apply a configuration change."""
+        await self._authenticator.read_barrier(context)
+        operator = await self._authenticator.authenticate(context)
         if not 0 < len(request.change_id) <= MAX_CHANGE_ID_CHARACTERS:
-            problem = f"change_id: allowed are 1 to {MAX_CHANGE_ID_CHARACTERS} characters"
+            problem = (
+                f"change_id has {len(request.change_id)} characters, "
+                f"allowed are 1 to {MAX_CHANGE_ID_CHARACTERS}"
+            )
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, problem)
         problems: list[str] = []
         puts = resources_from_messages(request.puts, problems)
@@ -112,31 +115,35 @@
         except ControlUnavailableError as error:
             await abort(context, grpc.StatusCode.UNAVAILABLE, str(error))
         if not isinstance(result, Accepted | Conflict | Invalid):
-            await abort(context, grpc.StatusCode.INTERNAL, "unexpected result of a change")
-        logger.info("change {} of {}: {}", change.change_id, operator, result)
+            await abort(
+                context,
+                grpc.StatusCode.INTERNAL,
+                f"unexpected result of change {change.change_id}: {result}",
+            )
+        logger.info("change {} by operator {}: {}", change.change_id, operator, result)
         return result_to_message(result)
 
     async def GetResult(  # noqa: N802
         self, request: pb.GetResultRequest, context: grpc.aio.ServicerContext
     ) -> pb.ApplyResponse:
-        """Read the first result of an earlier change."""
-        await self._access.barrier(context)
-        await self._access.operator(context)
+        """Return the first result of an earlier change."""
+        await self._authenticator.read_barrier(context)
+        await self._authenticator.authenticate(context)
         result = self._machine.store.result_of(request.change_id)
         if result is None:
-            detail = f"no result of change {request.change_id!r} is retained"
+            detail = f"no result is retained for change {request.change_id!r}"
             await abort(context, grpc.StatusCode.NOT_FOUND, detail)
         return result_to_message(result)
 
     async def Get(  # noqa: N802
         self, request: pb.GetRequest, context: grpc.aio.ServicerContext
     ) -> pb.GetResponse:
-        """Read the configuration."""
-        await self._access.barrier(context)
-        await self._access.operator(context)
+        """Return the configuration, or the requested resources of it."""
+        await self._authenticator.read_barrier(context)
+        await self._authenticator.authenticate(context)
         store = self._machine.store
-        wanted = [key_from_message(key) for key in request.keys] or list(store.resources)
-        found = [store.resources[key] for key in wanted if key in store.resources]
+        keys = [key_from_message(key) for key in request.keys] or list(store.resources)
+        found = [store.resources[key] for key in keys if key in store.resources]
         return pb.GetResponse(
             revision=store.revision,
             resources=[resource_to_message(resource) for resource in found],
@@ -145,9 +152,9 @@
     async def Watch(  # noqa: N802
         self, request: pb.WatchRequest, context: grpc.aio.ServicerContext
     ) -> AsyncIterator[pb.WatchEvent]:
-        """Follow accepted changes."""
-        await self._access.barrier(context)
-        await self._access.operator(context)
+        """Stream accepted changes."""
+        await self._authenticator.read_barrier(context)
+        await self._authenticator.authenticate(context)
         async for delta in self._feed.follow(request.after_revision):
             yield pb.WatchEvent(
                 base=delta.base,
@@ -159,10 +166,10 @@
     async def Status(  # noqa: N802
         self, request: pb.StatusRequest, context: grpc.aio.ServicerContext
     ) -> pb.StatusResponse:
-        """Read which daemons act on which revision."""
-        await self._access.operator(context)
+        """Return the revision in force at each daemon."""
+        await self._authenticator.authenticate(context)
         confirmed = await self._is_confirmed()
-        return status_answer(
+        return status_response(
             self._log.status(),
             self._distribution.status(),
             revision=self._machine.store.revision,
@@ -173,19 +180,22 @@
     async def Members(  # noqa: N802
         self, request: pb.MembersRequest, context: grpc.aio.ServicerContext
     ) -> pb.MembersResponse:
-        """Read the members of the control group."""
-        await self._access.operator(context)
-        return members_answer(self._log.status())
+        """Return the members of the control group."""
+        await self._authenticator.authenticate(context)
+        return members_response(self._log.status())
 
     async def ReplaceMember(  # noqa: N802
         self, request: pb.ReplaceMemberRequest, context: grpc.aio.ServicerContext
     ) -> pb.ReplaceMemberResponse:
-        """Change the members of the control group."""
-        await self._access.barrier(context)
-        operator = await self._access.operator(context)
-        replacement = Replacement(request.remove, request.add, request.standby)
+        """Replace a member of the control group."""
+        await self._authenticator.read_barrier(context)
+        operator = await self._authenticator.authenticate(context)
+        replacement = MemberReplacement(request.remove, request.add, request.standby)
         if max(len(request.remove), len(request.add)) > MAX_NAME_CHARACTERS:
-            detail = f"remove, add: allowed are up to {MAX_NAME_CHARACTERS} characters"
+            detail = (
+                f"remove, add: names have {len(request.remove)} and {len(request.add)} characters, "
+                f"allowed are up to {MAX_NAME_CHARACTERS}"
+            )
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, detail)
         await self._record_action(context, operator, "replace-member", replacement.describe())
         try:
@@ -197,29 +207,32 @@
     async def Explain(  # noqa: N802
         self, request: pb.ExplainRequest, context: grpc.aio.ServicerContext
     ) -> pb.ExplainResponse:
-        """Read recent decisions of a daemon."""
-        await self._access.operator(context)
+        """Return recent decisions of a daemon."""
+        await self._authenticator.authenticate(context)
         limit = min(request.limit or MAX_EXPLAINED_DECISIONS, MAX_EXPLAINED_DECISIONS)
         decisions = await self._distribution.explain(request.node, request.root, limit)
         if decisions is None:
             detail = f"daemon {request.node} isn't connected here or didn't answer"
             await abort(context, grpc.StatusCode.NOT_FOUND, detail)
-        return explain_answer(decisions)
+        return explain_response(decisions)
 
     async def Quarantine(  # noqa: N802
         self, request: pb.QuarantineRequest, context: grpc.aio.ServicerContext
     ) -> pb.QuarantineResponse:
-        """Read which requests are held to crash back ends."""
-        await self._access.operator(context)
-        return quarantine_answer(self._distribution.quarantine.judgements())
+        """Return the requests suspected of crashing back ends."""
+        await self._authenticator.authenticate(context)
+        return quarantine_response(self._distribution.quarantine.judgements())
 
     async def LiftQuarantine(  # noqa: N802
         self, request: pb.LiftQuarantineRequest, context: grpc.aio.ServicerContext
     ) -> pb.LiftQuarantineResponse:
-        """Clear a request of the crashes known so far."""
-        operator = await self._access.operator(context)
+        """Lift the quarantine of a request."""
+        operator = await self._authenticator.authenticate(context)
         if len(request.signature) > MAX_NAME_CHARACTERS:
-            problem = f"signature: allowed are {MAX_NAME_CHARACTERS} characters"
+            problem = (
+                f"signature has {len(request.signature)} characters, "
+                f"allowed are up to {MAX_NAME_CHARACTERS}"
+            )
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, problem)
         await self._record_action(context, operator, "lift quarantine", request.signature)
         if not self._distribution.quarantine.lift(request.signature):
@@ -230,36 +243,36 @@
     async def Dump(  # noqa: N802
         self, request: pb.DumpRequest, context: grpc.aio.ServicerContext
     ) -> pb.DumpResponse:
-        """Write out the ring of log records."""
-        operator = await self._access.operator(context)
+        """Dump the ring buffer of log records."""
+        operator = await self._authenticator.authenticate(context)
         path = ring.dump(f"asked for by operator {operator}")
         return pb.DumpResponse(destination=str(path) if path is not None else "stderr")
 
     async def History(  # noqa: N802
         self, request: pb.HistoryRequest, context: grpc.aio.ServicerContext
     ) -> pb.HistoryResponse:
-        """Read who changed what."""
-        await self._access.barrier(context)
-        await self._access.operator(context)
+        """Return the latest entries of the audit trail."""
+        await self._authenticator.read_barrier(context)
+        await self._authenticator.authenticate(context)
         limit = min(request.limit or MAX_HISTORY_ENTRIES, MAX_HISTORY_ENTRIES)
-        return history_answer(self._machine.audit.latest(limit))
+        return history_response(self._machine.audit.latest(limit))
 
     async def Backup(  # noqa: N802
         self, request: pb.BackupRequest, context: grpc.aio.ServicerContext
     ) -> AsyncIterator[pb.BackupPiece]:
-        """Read a snapshot of the whole state."""
-        await self._access.barrier(context)
-        operator = await self._access.operator(context)
+        """Stream a snapshot of the replicated state."""
+        await self._authenticator.read_barrier(context)
+        operator = await self._authenticator.authenticate(context)
         await self._record_action(context, operator, "backup", "whole state")
         data = self._machine.snapshot()
-        for start in range(0, len(data), BACKUP_PIECE_BYTES):
-            yield pb.BackupPiece(data=data[start : start + BACKUP_PIECE_BYTES])
+        for start in range(0, len(data), BACKUP_CHUNK_BYTES):
+            yield pb.BackupPiece(data=data[start : start + BACKUP_CHUNK_BYTES])
 
     async def _record_action(
         self, context: grpc.aio.ServicerContext, operator: str, action: str, subject: str
     ) -> None:
-        """Keep an action in the audit trail before it is done; without that it isn't done."""
-        logger.info("{}: {} {}", operator, action, subject)
+        """Record an action in the audit trail; if that fails, abort the call before the action."""
+        logger.info("operator {}: {} {}", operator, action, subject)
         try:
             await self._log.propose(RecordAction(operator, action, subject))
         except ControlUnavailableError as error:
--- a/src/finchshed/control/raft/group_log.py
+++ b/src/finchshed/control/raft/group_log.py
@@ -14,7 +14,7 @@
 from finchshed.consensus.effects import RefusalCause
 from finchshed.consensus.membership import Member, MemberRole, MembershipChange
 from finchshed.control.background import BackgroundTasks
-from finchshed.control.operators.replacement import Replacement, explain_refusal, next_step
+from finchshed.control.operators.replacement import MemberReplacement, explain_refusal, next_step
 from finchshed.control.raft.forwarding import LeaderForwarding
 from finchshed.control.raft.host import RaftHost
 from finchshed.control.raft.leader_retries import LeaderRetries
@@ -192,7 +192,7 @@
         elif isinstance(message, ForwardedQuota | QuotaReply):
             self.on_quota(link, message)
 
-    async def replace_member(self, replacement: Replacement) -> tuple[bool, str]:
+    async def replace_member(self, replacement: MemberReplacement) -> tuple[bool, str]:
         """Execute the next step of a replacement; return whether it is done and a description."""
         await self.read_barrier()
         step = next_step(self.status().members, replacement)
--- a/tests/control/daemons.py
+++ b/tests/control/daemons.py
@@ -1,4 +1,4 @@
-"""Hollow daemons: what a daemon keeps with a control node, without a data path."""
+"""Daemon stub: the connection of a daemon to a control node, without a data path."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 class StubDaemon:
-    """Keeps a connection to one of ``nodes`` and says that each revision is in force at once."""
+    """Connects to one of ``nodes`` and reports each received revision as in force."""
 
     def __init__(self, name: str, nodes: Sequence[Node], endpoint: str = "") -> None:
         self.revision = 0
--- a/tests/control/group.py
+++ b/tests/control/group.py
@@ -1,4 +1,4 @@
-"""A control group of real processes for tests."""
+"""Control group of separate processes for tests."""
 
 import contextlib
 import hashlib
@@ -34,10 +34,9 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return free addresses, on a loopback host that no other test process uses.
+    """Return free addresses on a loopback host that no other test process uses.
 
-    On 127.0.0.1 a port that was free a moment ago may be taken meanwhile as the local port of
-    anybody's outgoing connection.
+    On 127.0.0.1 a free port may be taken in the meantime by any process's outgoing connection.
     """
     process, number = os.getpid(), next(_hosts)
     host = f"127.{16 + process // 256 % 200}.{process % 256}.{1 + number % 250}"
@@ -58,7 +57,7 @@
 
 
 class Group:
-    """Three or more control nodes, started as a user would."""
+    """Control nodes started by the command line, each in its own process."""
 
     def __init__(
         self, folder: Path, voters: int = 3, spares: int = 0, standby_after: float = 60.0
@@ -148,7 +147,7 @@
         return result.revision
 
     def leader(self, timeout: float = START_SECONDS) -> Node:
-        """Return the node that a running node names as leader."""
+        """Return the node that reports itself as leader."""
         from finchshed.rpc.generated import finchshed_pb2 as pb
 
         deadline = clock.now() + timeout
@@ -162,7 +161,7 @@
                 time.sleep(0.1)
         finally:
             client.close()
-        raise AssertionError("no leader in time")
+        raise AssertionError(f"no leader within {timeout} s")
 
 
 def apply_one(client: OperatorClient, change_id: str, resource: Resource) -> ChangeResult:
--- a/tests/control/test_audit.py
+++ b/tests/control/test_audit.py
@@ -27,8 +27,8 @@
 ANSWER = Answered(200, (), b"whole")
 
 
-class Log:
-    """Applies commands one after the other."""
+class StateMachineLog:
+    """Applies commands to a state machine in order."""
 
     def __init__(self, machine: ControlStateMachine) -> None:
         self.machine = machine
@@ -38,8 +38,8 @@
         return self.machine.apply(index, encode_entry(LogEntry(time, command)))
 
 
-def log_with_operator() -> Log:
-    log = Log(ControlStateMachine())
+def log_with_operator() -> StateMachineLog:
+    log = StateMachineLog(ControlStateMachine())
     log.apply(ApplyChange(Change("first", "bootstrap", 0, (ANA,))))
     return log
 
@@ -86,12 +86,12 @@
     assert other.audit.snapshot() == log.machine.audit.snapshot() != ()
 
 
-def recovered_log(log: Log) -> Log:
+def recovered_log(log: StateMachineLog) -> StateMachineLog:
     state = msgspec.json.decode(log.machine.snapshot(), type=StateSnapshot)
     after = recovered_state(state, state.index + 7, NOW + 1.0, "disk")
     machine = ControlStateMachine()
     machine.restore(msgspec.json.encode(after))
-    return Log(machine)
+    return StateMachineLog(machine)
 
 
 def test_a_recovered_configuration_goes_on_past_every_revision_that_may_be_lost() -> None:
@@ -120,9 +120,9 @@
     for name in ("begun", "cancelled", "never"):
         assert after.apply(BeginRequest(keys[name], "b")) == OutcomeUnknown()
     edge = NOW + 1.0 + MAX_CLOCK_LEAD_SECONDS
-    assert after.apply(BeginRequest(made_at(edge - 0.01), "b"), edge) == OutcomeUnknown()
-    assert after.apply(BeginRequest(made_at(edge + 0.01), "b"), edge) == Granted()
+    assert after.apply(BeginRequest(key_issued_at(edge - 0.01), "b"), edge) == OutcomeUnknown()
+    assert after.apply(BeginRequest(key_issued_at(edge + 0.01), "b"), edge) == Granted()
 
 
-def made_at(time: float) -> str:
+def key_issued_at(time: float) -> str:
     return new_key(time, random.Random(time))
--- a/tests/control/test_daemon_view.py
+++ b/tests/control/test_daemon_view.py
@@ -34,8 +34,8 @@
     assert (delta.base, delta.revision, delta.puts, delta.deletes) == (6, 7, (), ())
 
 
-class Listener:
-    """Notes what comes into force."""
+class RecordingFollower:
+    """Records the configuration in force and the serving bases."""
 
     def __init__(self) -> None:
         self.current = Configuration()
@@ -56,20 +56,20 @@
 
 async def test_a_daemon_of_a_real_control_node_holds_no_operator(tmp_path: Path) -> None:
     group = Group(tmp_path, voters=1)
-    listener = Listener()
+    follower = RecordingFollower()
     try:
         await asyncio.to_thread(group.start_all)
         revision = await asyncio.to_thread(group.bootstrap, Service(name="s1"))
         address = ControlAddress(group.nodes[0].distribution)
         identity = ClientIdentity("d", "1", "s1", "z")
-        runner = FollowerRunner(identity, [address], listener, random.Random(1))
+        runner = FollowerRunner(identity, [address], follower, random.Random(1))
         running = asyncio.create_task(runner.run())
         async with asyncio.timeout(20.0):
-            while not listener.bases:  # noqa: ASYNC110 - set by another task
+            while not follower.bases:  # noqa: ASYNC110 - set by another task
                 await asyncio.sleep(0.02)
         running.cancel()
-        assert listener.current.revision == revision
-        assert set(listener.current.resources) == {ResourceKey("service", "s1")}
-        assert b"token" not in msgspec.json.encode(tuple(listener.current.resources.values()))
+        assert follower.current.revision == revision
+        assert set(follower.current.resources) == {ResourceKey("service", "s1")}
+        assert b"token" not in msgspec.json.encode(tuple(follower.current.resources.values()))
     finally:
         group.close()
--- a/tests/control/test_damaged_disk.py
+++ b/tests/control/test_damaged_disk.py
@@ -1,4 +1,4 @@
-"""What real control nodes do with a torn end, a damaged journal and a damaged snapshot."""
+"""Recovery of a control node from a truncated or corrupted journal."""
 
 import time
 from collections.abc import Iterator
@@ -30,7 +30,7 @@
     group.close()
 
 
-def stopped_follower(group: Group) -> Node:
+def kill_follower(group: Group) -> Node:
     leader = group.leader()
     node = next(node for node in group.voters if node is not leader)
     group.kill(node)
@@ -45,8 +45,8 @@
     return log_file(node, "incarnation").read_bytes()
 
 
-def wait_until_all_vote(group: Group, incarnation_gone: str = "") -> None:
-    """Wait until the group has three voters, none of them the incarnation that was damaged."""
+def wait_until_all_vote(group: Group, excluded_incarnation: str = "") -> None:
+    """Wait until the group has three voters without ``excluded_incarnation``."""
     deadline = clock.now() + START_SECONDS
     client = group.client()
     try:
@@ -55,22 +55,22 @@
                 if answer.leader != answer.node:
                     continue
                 roles = [member.role for member in answer.members]
-                gone = incarnation_gone not in [m.incarnation for m in answer.members]
-                if sorted(roles) == ["leader", "voter", "voter"] and gone:
+                is_replaced = excluded_incarnation not in [m.incarnation for m in answer.members]
+                if sorted(roles) == ["leader", "voter", "voter"] and is_replaced:
                     return
             time.sleep(0.1)
     finally:
         client.close()
-    raise AssertionError("the group was not whole in time")
+    raise AssertionError(f"the group does not have three voters within {START_SECONDS} s")
 
 
 def test_a_torn_end_is_cut_and_the_node_stays_who_it_was(group: Group) -> None:
-    node = stopped_follower(group)
+    node = kill_follower(group)
     before = incarnation_of(node)
     journal = log_file(node, "journal")
     whole = journal.read_bytes()
-    half_a_line = whole.splitlines()[-1][:80]
-    journal.write_bytes(whole + half_a_line)
+    partial_line = whole.splitlines()[-1][:80]
+    journal.write_bytes(whole + partial_line)
     group.start(node)
     wait_until_all_vote(group)
     assert incarnation_of(node) == before
@@ -80,7 +80,7 @@
 
 
 def test_a_damaged_journal_is_set_aside_and_the_node_is_brought_up_anew(group: Group) -> None:
-    node = stopped_follower(group)
+    node = kill_follower(group)
     before = incarnation_of(node)
     journal = log_file(node, "journal")
     content = bytearray(journal.read_bytes())
@@ -88,7 +88,7 @@
     journal.write_bytes(content)
     group.start(node)
     old = before.split(b'"incarnation":"')[1][:16].decode()
-    wait_until_all_vote(group, incarnation_gone=old)
+    wait_until_all_vote(group, excluded_incarnation=old)
     assert incarnation_of(node) != before
     assert (node.folder / "log" / f"damaged-{journal.name}").read_bytes() == bytes(content)
     client = group.client([node])
--- a/tests/control/test_directory_service.py
+++ b/tests/control/test_directory_service.py
@@ -1,4 +1,4 @@
-"""Registrations at one control node: passed on at once, repeated, and forgotten at last."""
+"""Directory service: registrations are sent at once, repeated and expired."""
 
 import asyncio
 
@@ -16,8 +16,8 @@
 )
 
 
-class Outside:
-    """What the service sends."""
+class SentMessages:
+    """Records the messages that a directory service sends."""
 
     def __init__(self) -> None:
         self.to_daemons: list[ControlToDaemon] = []
@@ -33,34 +33,34 @@
 
 
 async def test_what_a_daemon_tells_goes_to_daemons_and_peers_once() -> None:
-    outside = Outside()
-    service = outside.service()
+    sent = SentMessages()
+    service = sent.service()
     for _ in range(3):
         service.on_announce(Announce(registration(1)))
-    assert outside.to_daemons == [DirectoryUpdate((registration(1),))]
-    assert outside.to_peers == [DirectoryReport((registration(1),))]
+    assert sent.to_daemons == [DirectoryUpdate((registration(1),))]
+    assert sent.to_peers == [DirectoryReport((registration(1),))]
 
 
 async def test_what_a_peer_tells_goes_to_daemons_and_to_no_other_peer() -> None:
-    outside = Outside()
-    service = outside.service()
+    sent = SentMessages()
+    service = sent.service()
     service.on_report(DirectoryReport((registration(2),)))
     service.on_report(DirectoryReport((registration(1), registration(1, host=2))))
     await asyncio.sleep(2 * soft_state_broadcaster.BATCH_INTERVAL_SECONDS)
-    assert outside.to_daemons == [
+    assert sent.to_daemons == [
         DirectoryUpdate((registration(2),)),
         DirectoryUpdate((registration(1, host=2),)),
     ]
-    assert outside.to_peers == []
+    assert sent.to_peers == []
 
 
 async def test_a_daemon_that_connects_gets_all_and_the_control_nodes() -> None:
-    outside = Outside()
-    service = outside.service()
+    sent = SentMessages()
+    service = sent.service()
     service.on_announce(Announce(registration(1)))
     service.set_control_addresses(("10.1.0.1:7621",))
     service.set_control_addresses(("10.1.0.1:7621",))
-    assert outside.to_daemons[1:] == [ControlNodes(("10.1.0.1:7621",))]
+    assert sent.to_daemons[1:] == [ControlNodes(("10.1.0.1:7621",))]
     assert list(service.initial_messages()) == [
         DirectoryUpdate((registration(1),), is_whole=True),
         ControlNodes(("10.1.0.1:7621",)),
@@ -73,16 +73,16 @@
     monkeypatch.setattr(directory_service, "REPORT_INTERVAL_SECONDS", 0.02)
     monkeypatch.setattr(directory_service, "REGISTRATION_EXPIRY_SECONDS", 0.1)
     monkeypatch.setattr(directory_service, "LOCAL_ANNOUNCE_SECONDS", 0.05)
-    outside = Outside()
-    service = outside.service()
+    sent = SentMessages()
+    service = sent.service()
     service.on_announce(Announce(registration(1)))
     service.on_report(DirectoryReport((registration(1, host=2),)))
     running = asyncio.create_task(service.run())
     await asyncio.sleep(0.3)
     running.cancel()
-    assert outside.to_peers[1] == DirectoryReport((registration(1),))
-    assert outside.to_peers[-1] == DirectoryReport(())
-    forgotten = [item for item in outside.to_daemons if item.forgotten]  # type: ignore[union-attr]
+    assert sent.to_peers[1] == DirectoryReport((registration(1),))
+    assert sent.to_peers[-1] == DirectoryReport(())
+    forgotten = [item for item in sent.to_daemons if item.forgotten]  # type: ignore[union-attr]
     assert {address for item in forgotten for address in item.forgotten} == {  # type: ignore[union-attr]
         "10.0.0.1:7000",
         "10.0.0.2:7000",
@@ -90,25 +90,25 @@
 
 
 async def test_a_return_of_all_machines_goes_to_daemons_in_few_updates() -> None:
-    outside = Outside()
-    service = outside.service()
+    sent = SentMessages()
+    service = sent.service()
     for host in range(1, 189):
         service.on_announce(Announce(registration(1, host=host)))
         service.on_announce(Announce(registration(2, host=host)))
     await asyncio.sleep(3 * soft_state_broadcaster.BATCH_INTERVAL_SECONDS)
-    updates = [item for item in outside.to_daemons if isinstance(item, DirectoryUpdate)]
+    updates = [item for item in sent.to_daemons if isinstance(item, DirectoryUpdate)]
     assert len(updates) <= 3
     latest = {item.address: item.serial for update in updates for item in update.registrations}
     assert latest == {f"10.0.0.{host}:7000": 2 for host in range(1, 189)}
 
 
 async def test_a_single_change_goes_out_at_once() -> None:
-    outside = Outside()
-    service = outside.service()
+    sent = SentMessages()
+    service = sent.service()
     service.on_announce(Announce(registration(1)))
     await asyncio.sleep(3 * soft_state_broadcaster.BATCH_INTERVAL_SECONDS)
     service.on_announce(Announce(registration(2)))
-    assert outside.to_daemons == [
+    assert sent.to_daemons == [
         DirectoryUpdate((registration(1),)),
         DirectoryUpdate((registration(2),)),
     ]
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults of real control nodes while operators and daemons are at work."""
+"""Concurrent operators while control node processes are killed and frozen."""
 
 import functools
 import threading
@@ -51,7 +51,7 @@
 
 
 def submit_once(group: Group, nodes: list[Node], number: int) -> ChangeResult | None:
-    """Submit change ``number``; return None when no answer came."""
+    """Submit change ``number``; return None if no control node answered."""
     client = group.client(nodes, timeout=1.0)
     change = Difference((Service(name=f"s{number}", max_sessions=number),), ())
     try:
@@ -79,7 +79,7 @@
     answered: dict[int, ChangeResult | None] = {}
     is_killed = threading.Event()
 
-    def apply_until_killed() -> None:
+    def submit_until_killed() -> None:
         number = 0
         while not is_killed.is_set():
             answered[number] = submit_once(group, [leader], number)
@@ -90,7 +90,7 @@
         group.kill(leader)
         is_killed.set()
 
-    run_all([apply_until_killed], kill)
+    run_all([submit_until_killed], kill)
     others = [node for node in group.nodes if node is not leader]
     group.start(leader)
     for number, first in answered.items():
@@ -108,7 +108,7 @@
     answered: dict[int, ChangeResult | None] = {}
     are_killed = threading.Event()
 
-    def apply_until_killed() -> None:
+    def submit_until_killed() -> None:
         number = 0
         while not are_killed.is_set():
             answered[number] = submit_once(group, group.nodes, number)
@@ -120,7 +120,7 @@
             group.kill(node)
         are_killed.set()
 
-    run_all([apply_until_killed], kill)
+    run_all([submit_until_killed], kill)
     group.start_all()
     client = group.client()
     in_force = read_in_force(client)
@@ -159,7 +159,7 @@
         reader.close()
 
     def thaw() -> None:
-        time.sleep(1.0)  # longer than the lease; lets the requests queue up in the frozen node
+        time.sleep(1.0)  # longer than the lease; requests queue up at the frozen node
         group.thaw(leader)
 
     run_all([read_from_frozen] * READERS + [ask_status] * READERS, thaw)
@@ -171,7 +171,7 @@
 
 
 def race(clients: list[OperatorClient], title: str, revision: int) -> dict[int, ChangeResult]:
-    """Submit a change of each client against one revision, all at once."""
+    """Submit one change per client concurrently against the same revision."""
     results: dict[int, ChangeResult] = {}
     barrier = threading.Barrier(len(clients))
 
@@ -219,7 +219,7 @@
     frozen = next(node for node in group.nodes if node is not leader)
     group.freeze(frozen)
     client = group.client([node for node in group.nodes if node is not frozen])
-    for number in range(250):  # past a snapshot: the follower can't be sent single entries
+    for number in range(250):  # more than snapshot_entries, so that the follower needs a snapshot
         change = Difference((Service(name="s", max_sessions=number),), ())
         assert isinstance(submit(client, f"c{number}", 1 + number, change), Accepted)
     group.thaw(frozen)
--- a/tests/control/test_forwarding.py
+++ b/tests/control/test_forwarding.py
@@ -1,4 +1,4 @@
-"""A control node that doesn't lead passes commands on, over links that may lose a line."""
+"""Forwarding of commands to the leader over links that may lose messages."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -22,14 +22,14 @@
 COMMAND = ApplyChange(Change(change_id="a", operator="ana", expected_revision=0))
 
 
-class Follower:
-    """A host that follows one leader throughout."""
+class FollowerHost:
+    """Raft host stub with a fixed leader."""
 
     is_leader = False
     node = SimpleNamespace(leader_address=LEADER)
 
     def start(self, links: ControlNodeLinks) -> None:
-        """Take part in nothing."""
+        """Do nothing: there is no group."""
 
     async def wait_for_role_change(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
@@ -37,19 +37,19 @@
 
 @dataclass
 class LossyLinks:
-    """Links to a leader that answers ``delay`` seconds after a line; the first ones are lost."""
+    """Links to a leader that loses ``lost_count`` messages and replies after ``reply_delay`` s."""
 
-    lost: int = 0
-    delay: float = 0.0
+    lost_count: int = 0
+    reply_delay: float = 0.0
     sent: list[ForwardedCommand] = field(default_factory=list)
     log: GroupLog | None = None
 
     def send(self, address: str, message: ForwardedCommand) -> bool:
         assert address == LEADER
         self.sent.append(message)
-        if len(self.sent) > self.lost:
+        if len(self.sent) > self.lost_count:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.delay, self._answer, message.request)
+            loop.call_later(self.reply_delay, self._answer, message.request)
         return True
 
     def _answer(self, request: int) -> None:
@@ -58,9 +58,9 @@
         self.log.on_message(cast(PeerLink, None), reply)
 
 
-def following(links: LossyLinks) -> GroupLog:
+def make_follower_log(links: LossyLinks) -> GroupLog:
     background = BackgroundTasks(on_invariant_error=lambda error: pytest.fail(str(error)))
-    host = cast(Any, Follower())
+    host = cast(Any, FollowerHost())
     log = GroupLog(cast(RaftHost, host), ControlStateMachine(), background, TIMEOUT_SECONDS)
     log.start(cast(ControlNodeLinks, links))
     links.log = log
@@ -68,20 +68,20 @@
 
 
 async def test_a_lost_line_between_control_nodes_does_not_cost_the_answer() -> None:
-    links = LossyLinks(lost=1)
-    assert await following(links).propose(COMMAND) == Accepted(1)
+    links = LossyLinks(lost_count=1)
+    assert await make_follower_log(links).propose(COMMAND) == Accepted(1)
     assert len(links.sent) == 2
 
 
 async def test_the_answer_to_any_sending_counts_where_the_leader_is_slow() -> None:
-    links = LossyLinks(delay=0.7 * TIMEOUT_SECONDS)
-    assert await following(links).propose(COMMAND) == Accepted(1)
+    links = LossyLinks(reply_delay=0.7 * TIMEOUT_SECONDS)
+    assert await make_follower_log(links).propose(COMMAND) == Accepted(1)
 
 
 async def test_a_leader_that_never_answers_is_given_up_in_time() -> None:
-    links = LossyLinks(lost=1000)
+    links = LossyLinks(lost_count=1000)
     began = asyncio.get_running_loop().time()
     with pytest.raises(ControlUnavailableError):
-        await following(links).propose(COMMAND)
+        await make_follower_log(links).propose(COMMAND)
     assert asyncio.get_running_loop().time() - began < 2 * TIMEOUT_SECONDS
     assert len(links.sent) < 10
--- a/tests/control/test_ledger_faults.py
+++ b/tests/control/test_ledger_faults.py
@@ -1,4 +1,4 @@
-"""The ledger on real control nodes: at most one attempt of a key is told that it may run."""
+"""Ledger on control node processes under faults: at most one attempt of a key is granted."""
 
 import asyncio
 import random
@@ -76,7 +76,7 @@
         assert not refused.expired
         for node in others:
             group.thaw(node)
-        await granted_in_the_end(daemon, key)
+        await wait_for_grant(daemon, key)
         assert isinstance(await daemon.client.ledger.begin(key, "a", SECONDS), LedgerUnknown)
 
 
@@ -103,11 +103,11 @@
         await asyncio.gather(*races)
         assert all(len(attempts) == 1 for attempts in granted.values())
         for key in set(keys) - granted.keys():
-            await granted_in_the_end(daemons[0], key)
+            await wait_for_grant(daemons[0], key)
 
 
-async def granted_in_the_end(daemon: StubDaemon, key: str) -> None:
-    """Expect a grant: a refused attempt is cancelled in the background, and frees the key."""
+async def wait_for_grant(daemon: StubDaemon, key: str) -> None:
+    """Retry until granted: the cancel of a refused attempt runs in the background."""
     deadline = clock.now() + SECONDS
     while True:
         answer = await daemon.client.ledger.begin(key, "late", SECONDS)
--- a/tests/control/test_ledger_router.py
+++ b/tests/control/test_ledger_router.py
@@ -41,11 +41,11 @@
 
 
 class FakeLog:
-    """The leader's state machine, and a copy here that catches up at a read barrier."""
+    """Leader's state machine and a local copy that catches up at each read barrier."""
 
     def __init__(self) -> None:
         self.leader = ControlStateMachine()
-        self.here = ControlStateMachine()
+        self.local = ControlStateMachine()
         self._entries: list[bytes] = []
         self.barriers = 0
         self.has_quorum = True
@@ -59,8 +59,8 @@
         if not self.has_quorum:
             raise ControlUnavailableError("no quorum")
         self.barriers += 1
-        for index in range(self.here.applied_index + 1, len(self._entries) + 1):
-            self.here.apply(index, self._entries[index - 1])
+        for index in range(self.local.applied_index + 1, len(self._entries) + 1):
+            self.local.apply(index, self._entries[index - 1])
 
     def status(self) -> LogStatus:
         return LogStatus("c1", "c1", 1, 0, 0, ())
@@ -69,10 +69,12 @@
         return self.has_quorum
 
     def send_report(self, report: InForceReport) -> None:
-        """There is nobody else."""
+        """Do nothing: there are no other members."""
 
 
 class FakeShard:
+    """Shard that grants every begin and records its keys."""
+
     def __init__(self) -> None:
         self.begun: list[str] = []
         self.is_closed = False
@@ -91,14 +93,16 @@
         self.is_closed = True
 
 
-class World:
+class RouterHarness:
+    """Ledger router with a fake log, fake shards and a clock set by the test."""
+
     def __init__(self) -> None:
         self.log = FakeLog()
         self.shards: dict[ShardAddresses, FakeShard] = {}
         self.now = 0.0
         own = LedgerService(self.log, BackgroundTasks(lambda error: pytest.fail(str(error))))
         self.router = LedgerRouter(
-            self.log.here,
+            self.log.local,
             self.log,
             own,
             connect_shard=self._connect_shard,
@@ -118,108 +122,108 @@
         return await self.router.answer(LedgerBegin(7, key, "a", "edge"))
 
 
-def made_at(time: float, seed: int = 1) -> str:
+def key_issued_at(time: float, seed: int = 1) -> str:
     return new_key(time, random.Random(seed))
 
 
 async def test_requests_go_to_the_shard_of_their_key_under_their_own_number() -> None:
-    world = World()
-    await world.apply("first", 0, SHARDS)
-    await world.log.read_barrier()
-    keys = [made_at(NOW, seed) for seed in range(20)]
+    harness = RouterHarness()
+    await harness.apply("first", 0, SHARDS)
+    await harness.log.read_barrier()
+    keys = [key_issued_at(NOW, seed) for seed in range(20)]
     for key in keys:
-        assert await world.begin(key) == LedgerGranted(7)
-    assert sorted(key for shard in world.shards.values() for key in shard.begun) == sorted(keys)
-    assert len(world.shards) == 2
-    assert await world.router.answer(LedgerCancel(8, keys[0], "a")) == LedgerNoted(8)
-    complete = await world.router.answer(LedgerComplete(9, keys[0], "a", ANSWER))
+        assert await harness.begin(key) == LedgerGranted(7)
+    assert sorted(key for shard in harness.shards.values() for key in shard.begun) == sorted(keys)
+    assert len(harness.shards) == 2
+    assert await harness.router.answer(LedgerCancel(8, keys[0], "a")) == LedgerNoted(8)
+    complete = await harness.router.answer(LedgerComplete(9, keys[0], "a", ANSWER))
     assert isinstance(complete, LedgerRefused)
 
 
 async def test_a_node_that_does_not_know_of_the_shards_learns_it_from_the_own_log() -> None:
-    world = World()
-    await world.apply("first", 0, SHARDS)
-    assert await world.begin(made_at(NOW)) == LedgerGranted(7)
-    assert sum(len(shard.begun) for shard in world.shards.values()) == 1
+    harness = RouterHarness()
+    await harness.apply("first", 0, SHARDS)
+    assert await harness.begin(key_issued_at(NOW)) == LedgerGranted(7)
+    assert sum(len(shard.begun) for shard in harness.shards.values()) == 1
 
 
 async def test_no_key_is_sent_to_a_shard_on_state_that_no_majority_confirmed_lately() -> None:
-    world = World()
-    await world.apply("first", 0, SHARDS)
-    await world.begin(made_at(NOW, 1))
-    barriers = world.log.barriers
-    world.now = CONFIRMED_SECONDS / 2 - 1.0
-    await world.begin(made_at(NOW, 2))
-    assert world.log.barriers == barriers
-    world.log.has_quorum = False
-    world.now = CONFIRMED_SECONDS - 1.0
-    assert await world.begin(made_at(NOW, 3)) == LedgerGranted(7)
-    world.now = CONFIRMED_SECONDS
-    refused = await world.begin(made_at(NOW, 4))
+    harness = RouterHarness()
+    await harness.apply("first", 0, SHARDS)
+    await harness.begin(key_issued_at(NOW, 1))
+    barriers = harness.log.barriers
+    harness.now = CONFIRMED_SECONDS / 2 - 1.0
+    await harness.begin(key_issued_at(NOW, 2))
+    assert harness.log.barriers == barriers
+    harness.log.has_quorum = False
+    harness.now = CONFIRMED_SECONDS - 1.0
+    assert await harness.begin(key_issued_at(NOW, 3)) == LedgerGranted(7)
+    harness.now = CONFIRMED_SECONDS
+    refused = await harness.begin(key_issued_at(NOW, 4))
     assert isinstance(refused, LedgerRefused)
-    assert sum(len(shard.begun) for shard in world.shards.values()) == 3
-    world.log.has_quorum = True
-    assert await world.begin(made_at(NOW, 4)) == LedgerGranted(7)
+    assert sum(len(shard.begun) for shard in harness.shards.values()) == 3
+    harness.log.has_quorum = True
+    assert await harness.begin(key_issued_at(NOW, 4)) == LedgerGranted(7)
 
 
 async def test_the_confirmation_is_renewed_before_a_request_has_to_wait_for_it() -> None:
-    world = World()
-    await world.apply("first", 0, SHARDS)
-    await world.begin(made_at(NOW, 1))
-    barriers = world.log.barriers
-    world.now = CONFIRMED_SECONDS / 2
-    await world.begin(made_at(NOW, 2))
+    harness = RouterHarness()
+    await harness.apply("first", 0, SHARDS)
+    await harness.begin(key_issued_at(NOW, 1))
+    barriers = harness.log.barriers
+    harness.now = CONFIRMED_SECONDS / 2
+    await harness.begin(key_issued_at(NOW, 2))
     await asyncio.sleep(0)
-    assert world.log.barriers == barriers + 1
-    world.now = CONFIRMED_SECONDS + 1.0
-    world.log.has_quorum = False
-    assert await world.begin(made_at(NOW, 3)) == LedgerGranted(7)
+    assert harness.log.barriers == barriers + 1
+    harness.now = CONFIRMED_SECONDS + 1.0
+    harness.log.has_quorum = False
+    assert await harness.begin(key_issued_at(NOW, 3)) == LedgerGranted(7)
 
 
 async def test_keys_from_the_future_expired_or_from_before_a_recovery_reach_no_shard() -> None:
-    world = World()
-    await world.apply("first", 0, SHARDS)
-    await world.log.read_barrier()
-    ahead = await world.begin(made_at(NOW + CLOCK_LEAD_SECONDS + 1.0))
+    harness = RouterHarness()
+    await harness.apply("first", 0, SHARDS)
+    await harness.log.read_barrier()
+    ahead = await harness.begin(key_issued_at(NOW + CLOCK_LEAD_SECONDS + 1.0))
     assert ahead == LedgerRefused(7, False, "made_in_the_future")
-    old = await world.begin(made_at(NOW - 601.0))
+    old = await harness.begin(key_issued_at(NOW - 601.0))
     assert old == LedgerRefused(7, True, "expired")
-    world.log.here.ledger.unknown_before = NOW + 1.0
-    assert await world.begin(made_at(NOW)) == LedgerUnknown(7)
-    assert not any(shard.begun for shard in world.shards.values())
+    harness.log.local.ledger.unknown_before = NOW + 1.0
+    assert await harness.begin(key_issued_at(NOW)) == LedgerUnknown(7)
+    assert not any(shard.begun for shard in harness.shards.values())
 
 
 async def test_a_key_begun_in_the_own_log_is_answered_there_after_the_move() -> None:
-    world = World()
-    await world.apply("first", 0, ())
-    key = made_at(NOW)
-    assert await world.begin(key) == LedgerGranted(7)
-    await world.apply("second", 1, SHARDS)
-    await world.log.read_barrier()
-    other = await world.router.answer(LedgerBegin(8, key, "b", "edge"))
+    harness = RouterHarness()
+    await harness.apply("first", 0, ())
+    key = key_issued_at(NOW)
+    assert await harness.begin(key) == LedgerGranted(7)
+    await harness.apply("second", 1, SHARDS)
+    await harness.log.read_barrier()
+    other = await harness.router.answer(LedgerBegin(8, key, "b", "edge"))
     assert other == LedgerUnknown(8)
-    assert not world.shards
+    assert not harness.shards
 
 
 async def test_connections_to_groups_no_key_belongs_to_are_closed() -> None:
-    world = World()
-    await world.apply("first", 0, SHARDS)
+    harness = RouterHarness()
+    await harness.apply("first", 0, SHARDS)
     for seed in range(10):
-        await world.begin(made_at(NOW, seed))
-    first = set(world.shards.values())
-    world.log.here.epochs = type(world.log.here.epochs)()
-    world.log.here.epochs.declare((("10.0.0.3:1",),), NOW)
-    world.now = 2 * CONFIRMED_SECONDS
-    assert await world.begin(made_at(NOW, 99)) == LedgerGranted(7)
+        await harness.begin(key_issued_at(NOW, seed))
+    first = set(harness.shards.values())
+    harness.log.local.epochs = type(harness.log.local.epochs)()
+    harness.log.local.epochs.declare((("10.0.0.3:1",),), NOW)
+    harness.now = 2 * CONFIRMED_SECONDS
+    assert await harness.begin(key_issued_at(NOW, 99)) == LedgerGranted(7)
     assert all(shard.is_closed for shard in first)
-    world.router.close()
-    assert all(shard.is_closed for shard in world.shards.values())
+    harness.router.close()
+    assert all(shard.is_closed for shard in harness.shards.values())
 
 
 async def test_one_confirmation_serves_all_who_wait() -> None:
-    world = World()
-    await world.apply("first", 0, SHARDS)
-    await world.log.read_barrier()
-    before = world.log.barriers
-    await asyncio.gather(*(world.begin(made_at(NOW, seed)) for seed in range(50)))
-    assert world.log.barriers == before + 1
+    harness = RouterHarness()
+    await harness.apply("first", 0, SHARDS)
+    await harness.log.read_barrier()
+    before = harness.log.barriers
+    await asyncio.gather(*(harness.begin(key_issued_at(NOW, seed)) for seed in range(50)))
+    assert harness.log.barriers == before + 1
--- a/tests/control/test_ledger_service.py
+++ b/tests/control/test_ledger_service.py
@@ -40,10 +40,10 @@
 
 
 class OneNodeLog:
-    """Applies ledger commands at once.
+    """Log of a group with one node, which applies ledger commands immediately.
 
-    The first ``undecided`` commit, but are not answered; the first ``refused`` cancels have no
-    effect.
+    The first ``undecided`` commands commit but raise an error; the first ``refused`` cancels raise
+    an error without effect.
     """
 
     def __init__(self, undecided: int = 0, refused: int = 0) -> None:
@@ -71,7 +71,7 @@
         return result
 
     async def read_barrier(self) -> None:
-        """Nothing is ever behind."""
+        """Do nothing: all entries are applied."""
 
     def status(self) -> LogStatus:
         return LogStatus("c1", "c1", 1, 0, 0, ())
@@ -80,7 +80,7 @@
         return True
 
     def send_report(self, report: InForceReport) -> None:
-        """There is nobody else."""
+        """Do nothing: there are no other members."""
 
 
 @pytest.fixture
--- a/tests/control/test_ledger_shards.py
+++ b/tests/control/test_ledger_shards.py
@@ -1,4 +1,4 @@
-"""The ledger spread over shards, each a control group of real processes."""
+"""Ledger distributed over shards, each a control group of separate processes."""
 
 import asyncio
 import random
--- a/tests/control/test_linearizable.py
+++ b/tests/control/test_linearizable.py
@@ -1,8 +1,8 @@
-"""Operators' reads and changes on real nodes under faults, checked as a recorded history.
+"""Linearizability of operators' reads and changes while nodes are frozen and killed.
 
-The revision is a counter that each accepted change raises by one, so a history is linearizable if
-and only if each read returns no less than every operation that had ended before it began returned,
-and no more than the changes that had begun before it ended could have made.
+Each accepted change increments the revision, so a history is linearizable if and only if each read
+returns at least the result of every operation that ended before the read started, and at most the
+number of changes started before the read ended.
 """
 
 import threading
@@ -22,26 +22,25 @@
 from tests.control.group import Group, Node
 
 CLIENTS = 6
-FAULTS = 4
+FAULTS_PER_ROUND = 4
 MIN_OPERATIONS = 100
-"""Fewer answers show nothing. On a busy machine one course of faults may bring fewer: 374 to 396 on
-an idle one, 112 to 131 beside 14 busy processes."""
+"""Minimum number of answered operations for a meaningful history."""
 
-LONGEST_SECONDS = 90.0
-"""The faults go on until there were enough answers, for so long at most."""
+MAX_FAULT_SECONDS = 90.0
+"""Time limit of fault injection if there are too few answered operations."""
 
 
 class Operation(msgspec.Struct):
-    """``revision`` None: no answer, or a conflict; a change may then have been accepted or not."""
+    """Recorded operation. ``revision`` is None for a conflict or an unknown outcome."""
 
-    begun: float
-    ended: float
+    started_at: float
+    ended_at: float
     is_change: bool
     revision: int | None
 
 
 def problems_of(history: list[Operation]) -> list[str]:
-    """Return what no order of the operations explains; ``revision`` 1 is the first of all."""
+    """Return the violations of linearizability; the initial revision is 1."""
     problems = []
     accepted = [item.revision for item in history if item.is_change and item.revision]
     if len(accepted) != len(set(accepted)):
@@ -52,12 +51,14 @@
         before = [
             other.revision
             for other in history
-            if other.revision is not None and other.ended < item.begun
+            if other.revision is not None and other.ended_at < item.started_at
         ]
         least = max(before, default=1) + (1 if item.is_change and before else 0)
-        begun = sum(other.is_change and other.begun <= item.ended for other in history)
-        if not least <= item.revision <= 1 + begun:
-            problems.append(f"{item}: allowed are {least} to {1 + begun}")
+        changes_started = sum(
+            other.is_change and other.started_at <= item.ended_at for other in history
+        )
+        if not least <= item.revision <= 1 + changes_started:
+            problems.append(f"{item}: allowed are {least} to {1 + changes_started}")
     return problems
 
 
@@ -85,7 +86,7 @@
 
 
 class Worker:
-    """Reads, or changes, through one node until told to stop; records each operation."""
+    """Reads or changes through one node until stopped; records each operation."""
 
     def __init__(self, group: Group, number: int, history: list[Operation]) -> None:
         self._number = number
@@ -93,19 +94,19 @@
         self._client = group.client([group.nodes[number % 3]], timeout=2.0)
         self._count = 0
 
-    def run(self, is_over: threading.Event) -> None:
+    def run(self, stop_event: threading.Event) -> None:
         is_reader = self._number < CLIENTS // 2
-        while not is_over.is_set():
+        while not stop_event.is_set():
             self._record(not is_reader, self._read if is_reader else self._change)
         self._client.close()
 
     def _record(self, is_change: bool, act: Callable[[], int | None]) -> None:
-        begun = clock.now()
+        started_at = clock.now()
         try:
             revision = act()
         except ControlUnavailableError:
             revision = None
-        self._history.append(Operation(begun, clock.now(), is_change, revision))
+        self._history.append(Operation(started_at, clock.now(), is_change, revision))
 
     def _read(self) -> int:
         return read_in_force(self._client).revision
@@ -122,32 +123,32 @@
     group: Group,
 ) -> None:
     history: list[Operation] = []
-    is_over = threading.Event()
+    stop_event = threading.Event()
     workers = [Worker(group, number, history) for number in range(CLIENTS)]
-    threads = [threading.Thread(target=worker.run, args=(is_over,)) for worker in workers]
+    threads = [threading.Thread(target=worker.run, args=(stop_event,)) for worker in workers]
     for thread in threads:
         thread.start()
-    deadline = clock.now() + LONGEST_SECONDS
+    deadline = clock.now() + MAX_FAULT_SECONDS
     try:
-        disturb(group)
-        while answered(history) < MIN_OPERATIONS and clock.now() < deadline:
-            disturb(group)
+        inject_faults(group)
+        while count_answered(history) < MIN_OPERATIONS and clock.now() < deadline:
+            inject_faults(group)
     finally:
-        is_over.set()
+        stop_event.set()
     for thread in threads:
         thread.join(timeout=60.0)
         assert not thread.is_alive()
-    assert answered(history) >= MIN_OPERATIONS
+    assert count_answered(history) >= MIN_OPERATIONS
     assert problems_of(history) == []
 
 
-def answered(history: list[Operation]) -> int:
+def count_answered(history: list[Operation]) -> int:
     return sum(item.revision is not None for item in list(history))
 
 
-def disturb(group: Group) -> None:
-    """Freeze the leader, then kill it, in turns; two of three nodes always run."""
-    for number in range(FAULTS):
+def inject_faults(group: Group) -> None:
+    """Alternately freeze and kill the leader; two of three nodes always run."""
+    for number in range(FAULTS_PER_ROUND):
         leader: Node = group.leader()
         if number % 2 == 0:
             group.freeze(leader)
--- a/tests/control/test_malformed_input.py
+++ b/tests/control/test_malformed_input.py
@@ -1,4 +1,4 @@
-"""Whatever others send, a control node refuses it with a typed error and goes on serving."""
+"""Malformed input from peers, daemons and operators is rejected with typed errors."""
 
 import asyncio
 from typing import Any
@@ -14,7 +14,7 @@
 from finchshed.configuration.resources import Service
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.messages import Append, Envelope, LeaderHeartbeat
-from finchshed.control.background import BackgroundTasks
+from finchshed.control.background import BackgroundTasks as Background
 from finchshed.control.daemons.ledger_service import LedgerService
 from finchshed.control.raft.node_messages import PeerHello, PeerMessage, RaftMessage
 from finchshed.distribution.messages import (
@@ -258,7 +258,7 @@
     asked: list[LedgerBegin | LedgerCancel | LedgerComplete],
 ) -> None:
     async def run() -> None:
-        service = LedgerService(OneNodeLog(), BackgroundTasks(pytest.fail))
+        service = LedgerService(OneNodeLog(), Background(pytest.fail))
         for request in asked:
             answer = await service.answer(request)
             assert isinstance(answer, LedgerAnswer)
--- a/tests/control/test_member_changes.py
+++ b/tests/control/test_member_changes.py
@@ -1,4 +1,4 @@
-"""The log line about members names only what changed."""
+"""Log text of membership changes names only changed members."""
 
 from finchshed.consensus.identity import NodeIdentity
 from finchshed.consensus.membership import Member, MemberRole, Membership, as_learner
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Connections to a control node's listener for other control nodes."""
+"""Links between control nodes: access checks, protocol errors and redialling."""
 
 import asyncio
 from collections.abc import AsyncIterator, Sequence
@@ -26,12 +26,12 @@
 REPLY = encode_line(ForwardReply(request=1, outcome=ForwardOutcome.DONE))
 
 
-class Listening:
-    """A listener, what it handed on, and a way to connect to it."""
+class PeerListener:
+    """Listener that records received messages."""
 
     def __init__(self, networks: Sequence[str]) -> None:
         self.received: list[PeerMessage] = []
-        self.came = asyncio.Event()
+        self.message_received = asyncio.Event()
         self.address = free_addresses(1)[0]
         background = BackgroundTasks(lambda error: pytest.fail(str(error)))
         hello = PeerHello("c1", "127.0.0.1:2")
@@ -40,7 +40,7 @@
 
     def _receive(self, _link: object, message: PeerMessage) -> None:
         self.received.append(message)
-        self.came.set()
+        self.message_received.set()
 
     async def send(self, data: bytes) -> bool:
         """Send ``data`` on a new connection; return whether the listener closed it."""
@@ -57,8 +57,8 @@
 
 
 @asynccontextmanager
-async def listening(networks: Sequence[str] = ("127.0.0.0/8",)) -> AsyncIterator[Listening]:
-    listener = Listening(networks)
+async def listening(networks: Sequence[str] = ("127.0.0.0/8",)) -> AsyncIterator[PeerListener]:
+    listener = PeerListener(networks)
     await listener.links.start(listener.address)
     try:
         yield listener
@@ -94,23 +94,23 @@
 
 
 async def test_a_dial_that_hangs_is_begun_anew_when_the_other_side_shows_itself() -> None:
-    """As with a machine without power: the first opening packet is lost, the next is answered."""
-    async with listening() as far, listening() as near:
+    """The first dial hangs, as when a SYN to a machine without power is lost."""
+    async with listening() as remote, listening() as local:
         dials: list[str] = []
-        connect = near.links._open_connection
+        connect = local.links._open_connection
 
-        async def lose_the_first(make: object, host: str, port: int) -> object:
+        async def hang_on_first_dial(make: object, host: str, port: int) -> object:
             dials.append(f"{host}:{port}")
             if len(dials) == 1:
                 await asyncio.sleep(10 * STEP_SECONDS)
             return await connect(make, host, port)  # type: ignore[arg-type]
 
-        near.links._open_connection = lose_the_first  # type: ignore[assignment]
-        near.links.send(far.address, ForwardReply(request=1, outcome=ForwardOutcome.DONE))
+        local.links._open_connection = hang_on_first_dial  # type: ignore[assignment]
+        local.links.send(remote.address, ForwardReply(request=1, outcome=ForwardOutcome.DONE))
         await asyncio.sleep(0.05)
         started = asyncio.get_running_loop().time()
-        near.links._redial_now(far.address)
+        local.links._redial_now(remote.address)
         async with asyncio.timeout(STEP_SECONDS):
-            await far.came.wait()
+            await remote.message_received.wait()
         assert asyncio.get_running_loop().time() - started < 0.5
-        assert dials == [far.address, far.address]
+        assert dials == [remote.address, remote.address]
--- a/tests/control/test_platform_poller.py
+++ b/tests/control/test_platform_poller.py
@@ -1,4 +1,4 @@
-"""The platform's list, read by a real control node and passed on to daemons as hints."""
+"""A control node process reads the platform's list and sends hints to daemons."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -15,8 +15,8 @@
 SECONDS = 30.0
 
 
-class Platform:
-    """Serves whatever the test says it lists."""
+class PlatformListServer:
+    """HTTP server of a platform list set by the test."""
 
     def __init__(self) -> None:
         self.body = b"[]"
@@ -27,7 +27,7 @@
         self.reads += 1
         return web.Response(body=self.body, status=self.status)
 
-    def lists(self, *machines: tuple[int, str]) -> None:
+    def set_machines(self, *machines: tuple[int, str]) -> None:
         items = ",".join(
             f'{{"name":"m{number}","address":"10.0.0.{number}:80","incarnation":"1",'
             f'"state":"{state}"}}'
@@ -37,8 +37,8 @@
 
 
 @pytest.fixture
-async def platform() -> AsyncIterator[tuple[Platform, str]]:
-    served = Platform()
+async def platform() -> AsyncIterator[tuple[PlatformListServer, str]]:
+    served = PlatformListServer()
     app = web.Application()
     app.router.add_get("/instances", served.answer)
     runner = web.AppRunner(app)
@@ -62,7 +62,7 @@
 
 
 async def test_what_the_platform_lists_as_leaving_reaches_daemons_as_a_hint_and_nothing_else(
-    tmp_path: Path, platform: tuple[Platform, str]
+    tmp_path: Path, platform: tuple[PlatformListServer, str]
 ) -> None:
     served, url = platform
     group = Group(tmp_path, voters=1)
@@ -75,14 +75,14 @@
         await asyncio.to_thread(group.bootstrap, Service(name="s"), endpoint(1), endpoint(2))
         async with running(daemon):
             await daemon.wait_for(1)
-            served.lists((1, "leaving"), (2, "live"), (9, "leaving"))
-            await until(lambda: hints[-1:] == [("e1",)])
-            await after_more_reads(served, b"{not json", 200)
-            await after_more_reads(served, b"[]", 500)
+            served.set_machines((1, "leaving"), (2, "live"), (9, "leaving"))
+            await wait_until(lambda: hints[-1:] == [("e1",)])
+            await wait_for_reads_of(served, b"{not json", 200)
+            await wait_for_reads_of(served, b"[]", 500)
             assert hints[-1] == ("e1",)
-            served.lists((2, "live"))
+            served.set_machines((2, "live"))
             served.status = 200
-            await until(lambda: hints[-1] == ())
+            await wait_until(lambda: hints[-1] == ())
             assert set(hints) <= {(), ("e1",)}
             assert daemon.revision == 1
     finally:
@@ -93,13 +93,13 @@
     return tuple(hint.endpoint for hint in message.leaving)
 
 
-async def after_more_reads(served: Platform, body: bytes, status: int) -> None:
+async def wait_for_reads_of(served: PlatformListServer, body: bytes, status: int) -> None:
     served.body, served.status = body, status
     enough = served.reads + 3
-    await until(lambda: served.reads >= enough)
+    await wait_until(lambda: served.reads >= enough)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(SECONDS):
-        while not condition():  # noqa: ASYNC110 - the other process sets no event
+        while not condition():  # noqa: ASYNC110 - the state changes in another process
             await asyncio.sleep(0.02)
--- a/tests/control/test_quarantine_service.py
+++ b/tests/control/test_quarantine_service.py
@@ -1,4 +1,4 @@
-"""A control node's part in what daemons know of requests that crash back ends."""
+"""Quarantine service: distribution of crash records and lifting of quarantines."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
     return CrashNews((CrashRecord(signature, 0.0, crashes),))
 
 
-class Node:
-    """A service, and what it sends."""
+class QuarantineNode:
+    """Quarantine service and the messages that it sends."""
 
     def __init__(self) -> None:
         self.to_daemons: list[ControlToDaemon] = []
@@ -24,7 +24,7 @@
 
 
 async def test_news_goes_to_daemons_and_peers_once() -> None:
-    node, peer = Node(), Node()
+    node, peer = QuarantineNode(), QuarantineNode()
     node.service.on_daemon_report(news("a", "i-1"))
     node.service.on_daemon_report(news("a", "i-1"))
     assert len(node.to_daemons) == len(node.to_peers) == 1
@@ -35,7 +35,7 @@
 
 
 async def test_what_follows_soon_is_sent_together() -> None:
-    node = Node()
+    node = QuarantineNode()
     for number in range(20):
         node.service.on_daemon_report(news(f"r-{number}", "i-1"))
     assert len(node.to_daemons) == 1
@@ -45,7 +45,7 @@
 
 
 async def test_a_daemon_that_connects_hears_of_all_and_a_lift_clears_it() -> None:
-    node = Node()
+    node = QuarantineNode()
     assert node.service.initial_messages() == ()
     node.service.on_daemon_report(news("a", "i-1", "i-2", "i-3"))
     (initial_message,) = node.service.initial_messages()
--- a/tests/control/test_quota_service.py
+++ b/tests/control/test_quota_service.py
@@ -1,4 +1,4 @@
-"""Quotas at a control node: who divides, and who passes on."""
+"""Quota service: the leader answers, other nodes forward to it."""
 
 import pytest
 
@@ -32,7 +32,7 @@
 
 
 class FakeLog:
-    """A log whose leader and quorum are as the test says."""
+    """Log with leadership and quorum set by the test."""
 
     def __init__(self, machine: ControlStateMachine) -> None:
         self.machine = machine
@@ -58,7 +58,7 @@
 
 
 class FakeLink:
-    """A link to another control node."""
+    """Records messages to another control node."""
 
     def __init__(self) -> None:
         self.sent: list[QuotaReply] = []
@@ -73,8 +73,8 @@
     machine.apply(machine.applied_index + 1, entry)
 
 
-class Node:
-    """A service over fakes, at a time that the test sets."""
+class QuotaNode:
+    """Quota service with a fake log and a clock set by the test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 100.0
@@ -90,56 +90,58 @@
         self.answers.append((daemon, answer))
         return True
 
-    async def turn(self, seconds: float = 0.0) -> None:
-        """Let the time pass, and do once what the service does again and again."""
+    async def advance(self, seconds: float = 0.0) -> None:
+        """Advance the clock and run one leadership check."""
         self.now += seconds
         await self.service.check_leadership()
 
 
 @pytest.fixture
-def node(monkeypatch: pytest.MonkeyPatch) -> Node:
-    return Node(monkeypatch)
+def node(monkeypatch: pytest.MonkeyPatch) -> QuotaNode:
+    return QuotaNode(monkeypatch)
 
 
-async def test_a_leader_notes_a_daemon_before_it_grants_a_share(node: Node) -> None:
-    await node.turn()
+async def test_a_leader_notes_a_daemon_before_it_grants_a_share(node: QuotaNode) -> None:
+    await node.advance()
     node.service.on_request("d1", REPORT)
     assert node.machine.quota_holders == frozenset()
-    await node.turn(1.1)
+    await node.advance(1.1)
     assert node.machine.quota_holders == {"d1"}
     node.service.on_request("d1", QuotaReport("1", 2, REPORT.shares))
     rates = [answer.shares[0].rate for _, answer in node.answers if isinstance(answer, QuotaShares)]
     assert rates[0] == 0.0 < rates[1]
 
 
-async def test_a_leader_answers_until_its_last_read_is_too_old(node: Node) -> None:
+async def test_a_leader_answers_until_its_last_read_is_too_old(node: QuotaNode) -> None:
     node.service.on_request("d1", ASK)
     assert not node.answers
-    await node.turn()
+    await node.advance()
     node.log.has_quorum = False
-    await node.turn(LEADERSHIP_VALID_SECONDS - 0.01)
+    await node.advance(LEADERSHIP_VALID_SECONDS - 0.01)
     node.service.on_request("d1", ASK)
     assert len(node.answers) == 1
-    await node.turn(0.02)
+    await node.advance(0.02)
     node.service.on_request("d1", ASK)
     assert len(node.answers) == 1
 
 
-async def test_a_process_that_stood_still_answers_nothing_before_it_has_read(node: Node) -> None:
-    await node.turn()
+async def test_a_process_that_stood_still_answers_nothing_before_it_has_read(
+    node: QuotaNode,
+) -> None:
+    await node.advance()
     node.now += 10.0
     node.service.on_request("d1", ASK)
     assert not node.answers
 
 
-async def test_another_term_begins_with_nothing(node: Node) -> None:
-    await node.turn()
+async def test_another_term_begins_with_nothing(node: QuotaNode) -> None:
+    await node.advance()
     node.service.on_request("d1", REPORT)
-    await node.turn(1.1)
+    await node.advance(1.1)
     node.log.term = 5
     node.service.on_request("d1", ASK)
     assert len(node.answers) == 1
-    await node.turn()
+    await node.advance()
     node.service.on_request("d1", ASK)
     answer = node.answers[-1][1]
     assert isinstance(answer, QuotaTokens)
@@ -149,10 +151,10 @@
 async def test_another_node_passes_on_and_hands_the_answer_to_the_daemon(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    follower, leader = Node(monkeypatch), Node(monkeypatch)
+    follower, leader = QuotaNode(monkeypatch), QuotaNode(monkeypatch)
     follower.log.term = None
-    await follower.turn()
-    await leader.turn()
+    await follower.advance()
+    await leader.advance()
     leader.now += 0.5
     follower.service.on_request("d1", ASK)
     link = FakeLink()
--- a/tests/control/test_raft_host.py
+++ b/tests/control/test_raft_host.py
@@ -1,4 +1,4 @@
-"""One node of the log in this process, with a disk that the test holds up."""
+"""Raft host with a disk that blocks or is full."""
 
 import asyncio
 import threading
@@ -27,8 +27,8 @@
 TIMEOUT_SECONDS = 30.0
 
 
-class HeldDisk:
-    """Stands between the host and its store."""
+class BlockableDisk:
+    """Intercepts writes of the log store."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.may_write = threading.Event()
@@ -36,20 +36,20 @@
         self.is_full = False
         write = LogStore.write
 
-        def held(store: LogStore, writes: list[Write]) -> WriteOutcome:
+        def blockable_write(store: LogStore, writes: list[Write]) -> WriteOutcome:
             self.may_write.wait(TIMEOUT_SECONDS)
             return WriteOutcome.DISK_FULL if self.is_full else write(store, writes)
 
-        monkeypatch.setattr(LogStore, "write", held)
+        monkeypatch.setattr(LogStore, "write", blockable_write)
 
 
 @pytest.fixture
-def disk(monkeypatch: pytest.MonkeyPatch) -> HeldDisk:
-    return HeldDisk(monkeypatch)
+def disk(monkeypatch: pytest.MonkeyPatch) -> BlockableDisk:
+    return BlockableDisk(monkeypatch)
 
 
 @pytest.fixture
-async def log(tmp_path: Path, disk: HeldDisk) -> AsyncIterator[GroupLog]:
+async def log(tmp_path: Path, disk: BlockableDisk) -> AsyncIterator[GroupLog]:
     background = BackgroundTasks(on_invariant_error=lambda error: pytest.fail(str(error)))
     (address,) = free_addresses(1)
     machine = ControlStateMachine()
@@ -74,31 +74,33 @@
     await host.stop()
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(TIMEOUT_SECONDS):
-        while not condition():  # noqa: ASYNC110 - the node has no event for it
+        while not condition():  # noqa: ASYNC110 - the node signals no event for it
             await asyncio.sleep(0.01)
 
 
 async def test_a_node_whose_write_does_not_return_gives_its_daemons_up_until_it_does(
-    log: GroupLog, disk: HeldDisk
+    log: GroupLog, disk: BlockableDisk
 ) -> None:
     await log.propose(RecordAction("ana", "test", "before"))
     assert log.in_contact()
     disk.may_write.clear()
     proposing = asyncio.create_task(log.propose(RecordAction("ana", "test", "held")))
-    await until(lambda: not log.in_contact())
+    await wait_until(lambda: not log.in_contact())
     assert log.status().leader == "c1"
     disk.may_write.set()
     await proposing
-    await until(log.in_contact)
+    await wait_until(log.in_contact)
 
 
-async def test_a_node_with_a_full_disk_is_not_in_contact(log: GroupLog, disk: HeldDisk) -> None:
+async def test_a_node_with_a_full_disk_is_not_in_contact(
+    log: GroupLog, disk: BlockableDisk
+) -> None:
     await log.propose(RecordAction("ana", "test", "before"))
     disk.is_full = True
     proposing = asyncio.create_task(log.propose(RecordAction("ana", "test", "full")))
-    await until(lambda: not log.in_contact())
+    await wait_until(lambda: not log.in_contact())
     disk.is_full = False
     await proposing
-    await until(log.in_contact)
+    await wait_until(log.in_contact)
--- a/tests/control/test_real_group.py
+++ b/tests/control/test_real_group.py
@@ -1,4 +1,4 @@
-"""Control groups of real processes with real disks."""
+"""Fault tolerance of a control group of separate processes with data on disk."""
 
 import threading
 import time
@@ -167,7 +167,7 @@
         if len(members) == 3 and own[0].incarnation != old_incarnation and own[0].role == "voter":
             return
         time.sleep(0.1)
-    raise AssertionError(f"{name} isn't a voter again")
+    raise AssertionError(f"{name} is not a voter with a new incarnation within 30 s")
 
 
 def test_a_planned_stop_of_the_leader_loses_no_change(group: Group) -> None:
--- a/tests/control/test_replacement.py
+++ b/tests/control/test_replacement.py
@@ -1,5 +1,5 @@
 from finchshed.consensus.membership import AddMember, RemoveMember
-from finchshed.control.operators.replacement import Replacement, next_step
+from finchshed.control.operators.replacement import MemberReplacement, next_step
 from finchshed.control.raft.replicated_log import LogMemberRole, LogMemberStatus
 
 
@@ -10,7 +10,7 @@
 
 
 GROUP = ("c1:leader", "c2:voter", "c3:voter")
-REPLACE = Replacement(remove="c3", add="c4")
+REPLACE = MemberReplacement(remove="c3", add="c4")
 
 
 def test_the_new_node_joins_before_the_old_one_leaves() -> None:
@@ -36,14 +36,14 @@
 
 
 def test_a_member_back_on_another_disk_is_waited_for() -> None:
-    step = next_step(members(*GROUP, "c3:learner"), Replacement(remove="c3", add="c3"))
+    step = next_step(members(*GROUP, "c3:learner"), MemberReplacement(remove="c3", add="c3"))
     assert step.change is None
     assert not step.is_done
-    assert next_step(members(*GROUP), Replacement(remove="c3", add="c3")).is_done
+    assert next_step(members(*GROUP), MemberReplacement(remove="c3", add="c3")).is_done
 
 
 def test_a_standby_stays_a_learner() -> None:
-    standby = Replacement(add="c4", standby=True)
+    standby = MemberReplacement(add="c4", standby=True)
     assert next_step(members(*GROUP), standby).change == AddMember("c4", voter=False)
     assert next_step(members(*GROUP, "c4:standby"), standby).is_done
     assert next_step(members(*GROUP, "c4:voter"), standby).is_done
@@ -51,7 +51,7 @@
 
 def test_who_replaces_a_voter_that_a_standby_stood_in_for_becomes_the_standby() -> None:
     group = ("c1:leader", "c2:voter", "c4:voter", "c3:standby")
-    replace = Replacement(remove="c3", add="c5")
+    replace = MemberReplacement(remove="c3", add="c5")
     assert next_step(members(*group), replace).change == AddMember("c5", voter=False)
     assert next_step(members(*group, "c5:standby"), replace).change == RemoveMember("c3")
     assert next_step(members(*group[:3], "c5:standby"), replace).is_done
@@ -60,5 +60,7 @@
 def test_a_standby_is_made_a_voter_in_the_place_of_one_or_when_asked_for() -> None:
     group = (*GROUP, "c4:standby")
     assert next_step(members(*group), REPLACE).change == AddMember("c4", voter=True)
-    assert next_step(members(*group), Replacement(add="c4")).change == AddMember("c4", voter=True)
+    assert next_step(members(*group), MemberReplacement(add="c4")).change == AddMember(
+        "c4", voter=True
+    )
     assert next_step(members(*GROUP, "c4:learner"), REPLACE).change == AddMember("c4", voter=True)
--- a/tests/control/test_standby.py
+++ b/tests/control/test_standby.py
@@ -1,4 +1,4 @@
-"""Six control machines: five voters and a standby that stands in for a lost one."""
+"""Promotion of a standby after voters are lost, with five voters and one standby."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -25,24 +25,24 @@
     made = Group(tmp_path, voters=5, spares=1, standby_after=STANDBY_AFTER_SECONDS)
     made.start_all(made.nodes)
     made.bootstrap()
-    take_in_standby(made, made.nodes[5])
+    add_standby(made, made.nodes[5])
     yield made
     made.close()
 
 
-def take_in_standby(group: Group, standby: Node) -> None:
+def add_standby(group: Group, standby: Node) -> None:
     client = group.client(group.voters)
     request = pb.ReplaceMemberRequest(add=standby.name, standby=True)
     wait_until(
         lambda: cast(pb.ReplaceMemberResponse, client.call("ReplaceMember", request)).done,
-        lambda: "not taken in",
+        lambda: f"{standby.name} is not a member",
     )
     client.close()
     wait_until_roles(group, lambda roles: roles[standby.name] == "standby")
 
 
 def roles_of(group: Group) -> dict[str, str]:
-    """Return role by name as the leader sees it; empty where none is known."""
+    """Return the members' roles by name as reported by the leader; empty without a leader."""
     client = group.client([node for node in group.nodes if node.process is not None])
     answers = client.call_each("Members", pb.MembersRequest())
     client.close()
@@ -71,8 +71,8 @@
     return seen[-1]
 
 
-class Changes:
-    """Submits numbered changes through whichever nodes run, and remembers which were accepted."""
+class ChangeSubmitter:
+    """Submits numbered changes through the running nodes and checks that none is lost."""
 
     def __init__(self, group: Group) -> None:
         self._group = group
@@ -91,14 +91,14 @@
         assert {f"s{number}" for number in range(self._count)} <= names
 
 
-def voting(roles: dict[str, str]) -> set[str]:
+def voters_in(roles: dict[str, str]) -> set[str]:
     return {name for name, role in roles.items() if role in VOTING}
 
 
 def test_after_two_machines_are_lost_the_standby_makes_room_for_a_third_loss(
     group: Group,
 ) -> None:
-    changes = Changes(group)
+    changes = ChangeSubmitter(group)
     changes.accept(5)
     standby = group.nodes[5]
     leader = group.leader()
@@ -106,22 +106,22 @@
     group.kill(leader)
     group.kill(other)
     changes.accept(5)
-    roles = wait_until_roles(group, lambda roles: standby.name in voting(roles))
-    assert len(voting(roles)) == 5
-    replaced = {leader.name, other.name} - voting(roles)
+    roles = wait_until_roles(group, lambda roles: standby.name in voters_in(roles))
+    assert len(voters_in(roles)) == 5
+    replaced = {leader.name, other.name} - voters_in(roles)
     assert len(replaced) == 1
     group.kill(third)
     changes.accept(5)
     for node in (leader, other, third):
         group.start(node)
     changes.accept(5)
-    healed = wait_until_roles(group, lambda roles: len(voting(roles)) == 5)
+    healed = wait_until_roles(group, lambda roles: len(voters_in(roles)) == 5)
     assert {name for name, role in healed.items() if role == "standby"} != set()
     assert healed.keys() == {node.name for node in group.nodes}
 
 
 def test_a_machine_lost_just_after_a_replacement_began_stops_nothing(group: Group) -> None:
-    changes = Changes(group)
+    changes = ChangeSubmitter(group)
     changes.accept(3)
     standby = group.nodes[5]
     leader = group.leader()
@@ -131,13 +131,13 @@
     wait_until_roles(group, lambda roles: roles[first.name] == "standby")
     group.kill(second)
     changes.accept(5)
-    roles = wait_until_roles(group, lambda roles: standby.name in voting(roles))
-    assert len(voting(roles)) == 5
+    roles = wait_until_roles(group, lambda roles: standby.name in voters_in(roles))
+    assert len(voters_in(roles)) == 5
     group.start(first)
     changes.accept(5)
     wait_until_roles(
         group,
-        lambda roles: second.name not in voting(roles) and first.name in voting(roles),
+        lambda roles: second.name not in voters_in(roles) and first.name in voters_in(roles),
     )
     changes.accept(5)
 
@@ -150,8 +150,8 @@
     group.start_all(group.nodes)
     try:
         group.bootstrap()
-        wait_until_roles(group, lambda roles: len(voting(roles)) == 5 and len(roles) == 6)
-        changes = Changes(group)
+        wait_until_roles(group, lambda roles: len(voters_in(roles)) == 5 and len(roles) == 6)
+        changes = ChangeSubmitter(group)
         changes.accept(3)
         leader = group.leader()
         lost = next(node for node in group.voters if node is not leader)
--- a/tests/control/test_state_machine.py
+++ b/tests/control/test_state_machine.py
@@ -72,11 +72,11 @@
 
 
 def test_accepted_changes_are_told_once_and_resends_not() -> None:
-    told: list[CommittedRevision] = []
-    machine = ControlStateMachine(on_committed=told.append)
+    committed_revisions: list[CommittedRevision] = []
+    machine = ControlStateMachine(on_committed=committed_revisions.append)
     machine.apply(1, entry(first_change()))
     machine.apply(2, entry(first_change()))
-    assert [committed.revision for committed in told] == [1]
+    assert [committed.revision for committed in committed_revisions] == [1]
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"\xff\xfe", b'{"time":1,"command":{"type":"x"}}'])
