--- a/src/finchshed/daemon/ingress/__init__.py
+++ b/src/finchshed/daemon/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests enter the daemon over HTTP: who may send them, and how they are answered."""
+"""HTTP ingress of the daemon: authentication, quotas, request handlers and responses."""
--- a/src/finchshed/daemon/ingress/host_access.py
+++ b/src/finchshed/daemon/ingress/host_access.py
@@ -1,7 +1,7 @@
-"""Whose request a request by host is: a tenant's, a call of the own back end, or nobody's.
+"""Authentication of host requests by API key.
 
-Owns nothing; relies on the tenants in force, on the key lease for how long their keys may be
-trusted, and on the requests being served to know a call of the own back end by its identity.
+Calls of the local back end need no key; they are recognised by the identity of the request that
+they are made for. Relies on the key lease for how long the configured keys may be trusted.
 """
 
 import random
@@ -18,13 +18,13 @@
 from finchshed.tenancy.lease import KeyLease
 
 
-class HostAccess:
-    """Judges the API keys of requests.
+class HostAuthenticator:
+    """Finds the tenant of a request by its API key.
 
     Attributes
     ----------
     tenants
-        Declared tenants and their keys; none: no request needs a key.
+        Declared tenants and their keys; if empty, no request needs a key.
     """
 
     def __init__(
@@ -37,37 +37,37 @@
         self._rng = rng
         self._api_key = names.api_key.encode("ascii")
 
-    def tenant_of(
+    def authenticate(
         self, request: InboundRequest, identity: str, route: HostRoute
     ) -> Tenant | Refused | None:
-        """Return whose request it is, None where no key is needed, or the refusal.
+        """Return the tenant, None if no key is needed, or the refusal.
 
-        A call of the own back end needs no key.
+        A call of the local back end needs no key.
         """
-        if not self.tenants or self.served_by(identity) is not None:
+        if not self.tenants or self.parent_request(identity) is not None:
             return None
         keys = {value for name, value in request.headers if name == self._api_key and value}
         now = clock.now()
-        found = tenant_of(keys, self.tenants, self._lease, now, is_public=route.public)
-        if found is RefusalReason.API_KEY_MISSING:
-            return self._without_key(identity)
-        if isinstance(found, RefusalReason):
-            return self._refusal(found, f"confirmed {self._lease.age(now):.3f} s ago")
-        return found
+        result = tenant_of(keys, self.tenants, self._lease, now, is_public=route.public)
+        if result is RefusalReason.API_KEY_MISSING:
+            return self._missing_key_refusal(identity)
+        if isinstance(result, RefusalReason):
+            return self._refusal(result, f"confirmed {self._lease.age(now):.3f} s ago")
+        return result
 
-    def served_by(self, identity: str) -> ServedRequest | None:
-        """Return the request of the own back end that a call is made for, by its identity."""
+    def parent_request(self, identity: str) -> ServedRequest | None:
+        """Return the request in progress at the local back end that a call belongs to, or None."""
         separator = self._names.call_separator
         if not separator:
             return None
-        parent, found, _ = identity.rpartition(separator)
-        return self._served.get_by_identity(parent) if found else None
+        parent, has_separator, _ = identity.rpartition(separator)
+        return self._served.get_by_identity(parent) if has_separator else None
 
-    def _without_key(self, identity: str) -> Refused:
-        """Return the refusal of a request that has no key and is no call for a known request."""
+    def _missing_key_refusal(self, identity: str) -> Refused:
+        """Return the refusal of a request without a key that belongs to no request in progress."""
         separator = self._names.call_separator
         if separator and separator in identity:
-            # Its request may be over, or was taken by the process before this one.
+            # The parent request has ended, or a previous process of this daemon accepted it.
             return self._refusal(RefusalReason.CALLER_UNKNOWN, "the request it is made for is over")
         return self._refusal(RefusalReason.API_KEY_MISSING, f"{self._names.api_key} is needed")
 
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -1,9 +1,8 @@
-"""Handles requests by host and path: finds the route, judges the request, has it answered.
+"""Handles host requests: routes by host and path, authenticates, and calls a back end.
 
-A request falls under the route of its host with the longest prefix of its path. The route names the
-services that share such requests; one is drawn by weight, and the call goes to a back end of it.
-Owns the draws by weight. Relies on :mod:`host_access` for whose request it is, on
-:mod:`host_requests` for what it becomes, on the quota gate for a tenant's token.
+The route is the one of the host with the longest matching path prefix. One of its destination
+services is chosen at random by weight. Owns the weighted choices. Relies on :mod:`host_access` for
+authentication, on :mod:`host_requests` to build requests and on :mod:`quota_gate` for rate limits.
 """
 
 import random
@@ -15,10 +14,10 @@
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.daemon.decision_log import log_refusal
 from finchshed.daemon.header_names import HeaderNames
-from finchshed.daemon.ingress.host_access import HostAccess
-from finchshed.daemon.ingress.host_requests import AdmittedHostRequest, HostRequests
+from finchshed.daemon.ingress.host_access import HostAuthenticator
+from finchshed.daemon.ingress.host_requests import AdmittedHostRequest, HostRequestBuilder
 from finchshed.daemon.ingress.quota_gate import QuotaGate
-from finchshed.daemon.ingress.responses import malformed_by_host, response_by_host
+from finchshed.daemon.ingress.responses import host_response, malformed_host_response
 from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.retry.policy import retry_after
@@ -28,18 +27,18 @@
 
 
 class HostRequestHandler:
-    """Answers requests by host and path (the listener's handler).
+    """Handler of the listener for host requests.
 
     Parameters
     ----------
     lease
-        For how long API keys may be trusted.
+        Lease that bounds how long API keys may be trusted.
     quotas
-        Has requests of limited tenants get tokens.
+        Admits requests of rate-limited tenants.
     own_service
-        Returns the service of the back end beside this daemon.
+        Returns the service of the local back end.
     not_ready_reason
-        Returns the reason why no request may be taken now, or None.
+        Returns why requests can't be accepted now, or None.
     """
 
     def __init__(
@@ -59,30 +58,32 @@
         self._rng = rng
         self._quotas = quotas
         self._not_ready_reason = not_ready_reason
-        self._access = HostAccess(names, served, lease, rng)
-        self._requests = HostRequests(names, own_service)
-        self._identity = names.request.encode("ascii")
-        self._choices: dict[str, WeightedChoice] = {}
+        self._authenticator = HostAuthenticator(names, served, lease, rng)
+        self._request_builder = HostRequestBuilder(names, own_service)
+        self._identity_header = names.request.encode("ascii")
+        self._weighted_choices: dict[str, WeightedChoice] = {}
         self._catalogue = Catalogue()
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Act on a new configuration."""
+        """Apply a new configuration."""
         self._catalogue = catalogue
-        self._choices = {route.name: self._choices_of(route) for route in catalogue.host_routes()}
-        self._access.tenants = catalogue.tenants
-        self._requests.configure(has_tenants=bool(catalogue.tenants))
+        self._weighted_choices = {
+            route.name: self._weighted_choice_of(route) for route in catalogue.host_routes()
+        }
+        self._authenticator.tenants = catalogue.tenants
+        self._request_builder.configure(has_tenants=bool(catalogue.tenants))
 
     def admit(self, request: InboundRequest) -> AdmittedHostRequest | Refused:
-        """Judge a request by its head, before its body is read."""
+        """Admit or refuse a request by its head, before its body is read."""
         host = request.header(b"host")
         route = self._catalogue.match_host(host, request.target)
-        judged = self._judge(request, host, route)
-        if isinstance(judged, Refused):
-            self._log_refusal(request, route, judged)
-        return judged
+        result = self._check(request, host, route)
+        if isinstance(result, Refused):
+            self._log_refusal(request, route, result)
+        return result
 
     def max_body_bytes(self, admitted: AdmittedHostRequest) -> int:
-        """Return the largest body taken for an admitted request."""
+        """Return the maximum body size of an admitted request."""
         return self._catalogue.limits.max_body_bytes
 
     def handle(
@@ -91,30 +92,33 @@
         admitted: AdmittedHostRequest,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
-        """Answer a whole request; ``respond`` is called once. Return what gives it up."""
-        identity = request.header(self._identity)
+        """Process a complete request; return a callback that cancels it.
+
+        ``respond`` is called once.
+        """
+        identity = request.header(self._identity_header)
         if admitted.tenant is not None:
-            return self._call_for(admitted.tenant, request, admitted, respond)
-        served = self._access.served_by(identity)
+            return self._call_for_tenant(admitted.tenant, request, admitted, respond)
+        served = self._authenticator.parent_request(identity)
         account = "" if served is None else served.account
-        message = self._requests.make(request, identity, admitted, served)
+        message = self._request_builder.build(request, identity, admitted, served)
         return self._caller.call(
-            message, account, "", lambda outcome: respond(response_by_host(outcome))
+            message, account, "", lambda outcome: respond(host_response(outcome))
         )
 
     def refused(self, refused: Refused) -> Response:
-        """Return the response that tells a refusal."""
-        return response_by_host(refused)
+        """Return the response to a refused request."""
+        return host_response(refused)
 
     def refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
-        """Return the refusal of a request for ``reason``."""
+        """Return a refusal for ``reason``."""
         return Refused(reason, retry_after(0.0, self._rng), detail)
 
     def malformed(self, detail: str, status: int) -> Response:
-        """Return the response to bytes that are no request, or no allowed one."""
-        return malformed_by_host(detail, status)
+        """Return the response to a malformed or disallowed request."""
+        return malformed_host_response(detail, status)
 
-    def _judge(
+    def _check(
         self, request: InboundRequest, host: str, route: HostRoute | None
     ) -> AdmittedHostRequest | Refused:
         reason = self._not_ready_reason()
@@ -122,57 +126,57 @@
             return self.refusal(reason)
         if route is None:
             return self.refusal(RefusalReason.UNKNOWN_ROUTE, f"host {host!r}")
-        identity = request.header(self._identity)
+        identity = request.header(self._identity_header)
         if not identity:
             detail = f"the header {self._names.request} is needed"
             return self.refusal(RefusalReason.REQUEST_INVALID, detail)
-        tenant = self._access.tenant_of(request, identity, route)
+        tenant = self._authenticator.authenticate(request, identity, route)
         if isinstance(tenant, Refused):
             return tenant
-        remaining = self._requests.remaining_seconds(request, route)
-        service = self._choices[route.name].draw()
+        remaining = self._request_builder.remaining_seconds(request, route)
+        service = self._weighted_choices[route.name].draw()
         return AdmittedHostRequest(route, service, host, remaining, clock.now(), tenant)
 
-    def _call_for(
+    def _call_for_tenant(
         self,
         tenant: Tenant,
         request: InboundRequest,
         admitted: AdmittedHostRequest,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
-        """Answer a tenant's request, once it has a token."""
-        leave: list[Callable[[], None]] = []
+        """Call a back end for a tenant's request once it has a token."""
+        cancel: list[Callable[[], None]] = []
 
-        def answered(outcome: Outcome) -> None:
+        def on_outcome(outcome: Outcome) -> None:
             if isinstance(outcome, Refused):
                 self._quotas.give_back(tenant.name)
-            respond(response_by_host(outcome))
+            respond(host_response(outcome))
 
-        def decided(refused: Refused | None) -> None:
+        def on_decided(refused: Refused | None) -> None:
             if refused is not None:
                 self._log_refusal(request, admitted.route, refused, tenant.name)
-                respond(response_by_host(refused))
+                respond(host_response(refused))
                 return
-            identity = request.header(self._identity)
-            message = self._requests.make(request, identity, admitted, None)
-            leave[:] = [self._caller.call(message, "", "", answered)]
+            identity = request.header(self._identity_header)
+            message = self._request_builder.build(request, identity, admitted, None)
+            cancel[:] = [self._caller.call(message, "", "", on_outcome)]
 
-        def give_up() -> None:
-            leave[0]()
+        def cancel_request() -> None:
+            cancel[0]()
 
-        waiting = self._quotas.admit(tenant.name, decided)
-        if not leave:
-            leave.append(waiting)
-        return give_up
+        stop_waiting = self._quotas.admit(tenant.name, on_decided)
+        if not cancel:
+            cancel.append(stop_waiting)
+        return cancel_request
 
     def _log_refusal(
         self, request: InboundRequest, route: HostRoute | None, refused: Refused, tenant: str = ""
     ) -> None:
-        identity = request.header(self._identity)
+        identity = request.header(self._identity_header)
         log_refusal(identity, route, refused, self._catalogue.revision, tenant)
 
-    def _choices_of(self, route: HostRoute) -> WeightedChoice:
-        held = self._choices.get(route.name)
-        if held is not None and held.destinations == route.destinations:
-            return held
+    def _weighted_choice_of(self, route: HostRoute) -> WeightedChoice:
+        current = self._weighted_choices.get(route.name)
+        if current is not None and current.destinations == route.destinations:
+            return current
         return WeightedChoice(route.destinations, self._rng)
--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -1,7 +1,6 @@
-"""What a request by host becomes for the call path: its deadline, context and headers.
+"""Builds call path requests from host requests: deadline, context and headers.
 
-Owns the names of the headers that are set or dropped. Relies on the route and the tenant that were
-found from the request's head.
+Owns the names of the headers that are set or dropped.
 """
 
 from collections.abc import Callable
@@ -21,10 +20,11 @@
 
 
 class AdmittedHostRequest(msgspec.Struct, frozen=True, gc=False):
-    """What is known of a request from its head. ``began`` is in monotonic seconds.
+    """Properties of an admitted request, known from its head.
 
-    ``service`` was drawn then: the route may be gone by the end of the body. ``tenant`` holds the
-    request's API key; None for a call of the own back end, or where no key is needed.
+    ``service`` is chosen at admission because the route may be removed while the body is read.
+    ``tenant`` is None for a call of the local back end or if no API key is needed. ``began`` is in
+    monotonic seconds.
     """
 
     route: HostRoute
@@ -35,40 +35,40 @@
     tenant: Tenant | None = None
 
 
-class HostRequests:
-    """Makes requests of the call path.
+class HostRequestBuilder:
+    """Builds requests for the call path.
 
     Parameters
     ----------
     own_service
-        Returns the service of the back end beside this daemon.
+        Returns the service of the local back end.
     """
 
     def __init__(self, names: HeaderNames, own_service: Callable[[], str]) -> None:
         self._names = names
         self._own_service = own_service
-        self._always_dropped = names.set_here()
-        self._dropped = self._always_dropped
-        self._deadline = names.deadline.encode("ascii")
+        self._reserved_headers = names.set_here()
+        self._dropped_headers = self._reserved_headers
+        self._deadline_header = names.deadline.encode("ascii")
 
     def configure(self, *, has_tenants: bool) -> None:
-        """Drop what callers may not set, by whether tenants are declared."""
-        self._dropped = self._always_dropped
+        """Set which headers are dropped; tenant headers are if tenants are declared."""
+        self._dropped_headers = self._reserved_headers
         if has_tenants:
-            self._dropped |= self._names.of_tenants()
+            self._dropped_headers |= self._names.of_tenants()
 
     def remaining_seconds(self, request: InboundRequest, route: HostRoute) -> float:
-        """Return the seconds until its deadline: what the caller will wait, at most the route's."""
-        return min(self._stated_seconds(request, route), route.timeout_seconds)
+        """Return the seconds until the deadline: the caller's timeout, at most the route's."""
+        return min(self._caller_timeout_seconds(request, route), route.timeout_seconds)
 
-    def make(
+    def build(
         self,
         request: InboundRequest,
         identity: str,
         admitted: AdmittedHostRequest,
         served: ServedRequest | None,
     ) -> Request:
-        """Return the request; ``served`` is the one it is a call for, None for a root request."""
+        """Build the request; ``served`` is its parent request, None for a root request."""
         route = admitted.route
         return Request(
             service=admitted.service,
@@ -85,21 +85,23 @@
             tenant="" if admitted.tenant is None else admitted.tenant.name,
         )
 
-    def _stated_seconds(self, request: InboundRequest, route: HostRoute) -> float:
-        """Return the seconds the caller will wait, by its word."""
-        value = request.first.get(self._deadline)
+    def _caller_timeout_seconds(self, request: InboundRequest, route: HostRoute) -> float:
+        """Return the timeout in the request's deadline header, or the route's timeout."""
+        value = request.first.get(self._deadline_header)
         if value is None:
             return route.timeout_seconds
         try:
             return max(0.0, float(value) / MILLISECONDS)
         except ValueError:
-            # No number: the caller named no deadline that counts.
+            # An invalid header counts as missing.
             return route.timeout_seconds
 
     def _headers(self, request: InboundRequest, admitted: AdmittedHostRequest) -> Headers:
-        """Return the headers that go to the back end, but for those of each attempt."""
+        """Return the headers for the back end, without those that are set per attempt."""
         kept = tuple(
-            item for item in end_to_end_headers(request.headers) if item[0] not in self._dropped
+            item
+            for item in end_to_end_headers(request.headers)
+            if item[0] not in self._dropped_headers
         )
         headers = (
             ("host", admitted.host),
@@ -132,7 +134,7 @@
 
 
 def _root_context(admitted: AdmittedHostRequest, identity: str, remaining: float) -> CallContext:
-    """Return the context of a root request; a tenant's own class goes before the route's."""
+    """Return the context of a root request; a tenant's importance overrides the route's."""
     route, tenant = admitted.route, admitted.tenant
     spare = route.max_attempts - 1
     if tenant is None or tenant.importance is None:
--- a/src/finchshed/daemon/ingress/key_lease_renewal.py
+++ b/src/finchshed/daemon/ingress/key_lease_renewal.py
@@ -1,7 +1,7 @@
-"""Keeps the daemon's lease of the API keys: questions to control, and what it answers.
+"""Renews the daemon's lease on the API keys with the control group.
 
-Owns the lease and the timer of its renewal; relies on the connection to control. Whoever judges a
-key asks the lease itself, as the timer may be late.
+Owns the lease and the renewal timer. The lease is checked at each use of a key because the timer
+may fire late.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 
 
 class KeyLeaseRenewal:
-    """Renews a lease for as long as tenants are declared.
+    """Renews the lease while tenants are declared.
 
     Attributes
     ----------
     lease
-        Asked at each use of a key.
+        Determines whether API keys may be trusted.
     """
 
     def __init__(self, client: ControlClient) -> None:
@@ -33,33 +33,33 @@
         self._was_valid = True
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Act on a new configuration."""
+        """Apply a new configuration."""
         self.lease.seconds = catalogue.policy.key_trust_seconds
         self.lease.on_in_force(catalogue.revision)
         if catalogue.tenants and self._timer is None:
-            self._ask()
+            self._renew()
         elif not catalogue.tenants and self._timer is not None:
             self.close()
 
     def close(self) -> None:
-        """Ask no more."""
+        """Stop renewing."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _ask(self) -> None:
-        # Not the loop's time, which stands still while a turn of the loop lasts.
+    def _renew(self) -> None:
+        # Not the event loop's time, which is constant during one iteration.
         now = clock.now()
-        self._log_change(now)
+        self._log_validity_change(now)
         self._client.renew_lease(self.lease.next_question(now))
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(RENEW_SECONDS, self._ask)
+        self._timer = loop.call_later(RENEW_SECONDS, self._renew)
 
     def _on_answer(self, answer: LeaseRenewed) -> None:
         if self.lease.on_answer(answer.question, answer.revision):
-            self._log_change(clock.now())
+            self._log_validity_change(clock.now())
 
-    def _log_change(self, now: float) -> None:
+    def _log_validity_change(self, now: float) -> None:
         age = self.lease.age(now)
         metrics.KEY_LEASE_AGE.set(age)
         is_valid = self.lease.is_valid(now)
--- a/src/finchshed/daemon/ingress/quota_gate.py
+++ b/src/finchshed/daemon/ingress/quota_gate.py
@@ -1,7 +1,7 @@
-"""Gets each request of a limited tenant its token, or refuses it.
+"""Admits requests of rate-limited tenants by token, or refuses them.
 
-Owns the questions to the leader and the requests that wait for an answer. The decisions are those
-of the daemon's share (:mod:`finchshed.quota.daemon_share`); relies on the connection to control.
+Owns the token requests (asks) to the leader and the requests that wait for them. Token accounting
+is in :mod:`finchshed.quota.daemon_share`.
 """
 
 import asyncio
@@ -20,18 +20,17 @@
 from finchshed.runtime import clock
 
 ASK_TIMEOUT_SECONDS = 0.15
-"""Longest wait, seconds, for tokens of the reserve; an answer takes some milliseconds in a sound
-network. Chosen, not measured."""
+"""Timeout of an ask; the leader normally answers within milliseconds."""
 
-MAX_ASKED = 100
-"""Most tokens asked for at once; chosen, not measured."""
+MAX_TOKENS_PER_ASK = 100
+"""Maximum number of tokens requested by one ask."""
 
 OnDecided = Callable[[Refused | None], None]
 
 
 @dataclass(slots=True)
-class _Asking:
-    """An ask under way for a tenant, and the requests that wait for it or the next."""
+class _TenantQueue:
+    """A tenant's ask in progress, and the requests that wait for it or the next one."""
 
     ask: QuotaAsk | None = None
     timer: asyncio.TimerHandle | None = None
@@ -39,14 +38,14 @@
 
 
 class QuotaGate:
-    """Tokens for requests of one daemon.
+    """Rate limiter for requests at one daemon.
 
     Parameters
     ----------
     incarnation
-        This life of the daemon.
+        Identifier of this run of the daemon.
     started_ms
-        When it began, Unix milliseconds.
+        Start of this run in Unix milliseconds.
     """
 
     def __init__(
@@ -56,113 +55,113 @@
         self._client.on_quota = self._on_answer
         self._share = DaemonShare(incarnation, started_ms)
         self._rng = rng
-        self._asking: dict[str, _Asking] = {}
-        self._by_number: dict[int, str] = {}
-        self._timer: asyncio.TimerHandle | None = None
+        self._queues: dict[str, _TenantQueue] = {}
+        self._tenant_by_ask: dict[int, str] = {}
+        self._report_timer: asyncio.TimerHandle | None = None
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Act on a new configuration."""
+        """Apply a new configuration."""
         tenants = catalogue.tenants.tenants.values()
         self._share.configure(tenants, catalogue.policy, clock.now())
-        if self._share.has_limits and self._timer is None:
+        if self._share.has_limits and self._report_timer is None:
             self._report()
         elif not self._share.has_limits:
             self.close()
 
     def close(self) -> None:
-        """Report nothing more to the leader."""
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        """Stop reporting to the leader."""
+        if self._report_timer is not None:
+            self._report_timer.cancel()
+            self._report_timer = None
 
     def admit(self, tenant: str, on_decided: OnDecided) -> Callable[[], None]:
-        """Have ``on_decided`` called once: with None for a token, else with the refusal.
+        """Request a token; ``on_decided`` is called once, with None if granted or with the refusal.
 
-        Return what makes a request wait no more.
+        Return a callback that stops waiting for the decision.
         """
         if not self._share.is_limited(tenant):
             on_decided(None)
-            return _nothing
+            return _no_op
         match self._share.take(tenant, clock.now()):
             case TokenDecision.TAKEN:
                 on_decided(None)
             case TokenDecision.ASK:
                 return self._wait(tenant, on_decided)
             case TokenDecision.DENIED:
-                on_decided(self._above_limit(tenant))
+                on_decided(self._limit_refusal(tenant))
             case TokenDecision.UNREACHED:
-                on_decided(self._unconfirmed())
-        return _nothing
+                on_decided(self._unconfirmed_refusal())
+        return _no_op
 
     def give_back(self, tenant: str) -> None:
-        """Take back the token of a request that did not run."""
+        """Return the token of a request that did not run."""
         self._share.give_back(tenant, clock.now())
 
     def _wait(self, tenant: str, on_decided: OnDecided) -> Callable[[], None]:
-        asking = self._asking.setdefault(tenant, _Asking())
-        asking.waiting.append(on_decided)
-        if asking.ask is None:
-            self._ask(tenant, asking)
+        queue = self._queues.setdefault(tenant, _TenantQueue())
+        queue.waiting.append(on_decided)
+        if queue.ask is None:
+            self._ask(tenant, queue)
 
         def stop_waiting() -> None:
-            if on_decided in asking.waiting:
-                asking.waiting.remove(on_decided)
+            if on_decided in queue.waiting:
+                queue.waiting.remove(on_decided)
 
         return stop_waiting
 
-    def _ask(self, tenant: str, asking: _Asking) -> None:
-        ask = self._share.next_ask(tenant, min(MAX_ASKED, len(asking.waiting)))
+    def _ask(self, tenant: str, queue: _TenantQueue) -> None:
+        ask = self._share.next_ask(tenant, min(MAX_TOKENS_PER_ASK, len(queue.waiting)))
         if not self._client.send_quota(ask):
-            self._on_unanswered(tenant, asking)
+            self._on_unanswered(tenant, queue)
             return
-        asking.ask = ask
-        self._by_number[ask.number] = tenant
+        queue.ask = ask
+        self._tenant_by_ask[ask.number] = tenant
         loop = asyncio.get_running_loop()
-        asking.timer = loop.call_later(ASK_TIMEOUT_SECONDS, self._on_unanswered, tenant, asking)
+        queue.timer = loop.call_later(ASK_TIMEOUT_SECONDS, self._on_unanswered, tenant, queue)
 
     def _on_answer(self, answer: QuotaAnswer) -> None:
         now = clock.now()
         if isinstance(answer, QuotaShares):
             self._share.on_shares(answer, now)
             return
-        tenant = self._by_number.get(answer.number)
+        tenant = self._tenant_by_ask.get(answer.number)
         if tenant is not None and self._share.is_own(answer):
-            self._on_tokens(tenant, self._asking[tenant], answer, now)
+            self._on_tokens(tenant, self._queues[tenant], answer, now)
 
-    def _on_tokens(self, tenant: str, asking: _Asking, answer: QuotaTokens, now: float) -> None:
-        asked = self._end_question(asking)
-        if asked is None:
+    def _on_tokens(self, tenant: str, queue: _TenantQueue, answer: QuotaTokens, now: float) -> None:
+        ask = self._finish_ask(queue)
+        if ask is None:
             return
-        self._share.on_tokens(asked, answer, self._rng.random(), now)
+        self._share.on_tokens(ask, answer, self._rng.random(), now)
         for _ in range(answer.tokens):
-            if asking.waiting:
-                asking.waiting.popleft()(None)
+            if queue.waiting:
+                queue.waiting.popleft()(None)
             else:
-                self._share.give_back(tenant, now)  # of a request that left meanwhile
-        if answer.tokens >= asked.tokens and asking.waiting:
-            self._ask(tenant, asking)
+                self._share.give_back(tenant, now)  # the request has been cancelled
+        if answer.tokens >= ask.tokens and queue.waiting:
+            self._ask(tenant, queue)
             return
-        while asking.waiting:
-            decided = asking.waiting.popleft()
+        while queue.waiting:
+            notify = queue.waiting.popleft()
             has_own = self._share.take_own(tenant, now)
-            decided(None if has_own else self._above_limit(tenant))
+            notify(None if has_own else self._limit_refusal(tenant))
 
-    def _on_unanswered(self, tenant: str, asking: _Asking) -> None:
-        self._end_question(asking)
+    def _on_unanswered(self, tenant: str, queue: _TenantQueue) -> None:
+        self._finish_ask(queue)
         now = clock.now()
         self._share.on_unanswered(now)
-        while asking.waiting:
-            decided = asking.waiting.popleft()
-            decided(None if self._share.take_own(tenant, now) else self._unconfirmed())
-
-    def _end_question(self, asking: _Asking) -> QuotaAsk | None:
-        """End the ask under way, and return it."""
-        ask, asking.ask = asking.ask, None
-        if asking.timer is not None:
-            asking.timer.cancel()
-            asking.timer = None
+        while queue.waiting:
+            notify = queue.waiting.popleft()
+            notify(None if self._share.take_own(tenant, now) else self._unconfirmed_refusal())
+
+    def _finish_ask(self, queue: _TenantQueue) -> QuotaAsk | None:
+        """Clear the ask in progress and return it, or None if there is none."""
+        ask, queue.ask = queue.ask, None
+        if queue.timer is not None:
+            queue.timer.cancel()
+            queue.timer = None
         if ask is not None:
-            del self._by_number[ask.number]
+            del self._tenant_by_ask[ask.number]
         return ask
 
     def _report(self) -> None:
@@ -170,19 +169,19 @@
         if report is not None:
             self._client.send_quota(report)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(REPORT_SECONDS, self._report)
+        self._report_timer = loop.call_later(REPORT_SECONDS, self._report)
 
-    def _above_limit(self, tenant: str) -> Refused:
+    def _limit_refusal(self, tenant: str) -> Refused:
         metrics.QUOTA_REFUSED.labels("above_limit").inc()
         seconds = self._share.seconds_until_return(tenant, clock.now())
         spread = seconds * (1.0 + RETRY_AFTER_SPREAD * self._rng.random())
         return Refused(RefusalReason.QUOTA_EXCEEDED, spread, f"tenant {tenant} is above its limit")
 
-    def _unconfirmed(self) -> Refused:
+    def _unconfirmed_refusal(self) -> Refused:
         metrics.QUOTA_REFUSED.labels("unconfirmed").inc()
         detail = "no token is held here, and control doesn't answer"
         return Refused(RefusalReason.QUOTA_UNCONFIRMED, retry_after(0.0, self._rng), detail)
 
 
-def _nothing() -> None:
-    """Leave a request that is decided."""
+def _no_op() -> None:
+    """Do nothing; the request is already decided."""
--- a/src/finchshed/daemon/ingress/responses.py
+++ b/src/finchshed/daemon/ingress/responses.py
@@ -1,7 +1,7 @@
-"""Outcomes of calls as HTTP responses to the local back end and outside callers.
+"""Converts outcomes of calls to HTTP responses.
 
-A request that names its service is answered with a JSON body and headers that say whether it ran;
-a request by host with a line of text, as its callers know nothing of finchshed.
+Refusals and failures of service requests have a JSON body and headers that say whether the request
+ran. Those of host requests are plain text, because their callers don't know finchshed.
 """
 
 import math
@@ -25,8 +25,8 @@
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon.ingress.statuses import (
     STATUSES_WITH_RETRY_AFTER,
-    status_by_host,
-    status_by_service,
+    host_request_status,
+    service_request_status,
 )
 from finchshed.http.message import Response
 from finchshed.http.status import STATUS_BAD_REQUEST
@@ -37,17 +37,17 @@
 
 
 class OutcomeBody(msgspec.Struct, frozen=True):
-    """Body of a response that is not the back end's answer."""
+    """Body of a refusal or failure of a service request."""
 
     outcome: str
     reason: str
     detail: str
 
 
-def response_by_service(outcome: Outcome) -> Response:
-    """Return the response that tells ``outcome`` to a caller that named the service."""
+def service_response(outcome: Outcome) -> Response:
+    """Return the response to a service request with ``outcome``."""
     if isinstance(outcome, Answered):
-        return _answer(outcome, outcome.headers)
+        return _backend_response(outcome, outcome.headers)
     is_refused = isinstance(outcome, Refused)
     body = OutcomeBody(
         outcome="refused" if is_refused else "failed",
@@ -64,11 +64,11 @@
             (HEADER_RETRY_AFTER_MS, str(round(outcome.retry_after * MILLISECONDS))),
             ("retry-after", str(math.ceil(outcome.retry_after))),
         )
-    return Response(status_by_service(outcome), headers, msgspec.json.encode(body))
+    return Response(service_request_status(outcome), headers, msgspec.json.encode(body))
 
 
-def malformed_by_service(detail: str, status: int = STATUS_BAD_REQUEST) -> Response:
-    """Return the response to bytes that are no request: nothing has run."""
+def malformed_service_response(detail: str, status: int = STATUS_BAD_REQUEST) -> Response:
+    """Return the response to a malformed service request, which has not run."""
     body = OutcomeBody(outcome="refused", reason=REASON_MALFORMED, detail=detail)
     headers = (
         ("content-type", "application/json"),
@@ -78,30 +78,30 @@
     return Response(status, headers, msgspec.json.encode(body))
 
 
-def response_by_host(outcome: Outcome) -> Response:
-    """Return the response that tells ``outcome`` to a caller by host."""
+def host_response(outcome: Outcome) -> Response:
+    """Return the response to a host request with ``outcome``."""
     if isinstance(outcome, Answered):
         headers = tuple(item for item in outcome.headers if item[0] != HEADER_DOWNSTREAM)
-        return _answer(outcome, headers)
+        return _backend_response(outcome, headers)
     text = f"{outcome.reason}: {outcome.detail}" if outcome.detail else str(outcome.reason)
-    return _text(status_by_host(outcome), text, _retry_after_of(outcome))
+    return _text_response(host_request_status(outcome), text, _retry_after_of(outcome))
 
 
-def malformed_by_host(detail: str, status: int) -> Response:
-    """Return the response to bytes that are no request."""
-    return _text(status, detail, 0.0)
+def malformed_host_response(detail: str, status: int) -> Response:
+    """Return the response to a malformed host request."""
+    return _text_response(status, detail, 0.0)
 
 
 def _retry_after_of(outcome: Refused | Failed) -> float:
     return outcome.retry_after if isinstance(outcome, Refused) else 0.0
 
 
-def _text(status: int, text: str, retry_after_seconds: float) -> Response:
+def _text_response(status: int, text: str, retry_after_seconds: float) -> Response:
     headers: Headers = (("content-type", "text/plain"),)
     if status in STATUSES_WITH_RETRY_AFTER:
         headers += (("retry-after", f"{retry_after_seconds:.3f}"),)
     return Response(status, headers, text.encode("utf-8", "replace"))
 
 
-def _answer(answered: Answered, headers: Headers) -> Response:
+def _backend_response(answered: Answered, headers: Headers) -> Response:
     return Response(answered.status, headers, answered.body, answered.has_length)
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -1,9 +1,8 @@
-"""Handles requests that name their service: of the local back end and of outside callers.
+"""Handles service requests, which name their service, from the local back end and other callers.
 
-A request is spooled whole within its service's limit, given its context, and answered with the
-whole answer of a back end or with a refusal or failure that says whether it ran. Owns the places of
-callers within their class. Relies on the catalogue for routes and on the caller to have it
-answered.
+A request is read completely within its service's size limit and answered with the complete answer
+of a back end, or with a refusal or failure that says whether it ran. Owns the fair positions of
+callers within their importance class. Relies on the catalogue for routes.
 """
 
 import itertools
@@ -29,7 +28,7 @@
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon.calling.caller import Caller
 from finchshed.daemon.catalogue import Catalogue, Matched
-from finchshed.daemon.ingress.responses import malformed_by_service, response_by_service
+from finchshed.daemon.ingress.responses import malformed_service_response, service_response
 from finchshed.daemon.request import Request, end_to_end_headers
 from finchshed.daemon.serving.accounts import ServedRequest, ServedRequests
 from finchshed.http.message import InboundRequest, Response
@@ -38,8 +37,7 @@
 from finchshed.runtime import clock
 
 ROOT_PREFIX_BYTES = 8
-"""Random bytes in the identities that a daemon gives root requests: no two daemons give the
-same."""
+"""Random bytes in generated root identities, which make them unique across daemons."""
 
 _ACCOUNT = HEADER_ACCOUNT.encode("ascii")
 _CALLER = HEADER_CALLER.encode("ascii")
@@ -52,9 +50,9 @@
 
 
 class AdmittedServiceRequest(msgspec.Struct, frozen=True):
-    """What is known of a request from its head.
+    """Properties of an admitted request, known from its head.
 
-    ``served`` is the request of the local back end that calls on, or None for a root request.
+    ``served`` is the parent request in progress at the local back end, None for a root request.
     """
 
     matched: Matched
@@ -62,12 +60,12 @@
 
 
 class ServiceRequestHandler:
-    """Answers HTTP requests (the listener's handler).
+    """Handler of the listener for service requests.
 
     Parameters
     ----------
     not_ready_reason
-        Returns the reason why no request may be taken now, or None.
+        Returns why requests can't be accepted now, or None.
     """
 
     def __init__(
@@ -81,13 +79,13 @@
         self._served = served
         self._rng = rng
         self._root_prefix = secrets.token_hex(ROOT_PREFIX_BYTES)
-        self._roots = itertools.count()
-        self._fair = FairPositions(clock.now())
+        self._root_counter = itertools.count()
+        self._fair_positions = FairPositions(clock.now())
         self._not_ready_reason = not_ready_reason
         self.catalogue = Catalogue()
 
     def admit(self, request: InboundRequest) -> AdmittedServiceRequest | Refused:
-        """Judge a request by its head, before its body is read."""
+        """Admit or refuse a request by its head, before its body is read."""
         reason = self._not_ready_reason()
         if reason is not None:
             return self.refusal(reason)
@@ -105,7 +103,7 @@
         return AdmittedServiceRequest(matched, self._served.get(request.header(_ACCOUNT)))
 
     def max_body_bytes(self, admitted: AdmittedServiceRequest) -> int:
-        """Return the largest body taken for an admitted request."""
+        """Return the maximum body size of an admitted request."""
         return admitted.matched.service.max_body_bytes
 
     def handle(
@@ -114,7 +112,10 @@
         admitted: AdmittedServiceRequest,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
-        """Answer a whole request; ``respond`` is called once. Return what gives it up."""
+        """Process a complete request; return a callback that cancels it.
+
+        ``respond`` is called once.
+        """
         matched, served = admitted.matched, admitted.served
         if served is None:
             context = self._root_context(request, matched)
@@ -134,43 +135,45 @@
             session_at=request.header(_SESSION_AT) if matched.route.session else "",
         )
 
-        def answered(outcome: Outcome) -> None:
-            respond(response_by_service(outcome))
+        def on_outcome(outcome: Outcome) -> None:
+            respond(service_response(outcome))
 
         account = "" if served is None else served.account
-        return self._caller.call(message, account, _join_identity(request, served), answered)
+        return self._caller.call(message, account, _join_identity(request, served), on_outcome)
 
     def refused(self, refused: Refused) -> Response:
-        """Return the response that tells a refusal."""
-        return response_by_service(refused)
+        """Return the response to a refused request."""
+        return service_response(refused)
 
     def refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
-        """Return the refusal of a request for ``reason``."""
+        """Return a refusal for ``reason``."""
         return Refused(reason, retry_after(0.0, self._rng), detail)
 
     def malformed(self, detail: str, status: int) -> Response:
-        """Return the response to bytes that are no request, or no allowed one."""
-        return malformed_by_service(detail, status)
+        """Return the response to a malformed or disallowed request."""
+        return malformed_service_response(detail, status)
 
     def _root_context(self, request: InboundRequest, matched: Matched) -> CallContext:
-        # The account of a request that is over has nothing left to lend.
-        is_late = _ACCOUNT in request.first
+        # If the request has an account, its parent has ended: no attempts are left to lend.
+        is_parent_finished = _ACCOUNT in request.first
         root = request.header(_ROOT) or self._new_root()
         caller = request.header(_CALLER) or request.remote
         return CallContext(
             root=root,
             importance=matched.route.importance,
-            remaining_seconds=_deadline_of(request, matched.service.deadline_seconds),
-            spare_attempts=0 if is_late else self.catalogue.policy.retry_budget,
+            remaining_seconds=_remaining_seconds(request, matched.service.deadline_seconds),
+            spare_attempts=0 if is_parent_finished else self.catalogue.policy.retry_budget,
             caller=caller,
             session=request.header(_SESSION) if matched.route.session else "",
             key=request.header(_IDEMPOTENCY_KEY),
-            position=self._fair.place(caller, matched.route.importance, root, clock.now()),
+            position=self._fair_positions.place(
+                caller, matched.route.importance, root, clock.now()
+            ),
         )
 
     def _new_root(self) -> str:
-        """Return an identity no other request has; the random part is drawn once, not by call."""
-        return f"{self._root_prefix}-{next(self._roots):x}"
+        """Return a unique root identity: the random prefix of this daemon and a counter."""
+        return f"{self._root_prefix}-{next(self._root_counter):x}"
 
     def _nested_context(
         self, request: InboundRequest, matched: Matched, served: ServedRequest
@@ -179,11 +182,13 @@
         session = inherited.session
         if matched.route.session:
             session = request.header(_SESSION) or session
-        left = served.deadline - clock.now()
+        parent_remaining_seconds = served.deadline - clock.now()
         return CallContext(
             root=inherited.root,
             importance=inherited.importance,
-            remaining_seconds=min(left, _deadline_of(request, left)),
+            remaining_seconds=min(
+                parent_remaining_seconds, _remaining_seconds(request, parent_remaining_seconds)
+            ),
             spare_attempts=self._served.lend(served.account),
             depth=inherited.depth + 1,
             caller=inherited.caller,
@@ -194,6 +199,7 @@
 
 
 def _join_identity(request: InboundRequest, served: ServedRequest | None) -> str:
+    """Return the identity under which a repeat joins the request in progress, or empty."""
     key = request.header(_IDEMPOTENCY_KEY)
     if key:
         return f"key {key}"
@@ -202,13 +208,13 @@
     return ""
 
 
-def _deadline_of(request: InboundRequest, default_seconds: float) -> float:
-    """Return the seconds left by the word of the caller, or ``default_seconds``."""
+def _remaining_seconds(request: InboundRequest, default_seconds: float) -> float:
+    """Return the seconds in the request's deadline header, or ``default_seconds``."""
     value = request.first.get(_DEADLINE)
     if value is None:
         return default_seconds
     try:
         return int(value) / MILLISECONDS
     except ValueError:
-        # No number: the caller named no deadline that counts.
+        # An invalid header counts as missing.
         return default_seconds
--- a/src/finchshed/daemon/ingress/statuses.py
+++ b/src/finchshed/daemon/ingress/statuses.py
@@ -1,8 +1,8 @@
 """HTTP status of each refusal and failure, for both listeners of a daemon.
 
-Where a reason isn't named a refusal is 503 and a failure 502 (RFC 9110, 15.6). The two listeners
-share what is decided before a service is chosen; the rest differs, as requests by service carry
-idempotency keys and sessions, and requests by host API keys and limits.
+Reasons that aren't listed map to 503 for a refusal and 502 for a failure (RFC 9110, 15.6). Service
+requests name their service and carry idempotency keys and sessions; host requests are routed by
+host and path and carry API keys.
 """
 
 from collections.abc import Mapping
@@ -21,13 +21,13 @@
     STATUS_UNPROCESSABLE_CONTENT,
 )
 
-_REFUSED_BY_BOTH: Mapping[RefusalReason, int] = {
+_COMMON_REFUSAL_STATUSES: Mapping[RefusalReason, int] = {
     RefusalReason.UNKNOWN_ROUTE: STATUS_NOT_FOUND,
     RefusalReason.REQUEST_TOO_LARGE: STATUS_CONTENT_TOO_LARGE,
 }
 
-_REFUSED_BY_SERVICE: Mapping[RefusalReason, int] = {
-    **_REFUSED_BY_BOTH,
+_SERVICE_REFUSAL_STATUSES: Mapping[RefusalReason, int] = {
+    **_COMMON_REFUSAL_STATUSES,
     RefusalReason.SESSION_LIMIT: STATUS_TOO_MANY_REQUESTS,
     RefusalReason.KEY_MISSING: STATUS_BAD_REQUEST,
     RefusalReason.KEY_INVALID: STATUS_BAD_REQUEST,
@@ -35,36 +35,36 @@
     RefusalReason.KEY_REUSED: STATUS_UNPROCESSABLE_CONTENT,
 }
 
-_REFUSED_BY_HOST: Mapping[RefusalReason, int] = {
-    **_REFUSED_BY_BOTH,
+_HOST_REFUSAL_STATUSES: Mapping[RefusalReason, int] = {
+    **_COMMON_REFUSAL_STATUSES,
     RefusalReason.REQUEST_INVALID: STATUS_BAD_REQUEST,
     RefusalReason.API_KEY_MISSING: STATUS_UNAUTHORIZED,
     RefusalReason.API_KEY_UNKNOWN: STATUS_UNAUTHORIZED,
     RefusalReason.QUOTA_EXCEEDED: STATUS_TOO_MANY_REQUESTS,
 }
 
-_FAILED_BY_HOST: Mapping[FailureReason, int] = {
+_HOST_FAILURE_STATUSES: Mapping[FailureReason, int] = {
     FailureReason.DEADLINE: STATUS_GATEWAY_TIMEOUT,
 }
 
-_FAILED_BY_SERVICE: Mapping[FailureReason, int] = {
-    **_FAILED_BY_HOST,
+_SERVICE_FAILURE_STATUSES: Mapping[FailureReason, int] = {
+    **_HOST_FAILURE_STATUSES,
     FailureReason.OUTCOME_UNKNOWN: STATUS_CONFLICT,
 }
 
 STATUSES_WITH_RETRY_AFTER = frozenset({STATUS_SERVICE_UNAVAILABLE, STATUS_TOO_MANY_REQUESTS})
-"""Statuses that tell callers by host when to come back; with the others it wouldn't help."""
+"""Statuses for which responses to host requests have a Retry-After header."""
 
 
-def status_by_service(outcome: Refused | Failed) -> int:
-    """Return the status of an answer to a request that names its service."""
+def service_request_status(outcome: Refused | Failed) -> int:
+    """Return the status of the response to a service request."""
     if isinstance(outcome, Refused):
-        return _REFUSED_BY_SERVICE.get(outcome.reason, STATUS_SERVICE_UNAVAILABLE)
-    return _FAILED_BY_SERVICE.get(outcome.reason, STATUS_BAD_GATEWAY)
+        return _SERVICE_REFUSAL_STATUSES.get(outcome.reason, STATUS_SERVICE_UNAVAILABLE)
+    return _SERVICE_FAILURE_STATUSES.get(outcome.reason, STATUS_BAD_GATEWAY)
 
 
-def status_by_host(outcome: Refused | Failed) -> int:
-    """Return the status of an answer to a request by host and path."""
+def host_request_status(outcome: Refused | Failed) -> int:
+    """Return the status of the response to a host request."""
     if isinstance(outcome, Refused):
-        return _REFUSED_BY_HOST.get(outcome.reason, STATUS_SERVICE_UNAVAILABLE)
-    return _FAILED_BY_HOST.get(outcome.reason, STATUS_BAD_GATEWAY)
+        return _HOST_REFUSAL_STATUSES.get(outcome.reason, STATUS_SERVICE_UNAVAILABLE)
+    return _HOST_FAILURE_STATUSES.get(outcome.reason, STATUS_BAD_GATEWAY)
