--- a/src/finchshed/quota/__init__.py
+++ b/src/finchshed/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of tenants that hold over all daemons: a pool of tokens, divided among them."""
+"""Tenant rate limits enforced across all daemons by dividing a shared token budget among them."""
--- a/src/finchshed/quota/bucket.py
+++ b/src/finchshed/quota/bucket.py
@@ -1,13 +1,13 @@
-"""A token bucket whose rate and size may change. Pure."""
+"""Token bucket with adjustable rate and capacity. No I/O."""
 
 
 class TokenBucket:
-    """Holds tokens up to ``capacity``, and gets ``rate`` more a second.
+    """Token bucket that starts empty and refills at ``rate`` tokens per second to ``capacity``.
 
     Parameters
     ----------
     now
-        Time of creation, seconds; it is empty then.
+        Creation time in seconds.
     """
 
     __slots__ = ("_level", "_updated", "capacity", "rate")
@@ -19,45 +19,45 @@
         self._updated = now
 
     def level(self, now: float) -> float:
-        """Return the tokens held."""
+        """Return the current number of tokens."""
         self._refill(now)
         return self._level
 
     def take(self, wanted: int, now: float) -> int:
-        """Take up to ``wanted`` tokens; return how many."""
+        """Remove up to ``wanted`` whole tokens and return the number removed."""
         self._refill(now)
         taken = min(wanted, int(self._level))
         self._level -= taken
         return taken
 
     def take_fractional(self, wanted: float, now: float) -> float:
-        """Take up to ``wanted`` tokens, parts of one too; return how many."""
+        """Remove up to ``wanted`` tokens, fractions included, and return the number removed."""
         self._refill(now)
         taken = max(0.0, min(wanted, self._level))
         self._level -= taken
         return taken
 
     def remove_above(self, kept: float, now: float) -> float:
-        """Take what is held above ``kept``; return how much."""
+        """Remove the tokens above ``kept`` and return the number removed."""
         self._refill(now)
         removed = max(0.0, self._level - kept)
         self._level -= removed
         return removed
 
     def put(self, tokens: float, now: float) -> None:
-        """Put tokens in; what doesn't fit is lost."""
+        """Add tokens, discarding any that exceed the capacity."""
         self._refill(now)
         self._level = min(self.capacity, self._level + tokens)
 
     def resize(self, rate: float, capacity: float, now: float) -> float:
-        """Change rate and size; return the tokens that don't fit any more."""
+        """Set rate and capacity and return the tokens removed because they no longer fit."""
         self._refill(now)
         self.rate = rate
         self.capacity = capacity
         return self.remove_above(capacity, now)
 
     def seconds_until(self, tokens: float, now: float) -> float:
-        """Return when so many tokens will be held, at the earliest; infinite: never."""
+        """Return the seconds until ``tokens`` are available, infinite if the rate is zero."""
         self._refill(now)
         missing = tokens - self._level
         if missing <= 0.0:
--- a/src/finchshed/quota/daemon_share.py
+++ b/src/finchshed/quota/daemon_share.py
@@ -1,14 +1,12 @@
-"""A daemon's side of quotas: its buckets, its reports and its asks. Pure.
+"""Daemon side of tenant quotas: token buckets, reports to the leader and token requests. No I/O.
 
-A request takes a token from the daemon's bucket for its tenant. Where that is empty the daemon
-asks the leader's reserve, unless the reserve had too little not long ago. Buckets are
-filled by the daemon itself and used for :data:`~finchshed.quota.lease.LEASE_SECONDS` after the
-report that was answered last, so they serve also while control can't be reached.
+A request takes a token from the daemon's bucket for its tenant. If the bucket is empty, the daemon
+asks the leader's reserve, unless the reserve denied tokens a moment ago. Buckets refill locally and
+stay valid for :data:`~finchshed.quota.lease.LEASE_SECONDS` after the last answered report, so
+requests are admitted while the control group is unreachable.
 
-Inputs: the limits in force, requests of each tenant, the leader's answers and the time in seconds.
-Owns the daemon's buckets. What comes of a decision is carried out by
-:mod:`finchshed.daemon.ingress.quota_gate`, which gives the reasons ``quota_exceeded`` and
-``quota_unconfirmed``.
+Owns the daemon's buckets. :mod:`finchshed.daemon.ingress.quota_gate` acts on the decisions and
+refuses requests with the reasons ``quota_exceeded`` and ``quota_unconfirmed``.
 """
 
 import enum
@@ -31,81 +29,73 @@
 )
 
 REPORT_INTERVAL_SECONDS = 0.5
-"""Time between two reports: shares follow demand within about twice of it.
-
-At 1 s reports took 0.6 of the bytes, but 0.04 in place of 0.02 in 100 requests below a limit were
-refused in calm, and 0.9 in place of 0.3 near the limit, where each tenant sends to every daemon
-(model, one seed)."""
+"""Time between reports. Shares follow a change in demand within about two intervals."""
 
 DEMAND_AVERAGING_SECONDS = 5.0
-"""Demand is the mean over about this time.
+"""Time constant of the moving average of demand.
 
-Short enough for callers that move to other daemons, long enough that chance doesn't move the shares
-of small tenants. Over 2 s 8 in 100 of the limits were tied up in changes of shares
-(docs/design/quotas.md)."""
+Short enough to follow callers that move to other daemons, long enough that random fluctuation
+doesn't shift the shares of small tenants (docs/design/quotas.md)."""
 
 DEMAND_MIN = 0.02
-"""A tenant that sends less than this many requests a second has no bucket at the daemon. Chosen,
-not measured."""
+"""Demand in requests per second below which a daemon drops its bucket for a tenant."""
 
 DENIED_BACKOFF_SECONDS = 0.25
-"""The reserve is not asked again for this long once it had too little, and a spread.
+"""Minimum pause before asking the reserve again after it granted fewer tokens than requested.
 
-Without it every request above a limit would be a message: several times the limit of a tenant that
-sends too much. Chosen, not measured."""
+Without it every request above the limit would cost a message to the leader."""
 
 DENIED_JITTER = 0.5
-"""Part of :data:`DENIED_BACKOFF_SECONDS` that is added at random, so that daemons don't ask
-together again. Chosen, not measured."""
+"""Maximum random extension of :data:`DENIED_BACKOFF_SECONDS`, as a fraction of it.
+
+Keeps daemons from asking the reserve in lockstep."""
 
 UNREACHED_BACKOFF_SECONDS = 1.0
-"""After an ask without an answer none is made for this long: requests would wait in vain. Chosen,
-not measured."""
+"""Pause before asking the reserve again after a token request timed out."""
 
 RETRY_AFTER_SECONDS_MAX = 5.0
-"""Longest time after which a caller above its limit is told to come back: a window of the limit.
-Chosen, not measured."""
+"""Maximum retry delay given to callers above their limit: the default quota window."""
 
 
 class TokenDecision(enum.Enum):
-    """What becomes of a request that needs a token."""
+    """Result of taking a token for a request."""
 
     TAKEN = "taken"
-    """It has a token."""
+    """A token was taken from the daemon's bucket."""
 
     ASK = "ask"
-    """The reserve is to be asked for one."""
+    """The bucket is empty; the caller must request a token from the leader's reserve."""
 
     DENIED = "denied"
-    """Its tenant is above its limit."""
+    """The tenant is above its limit."""
 
     UNREACHED = "unreached"
-    """The daemon has none, and the leader doesn't answer."""
+    """The bucket is empty and the leader doesn't answer."""
 
 
 class _Share(msgspec.Struct):
-    """A daemon's bucket for one tenant, and what its callers ask for."""
+    """A daemon's bucket for one tenant and the demand on it."""
 
     bucket: TokenBucket
     demand: float = 0.0
     requests: int = 0
     fill: float = 1.0
-    left_over: float = 0.0
-    """Tokens that did not fit into a smaller bucket, to be returned."""
+    overflow: float = 0.0
+    """Tokens that no longer fit after a resize; the next report returns them to the reserve."""
 
     denied_until: float = -math.inf
-    next_return: float = -math.inf
+    next_retry_at: float = -math.inf
 
 
 class DaemonShare:
-    """The buckets of one daemon.
+    """Token buckets of one daemon, one for each limited tenant it serves.
 
     Parameters
     ----------
     incarnation
-        This life of the daemon.
+        Identity of this run of the daemon process.
     started_ms
-        When it began, Unix milliseconds.
+        Start of that run, Unix milliseconds.
     """
 
     def __init__(self, incarnation: str, started_ms: int = 0) -> None:
@@ -113,11 +103,11 @@
         self._started_ms = started_ms
         self._limits: dict[str, TenantLimit] = {}
         self._shares: dict[str, _Share] = {}
-        self._last_number = 0
+        self._last_message_number = 0
         self._report_number = 0
         self._report_sent_at = -math.inf
-        self._reported_at: float | None = None
-        self._ends_at = -math.inf
+        self._last_report_at: float | None = None
+        self._lease_ends_at = -math.inf
         self._unreached_until = -math.inf
 
     @property
@@ -126,7 +116,7 @@
         return bool(self._limits)
 
     def configure(self, tenants: Iterable[Tenant], policy: Policy, now: float) -> None:
-        """Act on the limits of a configuration; a share shrinks with a lower limit at once."""
+        """Apply the limits of a configuration, scaling shares down at once for lower limits."""
         found = ((tenant.name, limit_of(tenant, policy)) for tenant in tenants)
         limits = {name: limit for name, limit in found if limit is not None}
         for name, share in list(self._shares.items()):
@@ -140,11 +130,11 @@
         self._limits = limits
 
     def is_limited(self, tenant: str) -> bool:
-        """Return whether a tenant's requests need tokens."""
+        """Return whether requests of ``tenant`` need tokens."""
         return tenant in self._limits
 
     def take(self, tenant: str, now: float) -> TokenDecision:
-        """Take a token for a request of a limited tenant."""
+        """Count a request of a limited tenant and try to take a token for it."""
         share = self._shares.get(tenant)
         if share is None:
             share = self._shares[tenant] = _Share(TokenBucket(0.0, 0.0, now))
@@ -156,57 +146,59 @@
         return TokenDecision.DENIED if now < share.denied_until else TokenDecision.ASK
 
     def take_local(self, tenant: str, now: float) -> bool:
-        """Take a token of the daemon's own bucket, if it holds one."""
+        """Take a token from the daemon's bucket; return False if none is available."""
         share = self._shares.get(tenant)
-        return share is not None and now < self._ends_at and share.bucket.take(1, now) == 1
+        return share is not None and now < self._lease_ends_at and share.bucket.take(1, now) == 1
 
     def on_ask_timeout(self, now: float) -> None:
-        """Note that an ask was not answered."""
+        """Stop asking the reserve for a while after a token request timed out."""
         self._unreached_until = now + UNREACHED_BACKOFF_SECONDS
 
     def refund(self, tenant: str, now: float) -> None:
-        """Put back the token of a request that did not run."""
+        """Return the token of a request that was not executed."""
         share = self._shares.get(tenant)
         if share is not None:
             share.bucket.put(1.0, now)
 
     def retry_after_seconds(self, tenant: str, now: float) -> float:
-        """Return when a request above the limit is to come back: once those before it have room."""
+        """Return the delay after which a refused caller may retry.
+
+        Successive calls return increasing delays, so callers come back at the permitted rate.
+        """
         share = self._shares.get(tenant)
         limit = self._limits.get(tenant)
         if share is None or limit is None:
             return DENIED_BACKOFF_SECONDS
         rate = max(share.bucket.rate, limit.reserve_rate)
-        share.next_return = max(share.next_return, now) + 1.0 / rate
-        share.next_return = min(share.next_return, now + RETRY_AFTER_SECONDS_MAX)
-        return max(DENIED_BACKOFF_SECONDS, share.next_return - now)
+        share.next_retry_at = max(share.next_retry_at, now) + 1.0 / rate
+        share.next_retry_at = min(share.next_retry_at, now + RETRY_AFTER_SECONDS_MAX)
+        return max(DENIED_BACKOFF_SECONDS, share.next_retry_at - now)
 
     def next_report(self, now: float) -> QuotaReport | None:
-        """Return the report to send the leader now: it waits for those of all daemons.
-
-        None where no tenant has a limit.
-        """
-        if now >= self._ends_at:
-            self._drop_shares(now)
-        elapsed = REPORT_INTERVAL_SECONDS if self._reported_at is None else now - self._reported_at
-        self._reported_at = now
+        """Return the report to send to the leader, or None if no tenant has a limit."""
+        if now >= self._lease_ends_at:
+            self._empty_buckets(now)
+        elapsed = (
+            REPORT_INTERVAL_SECONDS if self._last_report_at is None else now - self._last_report_at
+        )
+        self._last_report_at = now
         held = []
         for name, share in list(self._shares.items()):
-            share.demand = _demand(share, elapsed)
+            share.demand = _average_demand(share, elapsed)
             share.requests = 0
             if share.demand < DEMAND_MIN:
                 del self._shares[name]
             else:
-                held.append(self._held(name, share, now))
+                held.append(self._held_share(name, share, now))
         if not self._limits:
             return None
-        self._last_number += 1
-        self._report_number = self._last_number
+        self._last_message_number += 1
+        self._report_number = self._last_message_number
         self._report_sent_at = now
         return QuotaReport(self._incarnation, self._report_number, tuple(held), self._started_ms)
 
     def on_shares(self, answer: QuotaShares, now: float) -> bool:
-        """Take the answer to the last report, in time; return whether it was that."""
+        """Apply the leader's shares; return False if they are late or answer an older report."""
         if answer.incarnation != self._incarnation or answer.number != self._report_number:
             return False
         if now > self._report_sent_at + ANSWER_TIMEOUT_SECONDS:
@@ -214,47 +206,48 @@
         for granted in answer.shares:
             share = self._shares.get(granted.tenant)
             if share is not None:
-                share.left_over += share.bucket.resize(granted.rate, granted.capacity, now)
+                share.overflow += share.bucket.resize(granted.rate, granted.capacity, now)
                 share.bucket.put(granted.tokens, now)
                 share.fill = granted.fill
-        self._ends_at = self._report_sent_at + LEASE_SECONDS
+        self._lease_ends_at = self._report_sent_at + LEASE_SECONDS
         return True
 
     def matches_incarnation(self, answer: QuotaTokens) -> bool:
-        """Return whether an answer is for this life of the daemon."""
+        """Return whether an answer is addressed to this incarnation of the daemon."""
         return answer.incarnation == self._incarnation
 
     def next_ask(self, tenant: str, tokens: int) -> QuotaAsk:
-        """Return an ask for tokens of the reserve."""
-        self._last_number += 1
-        return QuotaAsk(self._incarnation, self._last_number, tenant, tokens)
+        """Return the message that requests tokens from the leader's reserve."""
+        self._last_message_number += 1
+        return QuotaAsk(self._incarnation, self._last_message_number, tenant, tokens)
 
-    def on_tokens(self, ask: QuotaAsk, answer: QuotaTokens, spread: float, now: float) -> None:
-        """Take the answer to an ask; the tokens are the asking requests' own.
+    def on_tokens(self, ask: QuotaAsk, answer: QuotaTokens, jitter: float, now: float) -> None:
+        """Back off if the reserve granted fewer tokens than requested.
 
-        ``spread``, from 0 to 1, keeps daemons from asking again together.
+        The granted tokens belong to the waiting requests and aren't added to the bucket.
+        ``jitter``, from 0 to 1, scales the random part of the backoff.
         """
         share = self._shares.get(ask.tenant)
         if share is not None and answer.tokens < ask.tokens:
-            share.denied_until = now + DENIED_BACKOFF_SECONDS * (1.0 + DENIED_JITTER * spread)
+            share.denied_until = now + DENIED_BACKOFF_SECONDS * (1.0 + DENIED_JITTER * jitter)
 
     def rates(self) -> dict[str, tuple[float, float]]:
-        """Return rate and size of each bucket, for metrics and tests."""
+        """Return rate and capacity of each tenant's bucket, for metrics and tests."""
         return {
             name: (share.bucket.rate, share.bucket.capacity) for name, share in self._shares.items()
         }
 
-    def _drop_shares(self, now: float) -> None:
+    def _empty_buckets(self, now: float) -> None:
         for share in self._shares.values():
             share.bucket.resize(0.0, 0.0, now)
-            share.left_over = 0.0
+            share.overflow = 0.0
 
-    def _held(self, name: str, share: _Share, now: float) -> HeldShare:
+    def _held_share(self, name: str, share: _Share, now: float) -> HeldShare:
         bucket = share.bucket
-        returned, share.left_over = share.left_over, 0.0
+        returned, share.overflow = share.overflow, 0.0
         kept = max(share.fill * bucket.capacity, REPORT_INTERVAL_SECONDS * share.demand)
         if share.fill < 1.0:
-            # What comes in until the next report must fit in: nothing is lost at the brim then.
+            # Leave room for the tokens added before the next report, so that none overflow.
             kept = min(kept, bucket.capacity - REPORT_INTERVAL_SECONDS * bucket.rate)
         returned += bucket.remove_above(kept, now)
         level = bucket.level(now)
@@ -268,10 +261,10 @@
         )
 
 
-def _demand(share: _Share, elapsed: float) -> float:
-    """Return the requests a second of late: a moving mean that begins with the first count."""
-    present = share.requests / max(elapsed, REPORT_INTERVAL_SECONDS)
+def _average_demand(share: _Share, elapsed: float) -> float:
+    """Return the exponential moving average of requests per second, seeded by the first count."""
+    current = share.requests / max(elapsed, REPORT_INTERVAL_SECONDS)
     if not share.demand:
-        return present
-    kept = math.exp(-elapsed / DEMAND_AVERAGING_SECONDS)
-    return kept * share.demand + (1.0 - kept) * present
+        return current
+    weight = math.exp(-elapsed / DEMAND_AVERAGING_SECONDS)
+    return weight * share.demand + (1.0 - weight) * current
--- a/src/finchshed/quota/incarnations.py
+++ b/src/finchshed/quota/incarnations.py
@@ -1,8 +1,8 @@
-"""What each life of each daemon may hold, as the leader counts it. Pure.
+"""Leader's record of what each incarnation of each daemon may hold. No I/O.
 
-A daemon that starts anew holds nothing, but what its former life held may be in use until its lease
-ends, or until the later life reports. Owns the holdings, and keeps the sums of the tenants' pools
-in step with them.
+A restarted daemon holds nothing, but the shares of its previous incarnation may be in use until
+their lease ends or the newer incarnation reports. Owns the holdings and keeps the totals of the
+tenants' pools consistent with them.
 """
 
 import itertools
@@ -14,7 +14,7 @@
 
 
 class Incarnation(msgspec.Struct):
-    """One life of a daemon that reported, and what it may hold."""
+    """One run of a daemon process that has reported, and its holdings by tenant."""
 
     started_ms: int
     number: int
@@ -23,59 +23,62 @@
 
 
 class IncarnationTable:
-    """The lives that may hold shares.
+    """Incarnations that may hold shares.
 
     Parameters
     ----------
     tenants
-        Pools of the limited tenants, by name; the owner's, so that it may change.
+        Pools of the limited tenants by name. The table reads the caller's mapping, which may
+        change.
     """
 
     def __init__(self, tenants: Mapping[str, TenantPool]) -> None:
         self._tenants = tenants
-        self._lives: dict[str, dict[str, Incarnation]] = {}
+        self._by_daemon: dict[str, dict[str, Incarnation]] = {}
 
     def get(self, daemon: str, incarnation: str) -> Incarnation | None:
-        """Return what is counted of one life."""
-        return self._lives.get(daemon, {}).get(incarnation)
+        """Return the entry of one incarnation, or None if it isn't counted."""
+        return self._by_daemon.get(daemon, {}).get(incarnation)
 
-    def put(self, daemon: str, incarnation: str, life: Incarnation) -> None:
-        """Count a life; its holdings are in the sums already."""
-        self._lives.setdefault(daemon, {})[incarnation] = life
+    def put(self, daemon: str, incarnation: str, entry: Incarnation) -> None:
+        """Store an entry whose holdings are already included in the pools' totals."""
+        self._by_daemon.setdefault(daemon, {})[incarnation] = entry
 
     def forget_tenant(self, name: str) -> None:
-        """Forget what daemons hold of a tenant whose pool is gone."""
-        for life in self._all():
-            life.holdings.pop(name, None)
+        """Remove all holdings of a tenant whose pool no longer exists."""
+        for entry in self._all():
+            entry.holdings.pop(name, None)
 
     def forget(self, daemon: str, incarnation: str) -> None:
-        """Count no more what a life of a daemon held."""
-        lives = self._lives.get(daemon, {})
-        life = lives.pop(incarnation, None)
-        if life is None:
+        """Remove an incarnation and subtract its holdings from the pools."""
+        entries = self._by_daemon.get(daemon, {})
+        entry = entries.pop(incarnation, None)
+        if entry is None:
             return
-        for name, holding in life.holdings.items():
+        for name, holding in entry.holdings.items():
             self._tenants[name].subtract(holding)
-        if not lives:
-            del self._lives[daemon]
+        if not entries:
+            del self._by_daemon[daemon]
 
     def forget_before(self, daemon: str, started_ms: int) -> None:
-        """Count no more what lives held that began before another of their daemon."""
-        lives = self._lives.get(daemon, {})
-        former = [name for name, life in lives.items() if life.started_ms < started_ms]
-        for incarnation in former:
+        """Remove the incarnations of ``daemon`` that started before ``started_ms``."""
+        entries = self._by_daemon.get(daemon, {})
+        older = [name for name, entry in entries.items() if entry.started_ms < started_ms]
+        for incarnation in older:
             self.forget(daemon, incarnation)
 
     def forget_ended(self, now: float) -> None:
-        """Count no more what was held under leases that must have ended."""
+        """Remove the incarnations whose lease has ended."""
         ended = [
             (daemon, incarnation)
-            for daemon, lives in self._lives.items()
-            for incarnation, life in lives.items()
-            if life.ends_at <= now
+            for daemon, entries in self._by_daemon.items()
+            for incarnation, entry in entries.items()
+            if entry.ends_at <= now
         ]
         for daemon, incarnation in ended:
             self.forget(daemon, incarnation)
 
     def _all(self) -> Iterator[Incarnation]:
-        return itertools.chain.from_iterable(lives.values() for lives in self._lives.values())
+        return itertools.chain.from_iterable(
+            entries.values() for entries in self._by_daemon.values()
+        )
--- a/src/finchshed/quota/lease.py
+++ b/src/finchshed/quota/lease.py
@@ -1,30 +1,29 @@
-"""For how long a share of a limit may be used, and how long the leader has to count it.
+"""Lease durations for daemons' shares of a tenant limit.
 
-The times build on each other, so they stand together: a share is safe as long as the leader counts
-it for longer than any daemon may use it. docs/design/quotas.md says why; 1,000 seeds of
-tests/quota/test_quotas_in_a_failing_world.py hold it.
+The total of all shares stays within the limit because the leader counts a share for longer than any
+daemon may use it. See docs/design/quotas.md for the argument;
+tests/quota/test_quotas_in_a_failing_world.py checks the limit under injected faults.
 """
 
 LEASE_SECONDS = 4.6
-"""A daemon uses a share for this long after the report that it was granted for.
+"""How long a daemon may use a share after sending the report that the share answers.
 
-Longer than a change of the leader takes, so that daemons are served meanwhile. Chosen, not
-measured."""
+Outlasts a leader election, so daemons keep serving during one."""
 
 ANSWER_TIMEOUT_SECONDS = 1.0
-"""A daemon takes no answer that comes later than this after its report: what the report told of
-shares in use then still holds when the leader reads it. Chosen, not measured."""
+"""Answers that arrive later than this after the report are discarded.
+
+Bounds how stale the reported shares can be when the leader reads them."""
 
 LEADER_LEASE_SECONDS = LEASE_SECONDS + ANSWER_TIMEOUT_SECONDS
-"""The leader counts a share for this long after the last report that told of it."""
+"""How long the leader counts a share after the last report that contained it."""
 
 LEADER_OVERLAP_SECONDS = 1.0
-"""The leader before may have granted until so long after the new one was chosen (see
+"""How long a deposed leader may keep granting after its successor's election (see
 :mod:`finchshed.control.daemons.quota_service`)."""
 
 SETTLE_SECONDS = LEADER_LEASE_SECONDS + LEADER_OVERLAP_SECONDS
-"""After this time none of the shares is left that were granted before a new leader."""
+"""Time after an election by which every share granted by earlier leaders has expired."""
 
 DAEMON_EXPIRY_SECONDS = 30.0
-"""A daemon that has told nothing for this long is no longer noted as one that may hold a share.
-With 6 s a day of troubles went on alike: 0.652 to 0.655 (docs/design/compared-policies.md)."""
+"""A daemon that sent no report for this long is removed from the recorded share holders."""
--- a/src/finchshed/quota/limits.py
+++ b/src/finchshed/quota/limits.py
@@ -1,7 +1,6 @@
-"""How many requests of a tenant may be under way in all: its rate, and the tokens of its pool.
+"""Derives a tenant's token rate and capacity from its declaration and the quota policy.
 
-Pure: a function of the tenant's declaration and the policy's ``quota_window_seconds``,
-``quota_overshoot`` and ``quota_slack``.
+The policy fields are ``quota_window_seconds``, ``quota_overshoot`` and ``quota_slack``. No I/O.
 """
 
 import msgspec
@@ -9,34 +8,33 @@
 from finchshed.configuration.resources import Policy, Tenant
 
 GRANTED_CAPACITY_SHARE = 0.95
-"""Part of the tokens above the rate that are handed out.
+"""Fraction of the permitted token capacity that is handed out.
 
-The rest covers a leader of the control group that grants for a moment beside its successor: it does
-so for 1 s at most, from its reserve. Chosen, not measured; no window passed its limit in 1,000
-seeds of tests/quota/test_quotas_in_a_failing_world.py."""
+The remainder covers grants that a deposed leader makes from its reserve while it overlaps with its
+successor; see :data:`~finchshed.quota.lease.LEADER_OVERLAP_SECONDS`."""
 
 RESERVE_RATE_SHARE = 0.2
-"""Part of a tenant's rate that refills the leader's reserve at least; the daemons' buckets get up
-to the rest. See ``docs/design/quotas.md`` for shares compared."""
+"""Minimum fraction of a tenant's rate that refills the leader's reserve.
+
+The daemons' buckets receive at most the rest. See ``docs/design/quotas.md``."""
 
 RESERVE_CAPACITY_SHARE = 0.3
-"""Part of a tenant's tokens that the leader's reserve holds at least; the daemons hold up to the
-rest. Chosen with the rate's."""
+"""Minimum fraction of a tenant's token capacity assigned to the leader's reserve.
+
+The daemons' buckets receive at most the rest."""
 
 
 class TenantLimit(msgspec.Struct, frozen=True):
-    """A tenant's limit as it is divided.
+    """Total token budget of one tenant, divided between the daemons and the leader's reserve.
 
-    However the daemons use what they hold, in no time ``t`` do more than ``stock + rate * t``
-    requests get a token: that is how many tokens there are at most at its start, and how many are
-    added.
+    At most ``capacity + rate * t`` requests obtain a token within any ``t`` seconds.
 
     Attributes
     ----------
     rate
-        Tokens added a second, over all buckets.
-    stock
-        Tokens that all buckets together hold at most.
+        Tokens added per second over all buckets.
+    capacity
+        Maximum number of tokens that all buckets hold together.
     """
 
     rate: float
@@ -44,34 +42,36 @@
 
     @property
     def daemon_rate(self) -> float:
-        """Tokens added a second over the daemons' buckets."""
+        """Maximum tokens per second over all daemons' buckets."""
         return self.rate - self.reserve_rate
 
     @property
     def daemon_capacity(self) -> float:
-        """Tokens that the daemons' buckets together hold at most."""
+        """Maximum number of tokens that the daemons' buckets hold together."""
         return self.capacity - self.reserve_capacity
 
     @property
     def reserve_rate(self) -> float:
-        """Tokens added a second to the leader's reserve, at least."""
+        """Minimum tokens per second added to the leader's reserve."""
         return self.rate * RESERVE_RATE_SHARE
 
     @property
     def reserve_capacity(self) -> float:
-        """Tokens that the leader's reserve may hold, at least."""
+        """Minimum capacity of the leader's reserve."""
         return self.capacity * RESERVE_CAPACITY_SHARE
 
 
 def limit_of(tenant: Tenant, policy: Policy) -> TenantLimit | None:
-    """Return the limit of ``tenant``, or None where it has none.
+    """Return the limit of ``tenant``, or None if it is unlimited.
 
-    The most that a window may hold is ``(rate * window + burst) * (1 + overshoot) + slack``; what
-    of it the rate doesn't add in that time may stand in the buckets at its start.
+    A window admits at most ``(rate * window + burst) * (1 + overshoot) + slack`` requests. The
+    capacity is that maximum less the ``rate * window`` tokens added during the window.
     """
     rate = tenant.requests_per_second
     if not rate:
         return None
-    added = rate * policy.quota_window_seconds
-    most = (added + tenant.burst_requests) * (1.0 + policy.quota_overshoot) + policy.quota_slack
-    return TenantLimit(rate, GRANTED_CAPACITY_SHARE * (most - added))
+    refilled = rate * policy.quota_window_seconds
+    window_max = (refilled + tenant.burst_requests) * (
+        1.0 + policy.quota_overshoot
+    ) + policy.quota_slack
+    return TenantLimit(rate, GRANTED_CAPACITY_SHARE * (window_max - refilled))
--- a/src/finchshed/quota/messages.py
+++ b/src/finchshed/quota/messages.py
@@ -1,4 +1,4 @@
-"""What a daemon and the leader of the control group tell each other of quotas (JSON lines)."""
+"""Quota messages exchanged between daemons and the control group's leader, as JSON lines."""
 
 from typing import Annotated, TypeAlias
 
@@ -11,28 +11,29 @@
 
 
 TOKEN_DECIMALS = 3
-"""Digits behind the point of what is sent: a report names each tenant that sends to the daemon, and
-whole floating-point numbers made up most of its bytes. Chosen, not measured."""
+"""Decimal places of token counts and rates in messages.
+
+Full-precision floats would make up most of the bytes of a report."""
 
 
 def round_tokens(value: float) -> float:
-    """Return a number of tokens, or of them a second, as it is sent."""
+    """Return a token count or rate rounded to the precision used in messages."""
     return round(value, TOKEN_DECIMALS)
 
 
 class HeldShare(msgspec.Struct, frozen=True, array_like=True):
-    """A daemon's bucket for a tenant, and what was asked of it.
+    """A daemon's bucket for one tenant and the demand on it.
 
     Attributes
     ----------
     demand
-        Requests a second that the tenant sent to this daemon of late.
+        Moving average of the tenant's requests per second to this daemon.
     rate, capacity
-        The bucket as the daemon holds it when it tells.
+        Rate and capacity of the bucket when the report is made.
     level
-        Tokens that the bucket holds.
+        Tokens in the bucket.
     returned
-        Tokens that the daemon took out of its bucket for the reserve.
+        Tokens that the daemon removed from its bucket and returns to the reserve.
     """
 
     tenant: TenantName
@@ -44,10 +45,11 @@
 
 
 class QuotaReport(msgspec.Struct, frozen=True, tag="quota_report"):
-    """All buckets that a daemon holds; it holds none for a tenant that isn't named.
+    """All buckets that a daemon holds; it holds none for tenants that are not listed.
 
-    ``number`` rises with each message of one life of the daemon, ``incarnation`` names that life
-    and ``started_ms`` tells lives apart by age: Unix milliseconds, by the daemon's clock.
+    ``incarnation`` identifies one run of the daemon process and ``number`` increases with each of
+    its messages. ``started_ms`` orders the incarnations by start time, in Unix milliseconds of the
+    daemon's clock.
     """
 
     incarnation: str
@@ -57,7 +59,7 @@
 
 
 class QuotaAsk(msgspec.Struct, frozen=True, tag="quota_ask"):
-    """The daemon's bucket is empty: it asks for tokens of the reserve."""
+    """Requests tokens from the leader's reserve because the daemon's bucket is empty."""
 
     incarnation: str
     number: MessageNumber
@@ -66,14 +68,15 @@
 
 
 class GrantedShare(msgspec.Struct, frozen=True, array_like=True):
-    """A daemon's bucket from now on.
+    """Rate and capacity granted to a daemon's bucket for one tenant.
 
     Attributes
     ----------
     tokens
-        Tokens of the reserve for the bucket.
+        Tokens moved from the reserve to the bucket.
     fill
-        Part of its size that the reserve holds: buckets are kept about as full as it is.
+        Fraction of the reserve's capacity that is filled. The daemon keeps its bucket about as
+        full.
     """
 
     tenant: str
@@ -84,7 +87,7 @@
 
 
 class QuotaShares(msgspec.Struct, frozen=True, tag="quota_shares"):
-    """The answer to the report of this number."""
+    """Answers the report with the same ``number``."""
 
     incarnation: str
     number: int
@@ -92,7 +95,7 @@
 
 
 class QuotaTokens(msgspec.Struct, frozen=True, tag="quota_tokens"):
-    """The answer to an ask: tokens of the reserve, and when it may have more, seconds."""
+    """Answers a :class:`QuotaAsk` with tokens from the reserve and the wait until more arrive."""
 
     incarnation: str
     number: int
--- a/src/finchshed/quota/tenant_pool.py
+++ b/src/finchshed/quota/tenant_pool.py
@@ -1,4 +1,4 @@
-"""One tenant's limit at the leader: sums of what daemons may hold of it, and the reserve. Pure."""
+"""Leader's accounting for one tenant: totals of the daemons' holdings, and the reserve. No I/O."""
 
 import msgspec
 
@@ -6,13 +6,13 @@
 from finchshed.quota.limits import TenantLimit
 
 REBALANCE_FRACTION = 0.5
-"""Part of what a bucket holds less than others, for its size, that it is given with each report.
-Chosen, not measured; with levelled buckets 0.07 in 100 were refused in place of 1.5 where all
-tenants sent 1.5 times their usual (docs/design/quotas.md, successive versions)."""
+"""Fraction of a bucket's shortfall against the reserve's fill that is granted with each report.
+
+Rebalancing keeps some daemons from refusing requests while others hold unused tokens."""
 
 
 class Holding(msgspec.Struct):
-    """What is counted for one daemon and tenant: tokens a second, tokens, requests a second."""
+    """Rate, capacity and demand counted for one daemon and tenant."""
 
     rate: float
     capacity: float
@@ -20,7 +20,7 @@
 
 
 class TenantPool:
-    """One tenant's limit, the sums over its holdings, and the reserve."""
+    """One tenant's limit, the totals over its holdings, and the reserve."""
 
     def __init__(self, limit: TenantLimit, now: float) -> None:
         self.limit = limit
@@ -30,37 +30,41 @@
         self.reserve = TokenBucket(limit.reserve_rate, limit.reserve_capacity, now)
 
     def set_limit(self, limit: TenantLimit, now: float) -> None:
-        """Take another limit."""
+        """Replace the limit and shrink the reserve to its minimum share of it."""
         self.limit = limit
-        self.resize_reserve(now, is_settled=False)
+        self.resize_reserve(now, shares_known=False)
+
+    def resize_reserve(self, now: float, *, shares_known: bool) -> None:
+        """Size the reserve to its minimum share, or to all unheld budget if that is larger.
 
-    def resize_reserve(self, now: float, *, is_settled: bool) -> None:
-        """Give the reserve what no daemon holds, at least its own part."""
+        Unheld budget is only assigned when ``shares_known``, so that shares granted by an earlier
+        leader aren't assigned twice.
+        """
         limit = self.limit
         rate, capacity = limit.reserve_rate, limit.reserve_capacity
-        if is_settled:
+        if shares_known:
             rate = max(rate, limit.rate - self.rate)
             capacity = max(capacity, limit.capacity - self.capacity)
         self.reserve.resize(rate, capacity, now)
 
     def add(self, holding: Holding) -> None:
-        """Count a holding."""
+        """Add a holding to the totals."""
         self.rate += holding.rate
         self.capacity += holding.capacity
         self.demand += holding.demand
 
     def subtract(self, holding: Holding) -> None:
-        """Count a holding no more."""
+        """Subtract a holding from the totals."""
         self.rate -= holding.rate
         self.capacity -= holding.capacity
         self.demand -= holding.demand
 
     def fill(self, now: float) -> float:
-        """Return which part of its size the reserve holds."""
+        """Return the filled fraction of the reserve's capacity."""
         capacity = self.reserve.capacity
         return self.reserve.level(now) / capacity if capacity > 0.0 else 0.0
 
     def take_for_bucket(self, capacity: float, level: float, now: float) -> float:
-        """Take tokens of the reserve for a bucket that is less full than it."""
-        missing = self.fill(now) * capacity - level
-        return self.reserve.take_fractional(REBALANCE_FRACTION * missing, now)
+        """Take tokens from the reserve for a bucket that is less full than the reserve."""
+        shortfall = self.fill(now) * capacity - level
+        return self.reserve.take_fractional(REBALANCE_FRACTION * shortfall, now)
--- a/tests/quota/compare_reserve_shares.py
+++ b/tests/quota/compare_reserve_shares.py
@@ -11,76 +11,78 @@
 
 TENANTS = 78
 DAEMONS = 72
-REQUESTS_A_SECOND = 1300.0
+REQUESTS_PER_SECOND = 1300.0
 BEGIN, END = 10.0, 40.0
 
 
 def tenants() -> tuple[list[float], list[int]]:
-    """Return the usual rates, a few large, and the daemons that each is spread over."""
+    """Return the tenants' usual rates, a few of them large, and the daemons each one uses."""
     weights = [1.0 / (1.0 + number) ** 0.8 for number in range(TENANTS)]
-    rates = [REQUESTS_A_SECOND * weight / sum(weights) for weight in weights]
+    rates = [REQUESTS_PER_SECOND * weight / sum(weights) for weight in weights]
     return rates, [max(3, min(DAEMONS, int(rate))) for rate in rates]
 
 
-def calm(world: QuotaSimulation) -> None:
-    """Nothing happens."""
+def calm(simulation: QuotaSimulation) -> None:
+    """Apply no disturbance."""
 
 
-def hot(world: QuotaSimulation) -> None:
-    """Two tenants send many times their usual."""
+def hot(simulation: QuotaSimulation) -> None:
+    """Raise the load of two tenants to 7.5 times the usual for 7 s."""
     for name in ("t1", "t30"):
-        world.clock.at(15.0, lambda name=name: world.factor.update({name: 7.5}))  # type: ignore[misc]
-        world.clock.at(22.0, lambda name=name: world.factor.update({name: 1.0}))  # type: ignore[misc]
+        simulation.clock.at(15.0, lambda name=name: simulation.load_factors.update({name: 7.5}))  # type: ignore[misc]
+        simulation.clock.at(22.0, lambda name=name: simulation.load_factors.update({name: 1.0}))  # type: ignore[misc]
 
 
-def busy(world: QuotaSimulation) -> None:
-    """All tenants send 1.5 times their usual."""
-    world.factor = dict.fromkeys(world.usual_rates, 1.5)
+def busy(simulation: QuotaSimulation) -> None:
+    """Raise the load of all tenants to 1.5 times the usual."""
+    simulation.load_factors = dict.fromkeys(simulation.usual_rates, 1.5)
 
 
-def without_control(world: QuotaSimulation) -> None:
-    """There is no leader for 3 s."""
-    world.clock.at(20.0, lambda: world.change_leader(3.0))
+def without_control(simulation: QuotaSimulation) -> None:
+    """Leave the control group without a leader for 3 s."""
+    simulation.clock.at(20.0, lambda: simulation.change_leader(3.0))
 
 
-def restarts(world: QuotaSimulation) -> None:
-    """Half of the daemons start anew."""
+def restarts(simulation: QuotaSimulation) -> None:
+    """Restart half of the daemons."""
 
     def restart() -> None:
-        for daemon in world.daemons[::2]:
+        for daemon in simulation.daemons[::2]:
             daemon.restart()
 
-    world.clock.at(20.0, restart)
+    simulation.clock.at(20.0, restart)
 
 
-def play(disturb: Callable[[QuotaSimulation], None], seed: int) -> tuple[float, float, float]:
-    """Return the share refused below the limit, the fullest window, and messages a second."""
-    world = QuotaSimulation(seed, DAEMONS, *tenants())
-    disturb(world)
-    world.clock.run(END)
+def run_simulation(
+    disturb: Callable[[QuotaSimulation], None], seed: int
+) -> tuple[float, float, float]:
+    """Return the fraction refused below the limit, the peak window ratio and messages/s."""
+    simulation = QuotaSimulation(seed, DAEMONS, *tenants())
+    disturb(simulation)
+    simulation.clock.run(END)
     below = asked = 0
-    for name in world.usual_rates:
-        lost, all_asked = world.refused_below_limit(name, BEGIN, END)
+    for name in simulation.usual_rates:
+        lost, all_asked = simulation.refused_below_limit(name, BEGIN, END)
         below += lost
         asked += all_asked
-    fullest = max(world.peak_window_ratio(name, BEGIN) for name in world.usual_rates)
-    return below / asked, fullest, world.messages / END
+    fullest = max(simulation.peak_window_ratio(name, BEGIN) for name in simulation.usual_rates)
+    return below / asked, fullest, simulation.messages / END
 
 
 def main() -> None:
-    """Print the table."""
+    """Print one line for each combination of reserve shares and disturbance."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 1
-    ways = [(0.0, 0.0), (0.1, 0.2), (0.1, 0.4), (0.2, 0.5), (0.4, 0.6)]
-    for rate_share, stock_share in ways:
+    reserve_shares = [(0.0, 0.0), (0.1, 0.2), (0.1, 0.4), (0.2, 0.5), (0.4, 0.6)]
+    for rate_share, capacity_share in reserve_shares:
         limits.RESERVE_RATE_SHARE = rate_share
-        limits.RESERVE_CAPACITY_SHARE = stock_share
+        limits.RESERVE_CAPACITY_SHARE = capacity_share
         for disturb in (calm, hot, busy, without_control, restarts):
-            results = [play(disturb, seed) for seed in range(seeds)]
+            results = [run_simulation(disturb, seed) for seed in range(seeds)]
             below = sum(result[0] for result in results) / seeds
             fullest = max(result[1] for result in results)
             messages = sum(result[2] for result in results) / seeds
             print(
-                f"reserve {rate_share:.1f} of rate {stock_share:.1f} of tokens  "
+                f"reserve {rate_share:.1f} of rate {capacity_share:.1f} of tokens  "
                 f"{disturb.__name__:16} refused {below:.4%}  fullest {fullest:.2f}  "
                 f"messages/s {messages:.0f}"
             )
--- a/tests/quota/quota_simulation.py
+++ b/tests/quota/quota_simulation.py
@@ -1,7 +1,7 @@
-"""A small world for quotas: daemons, leaders of the control group, and a network that fails.
+"""Simulation of daemons, control-group leaders and a faulty network, for testing quotas.
 
-The daemons' shares and the leader's division are the real ones. A request counts as run when it
-gets its token.
+Runs the real :class:`DaemonShare` and :class:`QuotaAllocator`. A request counts as admitted once it
+has a token.
 """
 
 import random
@@ -16,15 +16,15 @@
 from tests.event_clock import Clock
 
 OVERLAP_SECONDS = 1.0
-"""A leader goes on granting for up to this long beside its successor."""
+"""Maximum time for which a deposed leader keeps granting beside its successor."""
 
-ASK_SECONDS = 0.25
+ASK_TIMEOUT_SECONDS = 0.25
 WINDOW_SECONDS = 5.0
 
 
 @dataclass
 class Counts:
-    """What became of a tenant's requests."""
+    """Times of a tenant's requests by outcome."""
 
     asked: list[float] = field(default_factory=list)
     run: list[float] = field(default_factory=list)
@@ -34,42 +34,44 @@
 
 
 class Daemon:
-    """A daemon with its shares; ``way`` is whom it sends to now."""
+    """A daemon with its quota shares and its connection faults."""
 
-    def __init__(self, world: "QuotaSimulation", number: int) -> None:
-        self.world = world
+    def __init__(self, simulation: "QuotaSimulation", number: int) -> None:
+        self.simulation = simulation
         self.name = f"d{number}"
-        self.life = 0
+        self.incarnation = 0
         self.share = DaemonShare("0")
         self.frozen_until = 0.0
         self.partitioned_until = 0.0
         self.delayed_until = 0.0
-        world.clock.at(world.rng.uniform(0.0, REPORT_INTERVAL_SECONDS), self.report)
+        simulation.clock.at(simulation.rng.uniform(0.0, REPORT_INTERVAL_SECONDS), self.report)
 
     def restart(self) -> None:
-        """Begin another life, with nothing held."""
-        self._repeat_later()
-        self.life += 1
-        self.share = DaemonShare(str(self.life), self.life)
+        """Start a new incarnation that holds no shares."""
+        self._send_late_report()
+        self.incarnation += 1
+        self.share = DaemonShare(str(self.incarnation), self.incarnation)
         self.configure()
 
-    def _repeat_later(self) -> None:
-        """Have a line of the life that ends come to the leader after the next life's."""
-        world = self.world
-        report = self.share.next_report(world.clock.now)
-        leader = world.leader_of(self)
+    def _send_late_report(self) -> None:
+        """Deliver a report of the ending incarnation after its successor's first report."""
+        simulation = self.simulation
+        report = self.share.next_report(simulation.clock.now)
+        leader = simulation.leader_of(self)
         if report is not None and leader is not None:
-            life = self.life
-            late = world.clock.now + world.rng.uniform(0.0, 3.0)
-            world.clock.at(late, lambda: leader.take(self, life, report))
+            incarnation = self.incarnation
+            arrival = simulation.clock.now + simulation.rng.uniform(0.0, 3.0)
+            simulation.clock.at(arrival, lambda: leader.handle(self, incarnation, report))
 
     def configure(self) -> None:
         """Take the limits in force."""
-        self.share.configure(self.world.tenants, self.world.policy, self.world.clock.now)
+        self.share.configure(
+            self.simulation.tenants, self.simulation.policy, self.simulation.clock.now
+        )
 
     def report(self) -> None:
-        """Tell the leader."""
-        clock = self.world.clock
+        """Send a report to the leader and schedule the next one."""
+        clock = self.simulation.clock
         if clock.now >= self.frozen_until:
             report = self.share.next_report(clock.now)
             if report is not None:
@@ -77,11 +79,11 @@
         clock.at(clock.now + REPORT_INTERVAL_SECONDS, self.report)
 
     def send_request(self, tenant: str) -> None:
-        """Take a request of a tenant."""
-        world, now = self.world, self.world.clock.now
+        """Handle one incoming request of ``tenant``."""
+        simulation, now = self.simulation, self.simulation.clock.now
         if now < self.frozen_until:
             return
-        counts = world.counts[tenant]
+        counts = simulation.counts[tenant]
         counts.asked.append(now)
         match self.share.take(tenant, now):
             case TokenDecision.TAKEN:
@@ -92,114 +94,121 @@
                 counts.unanswered.append(now)
             case TokenDecision.ASK:
                 ask = self.share.next_ask(tenant, 1)
-                waiting = self.world.waiting
-                waiting[(self.name, self.life, ask.number)] = (ask, now)
+                pending_asks = self.simulation.pending_asks
+                pending_asks[(self.name, self.incarnation, ask.number)] = (ask, now)
                 self._send(ask)
-                world.clock.at(now + ASK_SECONDS, lambda: self._give_up(ask, counts))
+                simulation.clock.at(
+                    now + ASK_TIMEOUT_SECONDS, lambda: self._on_ask_timeout(ask, counts)
+                )
 
-    def take(self, life: int, answer: QuotaShares | QuotaTokens) -> None:
-        """Take an answer, once the process runs."""
-        clock = self.world.clock
+    def handle(self, incarnation: int, answer: QuotaShares | QuotaTokens) -> None:
+        """Handle a leader's answer, deferred while the process is frozen."""
+        clock = self.simulation.clock
         if clock.now < self.frozen_until:
-            clock.at(self.frozen_until, lambda: self.take(life, answer))
+            clock.at(self.frozen_until, lambda: self.handle(incarnation, answer))
             return
-        if life != self.life:
+        if incarnation != self.incarnation:
             return
         if isinstance(answer, QuotaShares):
             self.share.on_shares(answer, clock.now)
             return
-        waited = self.world.waiting.pop((self.name, life, answer.number), None)
-        if waited is None:
+        pending = self.simulation.pending_asks.pop((self.name, incarnation, answer.number), None)
+        if pending is None:
             return
-        ask, _ = waited
-        self.share.on_tokens(ask, answer, self.world.rng.random(), clock.now)
-        counts = self.world.counts[ask.tenant]
+        ask, _ = pending
+        self.share.on_tokens(ask, answer, self.simulation.rng.random(), clock.now)
+        counts = self.simulation.counts[ask.tenant]
         has_token = bool(answer.tokens) or self.share.take_local(ask.tenant, clock.now)
         (counts.run if has_token else counts.refused).append(clock.now)
 
-    def _give_up(self, ask: QuotaAsk, counts: Counts) -> None:
-        now = self.world.clock.now
-        if self.world.waiting.pop((self.name, self.life, ask.number), None) is None:
+    def _on_ask_timeout(self, ask: QuotaAsk, counts: Counts) -> None:
+        now = self.simulation.clock.now
+        if (
+            self.simulation.pending_asks.pop((self.name, self.incarnation, ask.number), None)
+            is None
+        ):
             return
         self.share.on_ask_timeout(now)
         has_token = self.share.take_local(ask.tenant, now)
         (counts.run if has_token else counts.unanswered).append(now)
 
     def _send(self, message: QuotaReport | QuotaAsk) -> None:
-        world, life = self.world, self.life
-        world.messages += 1
-        now = world.clock.now
+        simulation, incarnation = self.simulation, self.incarnation
+        simulation.messages += 1
+        now = simulation.clock.now
         if now < self.partitioned_until:
             return
-        leader = world.leader_of(self)
+        leader = simulation.leader_of(self)
         if leader is None:
             return
-        arrives = max(now, self.delayed_until) + world.rng.expovariate(200.0)
-        world.clock.at(arrives, lambda: leader.take(self, life, message))
+        arrives = max(now, self.delayed_until) + simulation.rng.expovariate(200.0)
+        simulation.clock.at(arrives, lambda: leader.handle(self, incarnation, message))
 
 
 class Leader:
-    """A leader of the control group; it may go on for a moment beside its successor."""
+    """A leader of the control group, which may briefly overlap with its successor."""
 
-    def __init__(self, world: "QuotaSimulation") -> None:
-        self.world = world
+    def __init__(self, simulation: "QuotaSimulation") -> None:
+        self.simulation = simulation
         self.ends_at = float("inf")
-        self.division = QuotaAllocator(world.clock.now, world.recorded_daemons)
+        self.allocator = QuotaAllocator(simulation.clock.now, simulation.recorded_daemons)
         self.configure()
         self.tick()
 
     def configure(self) -> None:
         """Take the limits in force."""
-        self.division.configure(self.world.tenants, self.world.policy, self.world.clock.now)
+        self.allocator.configure(
+            self.simulation.tenants, self.simulation.policy, self.simulation.clock.now
+        )
 
     def tick(self) -> None:
-        """Have the division look at what has ended, as the control node does."""
-        clock = self.world.clock
-        self.division.tick(clock.now)
+        """Expire leases and record daemons periodically, as the control node does."""
+        clock = self.simulation.clock
+        self.allocator.tick(clock.now)
         if clock.now < self.ends_at:
-            self._note()
+            self._record_daemons()
         if clock.now < self.ends_at:
             clock.at(clock.now + 0.25, self.tick)
 
-    def _note(self) -> None:
-        """Have the log note what it is to note; it takes a moment and may be lost."""
-        world = self.world
+    def _record_daemons(self) -> None:
+        """Record daemons in the replicated log, with a delay and possible loss."""
+        simulation = self.simulation
         added, removed = (
-            self.division.unrecorded_daemons(),
-            self.division.expired_daemons(world.clock.now),
+            self.allocator.unrecorded_daemons(),
+            self.allocator.expired_daemons(simulation.clock.now),
         )
-        if (added or removed) and world.rng.random() < 0.9:
-            world.recorded_daemons = (world.recorded_daemons - set(removed)) | set(added)
-            later = world.clock.now + world.rng.expovariate(50.0)
-            world.clock.at(later, lambda: self.division.on_recorded(added, removed))
-
-    def take(self, daemon: Daemon, life: int, message: QuotaReport | QuotaAsk) -> None:
-        """Answer a daemon."""
-        clock = self.world.clock
+        if (added or removed) and simulation.rng.random() < 0.9:
+            simulation.recorded_daemons = (simulation.recorded_daemons - set(removed)) | set(added)
+            later = simulation.clock.now + simulation.rng.expovariate(50.0)
+            simulation.clock.at(later, lambda: self.allocator.on_recorded(added, removed))
+
+    def handle(self, daemon: Daemon, incarnation: int, message: QuotaReport | QuotaAsk) -> None:
+        """Handle a daemon's message and send the answer."""
+        clock = self.simulation.clock
         if clock.now >= self.ends_at:
             return
         if isinstance(message, QuotaReport):
-            answer: QuotaShares | QuotaTokens | None = self.division.on_report(
+            answer: QuotaShares | QuotaTokens | None = self.allocator.on_report(
                 daemon.name, message, clock.now
             )
         else:
-            answer = self.division.on_ask(message, clock.now)
+            answer = self.allocator.on_ask(message, clock.now)
         if answer is None or clock.now < daemon.partitioned_until:
             return
-        taken = answer
-        arrives = max(clock.now, daemon.delayed_until) + self.world.rng.expovariate(200.0)
-        clock.at(arrives, lambda: daemon.take(life, taken))
+        sent = answer
+        arrives = max(clock.now, daemon.delayed_until) + self.simulation.rng.expovariate(200.0)
+        clock.at(arrives, lambda: daemon.handle(incarnation, sent))
 
 
 class QuotaSimulation:
-    """Daemons and leaders under load, and faults drawn from a seed.
+    """Daemons and leaders under load, with randomness drawn from a seed.
 
     Parameters
     ----------
     rates
-        Requests a second of each tenant, as usual; its limit is 1.6 times that.
+        Usual requests per second of each tenant; its limit is 1.6 times that.
     spread
-        Daemons that each tenant's callers use.
+        Number of daemons that each tenant's callers use.
     """
 
     def __init__(
@@ -209,10 +218,10 @@
         self.clock = Clock()
         self.policy = Policy()
         self.usual_rates = dict(zip((f"t{n}" for n in range(len(rates))), rates, strict=True))
-        self.factor = dict.fromkeys(self.usual_rates, 1.0)
+        self.load_factors = dict.fromkeys(self.usual_rates, 1.0)
         self.tenants = [self._tenant(name, 1.6 * rate) for name, rate in self.usual_rates.items()]
         self.counts: dict[str, Counts] = defaultdict(Counts)
-        self.waiting: dict[tuple[str, int, int], tuple[QuotaAsk, float]] = {}
+        self.pending_asks: dict[tuple[str, int, int], tuple[QuotaAsk, float]] = {}
         self.messages = 0
         self.recorded_daemons: set[str] = set()
         self.leaders: list[Leader] = [Leader(self)]
@@ -226,42 +235,42 @@
             self.clock.at(8.0, lambda name=name: self._arrive(name))  # type: ignore[misc]
 
     def configure(self) -> None:
-        """Put the limits in force everywhere."""
-        for holder in (*self.leaders, *self.daemons):
-            holder.configure()
+        """Apply the current limits at all leaders and daemons."""
+        for node in (*self.leaders, *self.daemons):
+            node.configure()
 
     def set_limit(self, name: str, rate: float) -> None:
-        """Give a tenant another limit."""
+        """Change a tenant's limit."""
         self.tenants = [
             self._tenant(name, rate) if tenant.name == name else tenant for tenant in self.tenants
         ]
         self.configure()
 
     def leader_of(self, daemon: Daemon) -> Leader | None:
-        """Return the leader that a daemon's messages go to."""
+        """Return a live leader for a daemon's next message, or None if there is none."""
         live = [leader for leader in self.leaders if leader.ends_at > self.clock.now]
         return self.rng.choice(live) if live else None
 
     def change_leader(self, gap: float) -> None:
-        """Have the leader replaced: after ``gap`` seconds, or with an overlap where negative."""
+        """Replace the leader after ``gap`` seconds; a negative gap makes the two overlap."""
         now = self.clock.now
         overlap = min(OVERLAP_SECONDS, max(0.0, -gap))
         self._end_leaders(overlap)
 
-        def follow() -> None:
+        def elect_successor() -> None:
             self._end_leaders(overlap)
             self.leaders.append(Leader(self))
 
-        self.clock.at(now + max(0.0, gap), follow)
+        self.clock.at(now + max(0.0, gap), elect_successor)
 
     def _end_leaders(self, overlap: float) -> None:
         for leader in self.leaders:
             leader.ends_at = min(leader.ends_at, self.clock.now + overlap)
 
     def peak_window_ratio(self, name: str, since: float) -> float:
-        """Return the largest window of a tenant as a part of what it may hold."""
+        """Return the requests of a tenant's fullest window as a fraction of the maximum."""
         tenant = next(tenant for tenant in self.tenants if tenant.name == name)
-        most = (
+        window_max = (
             tenant.requests_per_second * WINDOW_SECONDS + tenant.burst_requests
         ) * 1.1 + self.policy.quota_slack
         run = sorted(time for time in self.counts[name].run if time >= since)
@@ -270,13 +279,16 @@
             while run[first] < time - WINDOW_SECONDS:
                 first += 1
             largest = max(largest, last - first + 1)
-        return largest / most
+        return largest / window_max
 
     def refused_below_limit(self, name: str, since: float, until: float) -> tuple[float, int]:
-        """Return the requests a central bucket takes beyond those that ran, and all requests."""
+        """Return the number of requests refused below the limit, and of all requests.
+
+        The first is how many more requests a single central bucket would have admitted.
+        """
         tenant = next(tenant for tenant in self.tenants if tenant.name == name)
         counts = self.counts[name]
-        level, at, taken = tenant.burst_requests, 0.0, 0
+        level, at, admitted = tenant.burst_requests, 0.0, 0
         asked = 0
         for time in sorted(counts.asked):
             level = min(tenant.burst_requests, level + (time - at) * tenant.requests_per_second)
@@ -284,16 +296,16 @@
             if level >= 1.0:
                 level -= 1.0
                 if since <= time < until:
-                    taken += 1
+                    admitted += 1
             if since <= time < until:
                 asked += 1
         run = sum(since <= time < until for time in counts.run)
-        return max(0, taken - run), asked
+        return max(0, admitted - run), asked
 
     def _tenant(self, name: str, rate: float) -> Tenant:
         return Tenant(name, requests_per_second=rate, burst_requests=rate)
 
     def _arrive(self, name: str) -> None:
         self.rng.choice(self.daemons_by_tenant[name]).send_request(name)
-        rate = self.usual_rates[name] * self.factor[name]
+        rate = self.usual_rates[name] * self.load_factors[name]
         self.clock.at(self.clock.now + self.rng.expovariate(rate), lambda: self._arrive(name))
--- a/tests/quota/test_bucket.py
+++ b/tests/quota/test_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets whose rate and size change."""
+"""Tests of the token bucket: refill, overflow, resizing and fractional transfers."""
 
 from finchshed.quota.bucket import TokenBucket
 
--- a/tests/quota/test_daemon_share.py
+++ b/tests/quota/test_daemon_share.py
@@ -1,4 +1,4 @@
-"""A daemon's buckets, reports and asks."""
+"""Tests of a daemon's quota buckets, reports and token requests."""
 
 import pytest
 
@@ -17,36 +17,38 @@
 TENANT = Tenant("t", requests_per_second=100.0, burst_requests=100.0)
 
 
-def daemon(*tenants: Tenant) -> DaemonShare:
+def limited_share(*tenants: Tenant) -> DaemonShare:
     share = DaemonShare("life")
     share.configure(tenants or (TENANT,), Policy(), 0.0)
     return share
 
 
-def told(share: DaemonShare, now: float) -> QuotaReport:
+def require_report(share: DaemonShare, now: float) -> QuotaReport:
     report = share.next_report(now)
     assert report is not None
     return report
 
 
-def granted(share: DaemonShare, now: float, rate: float, capacity: float, **more: object) -> bool:
-    """Have the daemon report and be granted a bucket at once."""
-    number = told(share, now).number
-    grant = GrantedShare("t", rate, capacity, **more)  # type: ignore[arg-type]
+def apply_grant(
+    share: DaemonShare, now: float, rate: float, capacity: float, **fields: object
+) -> bool:
+    """Make the daemon report and apply a grant in answer; return whether it was accepted."""
+    number = require_report(share, now).number
+    grant = GrantedShare("t", rate, capacity, **fields)  # type: ignore[arg-type]
     return share.on_shares(QuotaShares("life", number, (grant,)), now)
 
 
 def test_a_daemon_without_a_bucket_asks() -> None:
-    share = daemon()
+    share = limited_share()
     assert share.take("t", 1.0) is TokenDecision.ASK
     assert share.is_limited("t")
     assert not share.is_limited("other")
 
 
 def test_a_granted_bucket_serves_until_its_lease_ends() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    assert granted(share, 1.0, 10.0, 5.0, tokens=2.0)
+    assert apply_grant(share, 1.0, 10.0, 5.0, tokens=2.0)
     assert share.take("t", 1.0) is TokenDecision.TAKEN
     assert share.take("t", 1.0) is TokenDecision.TAKEN
     assert share.take("t", 1.0) is TokenDecision.ASK
@@ -55,20 +57,20 @@
 
 
 def test_a_bucket_whose_lease_ended_is_not_told_of_and_is_empty_afterwards() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    assert granted(share, 1.0, 10.0, 5.0)
+    assert apply_grant(share, 1.0, 10.0, 5.0)
     share.take("t", 1.0 + LEASE_SECONDS)
-    (held,) = told(share, 1.0 + LEASE_SECONDS).shares
+    (held,) = require_report(share, 1.0 + LEASE_SECONDS).shares
     assert (held.rate, held.capacity) == (0.0, 0.0)
 
 
 def test_only_the_answer_to_the_last_report_counts_and_only_in_time() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    first = told(share, 1.0).number
+    first = require_report(share, 1.0).number
     share.take("t", 1.2)
-    second = told(share, 1.5).number
+    second = require_report(share, 1.5).number
     grant = (GrantedShare("t", 10.0, 5.0, 5.0),)
     assert not share.on_shares(QuotaShares("life", first, grant), 1.6)
     assert not share.on_shares(QuotaShares("former", second, grant), 1.6)
@@ -79,7 +81,7 @@
 
 
 def test_after_a_denial_the_reserve_is_left_alone_for_a_moment() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
     ask = share.next_ask("t", 3)
     share.on_tokens(ask, QuotaTokens("life", ask.number, 1, 0.4), 0.0, 1.0)
@@ -91,9 +93,9 @@
 
 
 def test_tokens_come_back_of_requests_that_did_not_run() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    granted(share, 1.0, 0.0, 5.0, tokens=1.0)
+    apply_grant(share, 1.0, 0.0, 5.0, tokens=1.0)
     assert share.take("t", 1.0) is TokenDecision.TAKEN
     share.refund("t", 1.0)
     share.refund("unknown", 1.0)
@@ -101,41 +103,43 @@
 
 
 def test_what_is_not_needed_is_returned_if_it_is_wanted() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    granted(share, 1.0, 2.0, 5.0, tokens=5.0)
-    assert told(share, 1.5).shares[0].returned == 0.0
-    granted(share, 2.0, 2.0, 5.0, fill=0.5)
-    (held,) = told(share, 2.5).shares
+    apply_grant(share, 1.0, 2.0, 5.0, tokens=5.0)
+    assert require_report(share, 1.5).shares[0].returned == 0.0
+    apply_grant(share, 2.0, 2.0, 5.0, fill=0.5)
+    (held,) = require_report(share, 2.5).shares
     assert (held.returned, held.level) == (2.5, 2.5)
 
 
 def test_a_tenant_that_sends_no_more_has_no_bucket() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 0.1)
-    assert told(share, 0.5).shares[0].demand > 0.0
-    reports = [told(share, 0.5 + REPORT_INTERVAL_SECONDS * number) for number in range(1, 100)]
+    assert require_report(share, 0.5).shares[0].demand > 0.0
+    reports = [
+        require_report(share, 0.5 + REPORT_INTERVAL_SECONDS * number) for number in range(1, 100)
+    ]
     assert reports[0].shares
     assert reports[-1].shares == ()
 
 
 def test_without_limits_there_is_nothing_to_tell() -> None:
-    assert daemon(Tenant("free")).next_report(1.0) is None
+    assert limited_share(Tenant("free")).next_report(1.0) is None
 
 
 def test_tokens_that_do_not_fit_a_smaller_bucket_go_back() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    granted(share, 1.0, 0.0, 5.0, tokens=5.0)
+    apply_grant(share, 1.0, 0.0, 5.0, tokens=5.0)
     share.take("t", 1.5)
-    granted(share, 1.5, 0.0, 1.0)
-    assert told(share, 2.0).shares[0].returned >= 3.0
+    apply_grant(share, 1.5, 0.0, 1.0)
+    assert require_report(share, 2.0).shares[0].returned >= 3.0
 
 
 def test_a_lower_limit_shrinks_a_bucket_at_once() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    granted(share, 1.0, 50.0, 50.0)
+    apply_grant(share, 1.0, 50.0, 50.0)
     lower = Tenant("t", requests_per_second=10.0, burst_requests=10.0)
     share.configure((lower,), Policy(), 1.0)
     assert share.rates()["t"][0] == 5.0
@@ -145,9 +149,9 @@
 
 
 def test_callers_above_a_limit_come_back_one_after_the_other() -> None:
-    share = daemon()
+    share = limited_share()
     share.take("t", 1.0)
-    granted(share, 1.0, 40.0, 50.0)
+    apply_grant(share, 1.0, 40.0, 50.0)
     waits = [share.retry_after_seconds("t", 1.0) for _ in range(300)]
     assert waits == sorted(waits)
     assert waits[0] == DENIED_BACKOFF_SECONDS
