--- a/src/finchshed/configuration/declarations.py
+++ b/src/finchshed/configuration/declarations.py
@@ -62,7 +62,7 @@
 from finchshed.configuration.validation import problems_of
 from finchshed.settings.toml_file import NESTED_TOO_DEEP
 
-TABLES: Mapping[str, type[Resource]] = {
+RESOURCE_TYPES: Mapping[str, type[Resource]] = {
     "service": Service,
     "endpoint": Endpoint,
     "policy": Policy,
@@ -92,8 +92,8 @@
             self.problems.append(f"{path.name}: {NESTED_TOO_DEEP}")
             return
         for table_name, content in document.items():
-            if table_name not in TABLES:
-                allowed = ", ".join(TABLES)
+            if table_name not in RESOURCE_TYPES:
+                allowed = ", ".join(RESOURCE_TYPES)
                 self.problems.append(
                     f"{path.name}: {table_name}: no such table, allowed are: {allowed}"
                 )
@@ -111,7 +111,7 @@
             item = self._with_routes(item, where)
         if table_name in {"host_route", "tenant"}:
             item = dict(importance_from_name(item, where, self.problems))
-        resource = convert_table(item, TABLES[table_name], where, self.problems)
+        resource = convert_table(item, RESOURCE_TYPES[table_name], where, self.problems)
         if resource is not None:
             self._add(resource, file, explicit_state="state" in item)
 
--- a/src/finchshed/configuration/store.py
+++ b/src/finchshed/configuration/store.py
@@ -32,7 +32,7 @@
 
 OPERATOR_KIND = "operator"
 
-WHOLE_KINDS = frozenset(kind_of(kind) for kind in (Service, HostRoute, IngressLimits, Tenant))
+REPLACED_KINDS = frozenset(kind_of(kind) for kind in (Service, HostRoute, IngressLimits, Tenant))
 """Kinds that a change with the whole configuration gives all resources of."""
 
 BOOTSTRAP_OPERATOR = "bootstrap"
@@ -179,7 +179,7 @@
         if not change.is_whole:
             return change
         given = {key_of(resource) for resource in change.puts}
-        missing = [key for key in self.resources if key.kind in WHOLE_KINDS and key not in given]
+        missing = [key for key in self.resources if key.kind in REPLACED_KINDS and key not in given]
         puts = [item for item in change.puts if self.resources.get(key_of(item)) != item]
         # Two different resources of one key are left for the check of duplicates.
         if len(given) < len(change.puts):
--- a/src/finchshed/control/daemons/distribution_service.py
+++ b/src/finchshed/control/daemons/distribution_service.py
@@ -191,7 +191,7 @@
 
     async def _look_for_contact(self) -> None:
         while True:
-            self._server.note_contact(self._log.in_contact())
+            self._server.set_quorum_contact(self._log.in_contact())
             await asyncio.sleep(CONTACT_SECONDS)
 
     async def _report(self) -> None:
--- a/src/finchshed/control/daemons/ledger_router.py
+++ b/src/finchshed/control/daemons/ledger_router.py
@@ -77,7 +77,7 @@
         handlers = ClientHandlers(
             on_delta=lambda _: None,
             on_connected=lambda: None,
-            on_lost=lambda: None,
+            on_disconnected=lambda: None,
             revision_held=lambda: 0,
             revision_in_force=lambda: 0,
         )
--- a/src/finchshed/daemon/calling/endpoints.py
+++ b/src/finchshed/daemon/calling/endpoints.py
@@ -49,7 +49,7 @@
     def on_update(self, update: DirectoryUpdate) -> None:
         """Merge registrations. A control node that just started doesn't know them all yet."""
         now = clock.now()
-        present = self._directory.present_at(update.registrations)
+        present = self._directory.present_addresses(update.registrations)
         news = self._directory.merge(update.registrations, now)
         # A daemon that has just started and knows of no back end is no news where none was known.
         reported = [item for item in news if item.instance or item.address in present]
--- a/src/finchshed/directory/table.py
+++ b/src/finchshed/directory/table.py
@@ -19,8 +19,8 @@
         A registration that nobody confirmed for longer is dropped: its machine may be gone.
     """
 
-    def __init__(self, forget_seconds: float) -> None:
-        self._forget_seconds = forget_seconds
+    def __init__(self, expiry_seconds: float) -> None:
+        self._forget_seconds = expiry_seconds
         self._held: dict[str, Registration] = {}
         self._endpoints: dict[str, Endpoint] = {}
         self._confirmed_at: dict[str, float] = {}
@@ -37,7 +37,7 @@
         """Return the registration of the daemon at ``address``."""
         return self._held.get(address)
 
-    def present_at(self, registrations: Iterable[Registration]) -> set[str]:
+    def present_addresses(self, registrations: Iterable[Registration]) -> set[str]:
         """Return the addresses of these at which a back end is held to be there."""
         return {item.address for item in registrations if item.address in self._endpoints}
 
--- a/src/finchshed/distribution/addresses.py
+++ b/src/finchshed/distribution/addresses.py
@@ -11,23 +11,23 @@
 
 from finchshed.common.backoff import Backoff
 
-FIRST_BACKOFF_SECONDS = 0.2
+BACKOFF_SECONDS_MIN = 0.2
 """Bound of the wait before a node that failed once is tried again. Chosen, not measured."""
 
-LONGEST_BACKOFF_SECONDS = 5.0
+BACKOFF_SECONDS_MAX = 5.0
 """Bound of that wait after many failures. Chosen, not measured."""
 
-FIRST_CONNECT_SECONDS = 0.15
+CONNECT_TIMEOUT_SECONDS_MIN = 0.15
 """Longest wait for the first connection to a node: ten round trips between the zones of a region.
 
 A machine that has no power answers nothing; when a whole site comes back the nodes that are up
 already are found by going on to the next one soon. The wait doubles with each failure."""
 
-LONGEST_CONNECT_SECONDS = 0.75
+CONNECT_TIMEOUT_SECONDS_MAX = 0.75
 """Longest wait for a connection, once shorter ones have failed: a slow node, a far region."""
 
-RECONNECT_BACKOFF = Backoff(FIRST_BACKOFF_SECONDS, LONGEST_BACKOFF_SECONDS)
-CONNECT_PATIENCE = Backoff(FIRST_CONNECT_SECONDS, LONGEST_CONNECT_SECONDS)
+RECONNECT_BACKOFF = Backoff(BACKOFF_SECONDS_MIN, BACKOFF_SECONDS_MAX)
+CONNECT_TIMEOUT = Backoff(CONNECT_TIMEOUT_SECONDS_MIN, CONNECT_TIMEOUT_SECONDS_MAX)
 
 STABLE_SECONDS = 10.0
 """A connection that lived this long counts as a success, and the delay starts anew. Chosen,
@@ -101,7 +101,7 @@
         wait = self._records[first].ready_at - now
         return ConnectAttempt(first, wait, self._connect_seconds(first))
 
-    def nearer(self, address: ControlAddress) -> ControlAddress | None:
+    def own_zone_node(self, address: ControlAddress) -> ControlAddress | None:
         """Return a node of the own zone, if ``address`` is of another."""
         if address.zone == self._zone:
             return None
@@ -113,7 +113,9 @@
         record.failures = 0
         record.ready_at = 0.0
 
-    def on_ended(self, address: ControlAddress, lived_seconds: float, now: float) -> None:
+    def on_connection_ended(
+        self, address: ControlAddress, lived_seconds: float, now: float
+    ) -> None:
         """Note that an attempt or a connection has ended; ``lived_seconds`` 0: never opened."""
         record = self._records[address]
         if lived_seconds >= STABLE_SECONDS:
@@ -125,7 +127,7 @@
 
     def _connect_seconds(self, address: ControlAddress) -> float:
         failures = self._records[address].failures
-        return CONNECT_PATIENCE.bound(failures)
+        return CONNECT_TIMEOUT.bound(failures)
 
     def _add(self, address: ControlAddress) -> None:
         self._records[address] = _Record(0, 0.0, self._rng.random())
--- a/src/finchshed/distribution/client.py
+++ b/src/finchshed/distribution/client.py
@@ -42,17 +42,17 @@
 from finchshed.quarantine.messages import CrashNews
 from finchshed.quota.messages import QuotaAnswer, QuotaRequest, QuotaShares, QuotaTokens
 
-SILENCE_SECONDS = 1.5
+CONTROL_TIMEOUT_SECONDS = 1.5
 """A control node that sent nothing for this long is left; it sends each half second.
 
 The 4 s until a change is in force have to hold this, the check after it, and two nodes in a row
 that can't be reached either.
 """
 
-HEARTBEAT_SECONDS = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 """Longest time between two reports of the revision in force. Chosen, not measured."""
 
-CHECK_SECONDS = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 """Time between looks for silence and for a report that is due. Chosen, not measured."""
 
 MAX_LINE_BYTES = 96 << 20
@@ -143,13 +143,13 @@
                 await asyncio.sleep(attempt.wait_seconds)
                 continue
             lived = await self._connect_and_serve(attempt.address, attempt.connect_seconds)
-            self._book.on_ended(attempt.address, lived, loop.time())
+            self._book.on_connection_ended(attempt.address, lived, loop.time())
 
     def report_in_force(self, revision: int) -> None:
         """Tell the control node which revision is in force here."""
         self._send_subscribed(InForce(revision))
         if self._is_subscribed:
-            self._heartbeat_due = asyncio.get_running_loop().time() + HEARTBEAT_SECONDS
+            self._heartbeat_due = asyncio.get_running_loop().time() + HEARTBEAT_INTERVAL_SECONDS
 
     def announce(self) -> None:
         """Tell the control node of the back end beside this daemon."""
@@ -209,13 +209,13 @@
             )
         )
         self.announce()
-        self.ledger.send_again()
+        self.ledger.resend_pending()
 
     async def _wait_until_ended(self, address: ControlAddress) -> None:
         """Return once the connection has ended, is silent, or a nearer node can be reached."""
-        nearer = self._book.nearer(address)
+        nearer = self._book.own_zone_node(address)
         probing = None if nearer is None else asyncio.create_task(self._move_to(nearer))
-        self._check = asyncio.get_running_loop().call_later(CHECK_SECONDS, self._on_check)
+        self._check = asyncio.get_running_loop().call_later(CHECK_INTERVAL_SECONDS, self._on_check)
         try:
             await self._ended.wait()
         finally:
@@ -229,13 +229,17 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         connection = self._connection
-        if connection is None or not connection.is_open or now - self._heard_at > SILENCE_SECONDS:
+        if (
+            connection is None
+            or not connection.is_open
+            or now - self._heard_at > CONTROL_TIMEOUT_SECONDS
+        ):
             self._ended.set()
             return
         if self._is_subscribed and now >= self._heartbeat_due:
             self.report_in_force(self._handlers.revision_in_force())
             self.announce()
-        self._check = loop.call_later(CHECK_SECONDS, self._on_check)
+        self._check = loop.call_later(CHECK_INTERVAL_SECONDS, self._on_check)
 
     async def _move_to(self, nearer: ControlAddress) -> None:
         """End the connection once a nearer control node can be reached."""
@@ -248,7 +252,7 @@
         connection.abort()
         if self._is_subscribed:
             self._is_subscribed = False
-            self._handlers.on_lost()
+            self._handlers.on_disconnected()
 
     def _on_message(self, connection: Connection, message: ControlToDaemon) -> None:
         if connection is not self._connection:
--- a/src/finchshed/distribution/client_handlers.py
+++ b/src/finchshed/distribution/client_handlers.py
@@ -18,6 +18,6 @@
 
     on_delta: Callable[[Delta], None]
     on_connected: Callable[[], None]
-    on_lost: Callable[[], None]
+    on_disconnected: Callable[[], None]
     revision_held: Callable[[], int]
     revision_in_force: Callable[[], int]
--- a/src/finchshed/distribution/committed_configuration.py
+++ b/src/finchshed/distribution/committed_configuration.py
@@ -8,7 +8,7 @@
 from finchshed.distribution.delta_history import DeltaHistory
 from finchshed.distribution.hub_effects import SharedLine
 from finchshed.distribution.messages import Delta
-from finchshed.distribution.snapshot import Configuration, apply_delta, unchanged
+from finchshed.distribution.snapshot import Configuration, apply_delta, empty_delta
 
 
 class CommittedConfiguration:
@@ -78,7 +78,7 @@
         """Return the line that changes nothing; ``confirmed`` says that a quorum confirmed it."""
         line = self._unchanged.get(confirmed)
         if line is None:
-            line = SharedLine(unchanged(self.revision, confirmed))
+            line = SharedLine(empty_delta(self.revision, confirmed))
             self._unchanged[confirmed] = line
         return line
 
--- a/src/finchshed/distribution/control_dialer.py
+++ b/src/finchshed/distribution/control_dialer.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeAlias
 
-from finchshed.distribution.addresses import LONGEST_CONNECT_SECONDS, ControlAddress
+from finchshed.distribution.addresses import CONNECT_TIMEOUT_SECONDS_MAX, ControlAddress
 from finchshed.distribution.messages import ControlToDaemon
 from finchshed.link.lines import LineProtocol
 
@@ -17,7 +17,7 @@
 Connect: TypeAlias = Callable[[Callable[[], Connection], str, int], Awaitable[object]]
 """Opens a connection for the protocol made by the first argument to a host and port."""
 
-NEARER_SECONDS = 60.0
+OWN_ZONE_PROBE_SECONDS = 60.0
 """A daemon linked to another zone's control node tries its own zone's after one to two of these.
 
 Without it a control node that was restarted would serve nobody, and a zone would hang on links to
@@ -52,14 +52,14 @@
     async def wait_until_reachable(self, address: ControlAddress, rng: random.Random) -> None:
         """Try ``address`` now and then, and return once a connection to it can be opened."""
         while True:
-            await asyncio.sleep(NEARER_SECONDS * (1.0 + rng.random()))
+            await asyncio.sleep(OWN_ZONE_PROBE_SECONDS * (1.0 + rng.random()))
             if await self._can_reach(address):
                 return
 
     async def _can_reach(self, address: ControlAddress) -> bool:
         """Whether a connection to a control node can be opened; it is closed at once."""
         probe: Connection = LineProtocol(ControlToDaemon, _ignore)
-        is_open = await self.open(address, probe, LONGEST_CONNECT_SECONDS)
+        is_open = await self.open(address, probe, CONNECT_TIMEOUT_SECONDS_MAX)
         if is_open:
             probe.abort()
         return is_open
--- a/src/finchshed/distribution/delta_history.py
+++ b/src/finchshed/distribution/delta_history.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from finchshed.distribution.messages import Delta
-from finchshed.distribution.snapshot import Configuration, merge, whole
+from finchshed.distribution.snapshot import Configuration, full_delta, merge
 
 ITEM_LIMIT = 20_000
 """Resources and keys kept in all deltas together: bounds the memory. Chosen, not measured."""
@@ -54,12 +54,12 @@
         """Return what brings ``base`` to ``configuration``: merged changes, or the whole."""
         reaches_back = bool(self._deltas) and self._deltas[0].base <= base
         if base == 0 or not reaches_back:
-            return whole(configuration)
+            return full_delta(configuration)
         merged = merge(
             delta for delta in self._deltas if base < delta.revision <= configuration.revision
         )
         if len(merged.puts) >= len(configuration.resources):
-            return whole(configuration)
+            return full_delta(configuration)
         return merged
 
 
--- a/src/finchshed/distribution/configuration_fetches.py
+++ b/src/finchshed/distribution/fetch_scheduler.py
@@ -12,7 +12,7 @@
 not measured."""
 
 
-class ConfigurationFetches:
+class FetchScheduler:
     """Fetches of one follower. ``now`` is monotonic seconds.
 
     Parameters
@@ -26,7 +26,7 @@
         self._due = 0.0
         self._peer_is_next = False
 
-    def hasten(self, now: float) -> None:
+    def fetch_now(self, now: float) -> None:
         """Let the next fetch go out at once: there is news of a higher revision."""
         self._due = now
 
@@ -34,10 +34,10 @@
         """Give control the time of one fetch to send what is missing by itself."""
         self._due = now + FETCH_RETRY_SECONDS
 
-    def on_nothing_missing(self) -> None:
+    def on_up_to_date(self) -> None:
         """Begin with control, and with every peer, when something is missing again."""
         self._peer_is_next = False
-        self._peers.forget_asked()
+        self._peers.clear_asked()
 
     def next_fetch(
         self, revision: int, control_connected: bool, now: float
@@ -49,7 +49,7 @@
         if now < self._due:
             return None
         self._due = now + FETCH_RETRY_SECONDS
-        peer = self._peers.next_ahead(revision)
+        peer = self._peers.next_peer_ahead(revision)
         if peer and (self._peer_is_next or not control_connected):
             self._peer_is_next = False
             self._peers.on_asked(peer)
--- a/src/finchshed/distribution/follower.py
+++ b/src/finchshed/distribution/follower.py
@@ -15,7 +15,6 @@
 from dataclasses import dataclass
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.distribution.configuration_fetches import ConfigurationFetches
 from finchshed.distribution.delta_history import DeltaHistory
 from finchshed.distribution.effects import (
     FollowerEffect,
@@ -27,14 +26,15 @@
     StartServing,
     TakeEffect,
 )
+from finchshed.distribution.fetch_scheduler import FetchScheduler
 from finchshed.distribution.messages import Delta
 from finchshed.distribution.peer_revisions import PeerRevisions
 from finchshed.distribution.snapshot import (
     Configuration,
     apply_delta,
+    empty_delta,
+    full_delta,
     is_applicable,
-    unchanged,
-    whole,
 )
 
 CONTROL_GRACE_SECONDS = 2.0
@@ -89,7 +89,7 @@
         self._basis = ServingBasis.NONE
         self._control_connected = False
         self._peers = PeerRevisions()
-        self._fetches = ConfigurationFetches(self._peers)
+        self._fetches = FetchScheduler(self._peers)
         self._recording: Configuration | None = None
         self._recorded_highest = -1
         if record is not None:
@@ -146,7 +146,7 @@
     def on_control_lost(self, now: float) -> Sequence[FollowerEffect]:
         """Note that no control node is in reach."""
         self._control_connected = False
-        self._fetches.hasten(now)
+        self._fetches.fetch_now(now)
         return self._settle(now)
 
     def on_control_delta(self, delta: Delta, now: float) -> Sequence[FollowerEffect]:
@@ -157,17 +157,17 @@
 
     def on_peer_delta(self, peer: str, delta: Delta, now: float) -> Sequence[FollowerEffect]:
         """Apply a delta from another daemon. It can't confirm anything for a quorum."""
-        self._peers.note(peer, delta.revision)
+        self._peers.record(peer, delta.revision)
         return self._on_delta(delta, now)
 
     def on_peer_revision(self, peer: str, revision: int, now: float) -> Sequence[FollowerEffect]:
         """Note the revision that came with a call, an answer or a heartbeat of ``peer``."""
         if revision <= self._held.revision and self.may_serve:
             return NO_EFFECTS
-        self._peers.note(peer, revision)
+        self._peers.record(peer, revision)
         if revision > self._highest_seen:
             self._highest_seen = revision
-            self._fetches.hasten(now)
+            self._fetches.fetch_now(now)
         return self._settle(now)
 
     def on_persisted(self, now: float) -> Sequence[FollowerEffect]:
@@ -191,7 +191,7 @@
     def answer_fetch(self, revision: int) -> Delta:
         """Return what a peer that holds ``revision`` needs to hold what is in force here."""
         if revision >= self._in_force.revision:
-            return unchanged(self._in_force.revision)
+            return empty_delta(self._in_force.revision)
         return self._history.between(revision, self._in_force)
 
     def _load(self, record: FollowerRecord) -> None:
@@ -208,7 +208,7 @@
     def _on_delta(self, delta: Delta, now: float) -> Sequence[FollowerEffect]:
         if delta.revision > self._highest_seen:
             self._highest_seen = delta.revision
-            self._fetches.hasten(now)
+            self._fetches.fetch_now(now)
         first = not self._holds_any and delta.base == 0
         newer = delta.revision > self._held.revision
         if (first or newer) and is_applicable(delta, self._held.revision):
@@ -235,7 +235,7 @@
             return []
         self._recording = self._held
         self._recorded_highest = self._highest_seen
-        configuration = whole(self._held) if self._holds_any else None
+        configuration = full_delta(self._held) if self._holds_any else None
         return [PersistRecord(FollowerRecord(self._highest_seen, configuration))]
 
     def _take_effect(self, configuration: Configuration) -> list[FollowerEffect]:
@@ -252,7 +252,7 @@
         if basis is ServingBasis.NONE:
             return []
         self._basis = basis
-        self._peers.forget()
+        self._peers.clear()
         return [StartServing(basis)]
 
     def _find_basis(self, now: float) -> ServingBasis:
@@ -288,7 +288,7 @@
         if held < self._highest_seen:
             fetch = self._fetches.next_fetch(held, self._control_connected, now)
             return [] if fetch is None else [fetch]
-        self._fetches.on_nothing_missing()
+        self._fetches.on_up_to_date()
         if self.may_serve:
-            self._peers.forget()
+            self._peers.clear()
         return []
--- a/src/finchshed/distribution/follower_runner.py
+++ b/src/finchshed/distribution/follower_runner.py
@@ -96,7 +96,7 @@
         handlers = ClientHandlers(
             on_delta=self._on_control_delta,
             on_connected=self._on_connected,
-            on_lost=self._on_lost,
+            on_disconnected=self._on_lost,
             revision_held=lambda: self.follower.held_revision,
             revision_in_force=lambda: self.follower.revision,
         )
--- a/src/finchshed/distribution/hub.py
+++ b/src/finchshed/distribution/hub.py
@@ -91,7 +91,7 @@
         self._committed.apply(delta)
         return self._send_all(now)
 
-    def on_contact(self, in_contact: bool, now: float) -> None:
+    def on_quorum_contact(self, in_contact: bool, now: float) -> None:
         """Note whether this node is in contact with a quorum; call at least every half second."""
         if in_contact:
             self._contact_lost_at = None
@@ -128,13 +128,13 @@
         item.sent_revision = revision
         return self._send_to(number, item, now)
 
-    def on_question(self, number: int, question: int, now: float) -> Sequence[HubEffect]:
+    def on_lease_request(self, number: int, question: int, now: float) -> Sequence[HubEffect]:
         """Note a daemon's question for its lease; a read from a quorum answers it."""
         item = self._subscribers.get(number)
         if item is None:
             return ()
         item.heard_at = now
-        item.add_question(question, self._next_ticket)
+        item.add_lease_request(question, self._next_ticket)
         return () if self._waits_for_confirmation else (self._request_confirmation(),)
 
     def on_confirmed(self, ticket: int, now: float) -> Sequence[HubEffect]:
@@ -143,7 +143,7 @@
         effects: list[HubEffect] = []
         ready = []
         for number, item in self._subscribers:
-            if item.is_full or not item.waits():
+            if item.is_full or not item.needs_confirmation():
                 continue
             if item.sent_revision > self._committed.revision:
                 continue
@@ -154,7 +154,7 @@
             effects.extend(self._answers(number, item, ticket))
         if ready:
             effects.append(SendLine(tuple(ready), self._committed.unchanged_line(confirmed=True)))
-        if any(item.waits() for _, item in self._subscribers):
+        if any(item.needs_confirmation() for _, item in self._subscribers):
             effects.append(self._request_confirmation())
         return effects
 
@@ -187,7 +187,7 @@
         effects.extend(self._drop_silent(now))
         effects.extend(self._redirect(now))
         effects.extend(self._heartbeats())
-        if any(item.waits() for _, item in self._subscribers):
+        if any(item.needs_confirmation() for _, item in self._subscribers):
             effects.append(self._request_confirmation())
         return effects
 
--- a/src/finchshed/distribution/ledger_requests.py
+++ b/src/finchshed/distribution/ledger_requests.py
@@ -22,7 +22,7 @@
 SendRequest: TypeAlias = Callable[[LedgerRequest], bool]
 """Sends a request on the connection in use; False if there is none."""
 
-ABANDON_SECONDS = 30.0
+CANCEL_TIMEOUT_SECONDS = 30.0
 """How long the cancel of an attempt whose grant did not come in time is tried. Chosen, not
 measured."""
 
@@ -56,7 +56,7 @@
         self._last_request = 0
         self._abandoning: set[asyncio.Task[bool]] = set()
 
-    def send_again(self) -> None:
+    def resend_pending(self) -> None:
         """Send all requests in progress, on a new connection."""
         for pending in self._pending.values():
             self._send_one(pending)
@@ -100,7 +100,7 @@
         return self._last_request
 
     def _abandon(self, key: str, attempt: str) -> None:
-        task = asyncio.create_task(self.cancel(key, attempt, ABANDON_SECONDS))
+        task = asyncio.create_task(self.cancel(key, attempt, CANCEL_TIMEOUT_SECONDS))
         self._abandoning.add(task)
         task.add_done_callback(self._abandoning.discard)
 
--- a/src/finchshed/distribution/peer_revisions.py
+++ b/src/finchshed/distribution/peer_revisions.py
@@ -16,16 +16,16 @@
         self._revisions: dict[str, int] = {}
         self._asked: set[str] = set()
 
-    def note(self, peer: str, revision: int) -> None:
+    def record(self, peer: str, revision: int) -> None:
         """Keep a revision that ``peer`` reported."""
         self._revisions[peer] = max(revision, self._revisions.get(peer, 0))
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Forget every peer: nothing is to be had of them."""
         self._revisions.clear()
         self._asked.clear()
 
-    def forget_asked(self) -> None:
+    def clear_asked(self) -> None:
         """Let every peer be asked again."""
         self._asked.clear()
 
@@ -33,7 +33,7 @@
         """Return how many of ``peers`` reported their revision."""
         return sum(1 for peer in peers if peer in self._revisions)
 
-    def next_ahead(self, revision: int) -> str:
+    def next_peer_ahead(self, revision: int) -> str:
         """Return the furthest peer past ``revision`` that wasn't asked yet, or empty.
 
         Once all were asked it begins again, so one that doesn't answer is not the only one asked.
--- a/src/finchshed/distribution/server.py
+++ b/src/finchshed/distribution/server.py
@@ -139,9 +139,9 @@
         """Take a whole configuration from a snapshot."""
         self._perform(self._hub.restore(configuration, self._now()))
 
-    def note_contact(self, in_contact: bool) -> None:
+    def set_quorum_contact(self, in_contact: bool) -> None:
         """Note whether this node is in contact with a quorum; call at least every half second."""
-        self._hub.on_contact(in_contact, self._now())
+        self._hub.on_quorum_contact(in_contact, self._now())
 
     def send_to(self, node: str, message: ControlToDaemon) -> bool:
         """SendLine to one daemon; False when it isn't connected here."""
@@ -178,7 +178,7 @@
         elif isinstance(message, Fetch):
             self._perform(self._hub.on_fetch(number, message.revision, self._now()))
         elif isinstance(message, RenewLease):
-            self._perform(self._hub.on_question(number, message.question, self._now()))
+            self._perform(self._hub.on_lease_request(number, message.question, self._now()))
         elif isinstance(message, QuotaReport | QuotaAsk | Announce | CrashNews | ExplainReply):
             self._pass_on(self._names[number], message)
         else:
--- a/src/finchshed/distribution/snapshot.py
+++ b/src/finchshed/distribution/snapshot.py
@@ -52,7 +52,7 @@
     return Configuration(delta.revision, resources)
 
 
-def whole(configuration: Configuration, confirmed: bool = False) -> Delta:
+def full_delta(configuration: Configuration, confirmed: bool = False) -> Delta:
     """Return the delta that stands for the whole of ``configuration``."""
     return Delta(
         base=0,
@@ -62,7 +62,7 @@
     )
 
 
-def unchanged(revision: int, confirmed: bool = False) -> Delta:
+def empty_delta(revision: int, confirmed: bool = False) -> Delta:
     """Return the delta that changes nothing at ``revision``; it serves as a heartbeat."""
     return Delta(base=revision, revision=revision, confirmed=confirmed)
 
--- a/src/finchshed/distribution/status.py
+++ b/src/finchshed/distribution/status.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-REPORT_SILENCE_SECONDS = 5.0
+REPORT_TIMEOUT_SECONDS = 5.0
 """Daemons of a control node that has not reported for this long count as silent. Chosen,
 not measured."""
 
@@ -20,7 +20,7 @@
 """A silent daemon that no declared endpoint stands for is forgotten after this long. Chosen, not
 measured."""
 
-ADVANCES_KEPT = 1024
+REVISION_TIMES_KEPT = 1024
 """Latest revisions whose times are kept, to say since when a daemon is behind. Chosen, not
 measured."""
 
@@ -150,7 +150,7 @@
         if not entry.status.connected:
             return entry.changed_at
         reported_at = self._reported_at[control_node]
-        return reported_at if now - reported_at > REPORT_SILENCE_SECONDS else None
+        return reported_at if now - reported_at > REPORT_TIMEOUT_SECONDS else None
 
     def _disconnect_unlisted(self, report: InForceReport, now: float) -> None:
         listed = {status.node for status in report.daemons}
@@ -166,8 +166,8 @@
             return
         self._revisions.append(revision)
         self._advanced_at.append(now)
-        del self._revisions[:-ADVANCES_KEPT]
-        del self._advanced_at[:-ADVANCES_KEPT]
+        del self._revisions[:-REVISION_TIMES_KEPT]
+        del self._advanced_at[:-REVISION_TIMES_KEPT]
 
     def _passed_at(self, revision: int) -> float:
         """Return when a revision higher than ``revision`` was first heard of."""
--- a/src/finchshed/distribution/subscribers.py
+++ b/src/finchshed/distribution/subscribers.py
@@ -10,7 +10,7 @@
 from finchshed.distribution.messages import Subscribe
 from finchshed.distribution.status import SubscriberStatus
 
-MAX_QUESTIONS = 8
+MAX_LEASE_REQUESTS = 8
 """Unanswered questions for a lease that are kept for one subscriber. Chosen, not measured."""
 
 
@@ -44,23 +44,23 @@
     ticket: int | None
     is_full: bool = False
     is_redirected: bool = False
-    questions: dict[int, int] = field(default_factory=dict)
+    lease_requests: dict[int, int] = field(default_factory=dict)
 
-    def waits(self) -> bool:
+    def needs_confirmation(self) -> bool:
         """Return whether a read from a quorum is wanted."""
-        return self.ticket is not None or bool(self.questions)
+        return self.ticket is not None or bool(self.lease_requests)
 
-    def add_question(self, question: int, ticket: int) -> None:
+    def add_lease_request(self, question: int, ticket: int) -> None:
         """Keep a question that the read of ``ticket`` may answer; the oldest goes if it is full."""
-        if len(self.questions) >= MAX_QUESTIONS:
-            del self.questions[next(iter(self.questions))]
-        self.questions[question] = ticket
+        if len(self.lease_requests) >= MAX_LEASE_REQUESTS:
+            del self.lease_requests[next(iter(self.lease_requests))]
+        self.lease_requests[question] = ticket
 
     def pop_answered(self, ticket: int) -> list[int]:
         """Return the questions that the read of ``ticket`` answers, and forget them."""
-        answered = [question for question, since in self.questions.items() if since <= ticket]
+        answered = [question for question, since in self.lease_requests.items() if since <= ticket]
         for question in answered:
-            del self.questions[question]
+            del self.lease_requests[question]
         return answered
 
 
--- a/src/finchshed/emulator/control/hub_shell.py
+++ b/src/finchshed/emulator/control/hub_shell.py
@@ -186,5 +186,5 @@
         self._process.call_later(TICK_SECONDS, self._tick)
 
     def _watch_contact(self) -> None:
-        self._hub.on_contact(self._in_contact(), self._process.now)
+        self._hub.on_quorum_contact(self._in_contact(), self._process.now)
         self._process.call_later(CONTACT_SECONDS, self._watch_contact)
--- a/src/finchshed/emulator/daemons/control_client.py
+++ b/src/finchshed/emulator/daemons/control_client.py
@@ -234,7 +234,7 @@
         lived = self.process.now - self._opened_at if self._is_connected else 0.0
         if self._is_connected and self._node is not None:
             self._send(self._node.take_closed, self, self._epoch)
-        self._book.on_ended(self._address, lived, self.process.now)
+        self._book.on_connection_ended(self._address, lived, self.process.now)
         was_subscribed = self._is_subscribed
         self._is_connected = False
         self._is_subscribed = False
--- a/tests/control/daemons.py
+++ b/tests/control/daemons.py
@@ -24,7 +24,7 @@
         handlers = ClientHandlers(
             on_delta=self._on_delta,
             on_connected=lambda: None,
-            on_lost=lambda: None,
+            on_disconnected=lambda: None,
             revision_held=lambda: self.revision,
             revision_in_force=lambda: self.revision,
         )
--- a/tests/distribution/test_addresses.py
+++ b/tests/distribution/test_addresses.py
@@ -3,9 +3,9 @@
 import random
 
 from finchshed.distribution.addresses import (
-    FIRST_CONNECT_SECONDS,
-    LONGEST_BACKOFF_SECONDS,
-    LONGEST_CONNECT_SECONDS,
+    BACKOFF_SECONDS_MAX,
+    CONNECT_TIMEOUT_SECONDS_MAX,
+    CONNECT_TIMEOUT_SECONDS_MIN,
     STABLE_SECONDS,
     AddressBook,
     ControlAddress,
@@ -30,7 +30,7 @@
     second = set()
     for seed in range(60):
         book = AddressBook(NODES, "z4", random.Random(seed))
-        book.on_ended(NODES[3], 0.0, 0.0)
+        book.on_connection_ended(NODES[3], 0.0, 0.0)
         second.add(book.next_attempt(0.0).address)
     assert second == set(NODES) - {NODES[3]}
 
@@ -40,19 +40,19 @@
     waits = []
     now = 0.0
     for _ in range(12):
-        book.on_ended(NODES[0], 0.0, now)
+        book.on_connection_ended(NODES[0], 0.0, now)
         waits.append(book.next_attempt(now).wait_seconds)
         now += waits[-1]
     assert waits[-1] > 10 * waits[0]
-    assert max(waits) <= LONGEST_BACKOFF_SECONDS
-    book.on_ended(NODES[0], STABLE_SECONDS, now)
+    assert max(waits) <= BACKOFF_SECONDS_MAX
+    book.on_connection_ended(NODES[0], STABLE_SECONDS, now)
     assert book.next_attempt(now).wait_seconds < 0.5
 
 
 def test_a_redirect_adds_unknown_nodes_only() -> None:
     book = AddressBook(NODES[:1], "z1", random.Random(1))
     book.add((NODES[0].address, "10.0.0.9:1"))
-    book.on_ended(NODES[0], 0.0, 0.0)
+    book.on_connection_ended(NODES[0], 0.0, 0.0)
     assert book.next_attempt(0.0).address == ControlAddress("10.0.0.9:1")
 
 
@@ -64,9 +64,9 @@
         attempt = book.next_attempt(now)
         now += attempt.wait_seconds
         waits.append(attempt.connect_seconds)
-        book.on_ended(attempt.address, 0.0, now)
-    assert waits[:2] == [FIRST_CONNECT_SECONDS, 2 * FIRST_CONNECT_SECONDS]
-    assert waits[-1] == LONGEST_CONNECT_SECONDS
+        book.on_connection_ended(attempt.address, 0.0, now)
+    assert waits[:2] == [CONNECT_TIMEOUT_SECONDS_MIN, 2 * CONNECT_TIMEOUT_SECONDS_MIN]
+    assert waits[-1] == CONNECT_TIMEOUT_SECONDS_MAX
 
 
 def test_a_node_that_is_never_reached_is_tried_for_ever() -> None:
@@ -74,8 +74,8 @@
     book = AddressBook(NODES[:1], "z1", random.Random(1))
     now = 0.0
     for _ in range(2_000):
-        book.on_ended(NODES[0], 0.0, now)
+        book.on_connection_ended(NODES[0], 0.0, now)
         attempt = book.next_attempt(now)
-        assert attempt.wait_seconds <= LONGEST_BACKOFF_SECONDS
-        assert attempt.connect_seconds <= LONGEST_CONNECT_SECONDS
+        assert attempt.wait_seconds <= BACKOFF_SECONDS_MAX
+        assert attempt.connect_seconds <= CONNECT_TIMEOUT_SECONDS_MAX
         now += attempt.wait_seconds
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -66,7 +66,7 @@
 
     async def start(self) -> ControlAddress:
         self.port = await self.server.start("127.0.0.1", 0)
-        self.server.note_contact(True)
+        self.server.set_quorum_contact(True)
         return ControlAddress(f"127.0.0.1:{self.port}")
 
 
@@ -146,9 +146,9 @@
     await eventually(lambda: daemon.runner.client.is_connected)
     at_first = first.hub.subscriber_count() == 1
     here, there = (first, second) if at_first else (second, first)
-    here.server.note_contact(False)
+    here.server.set_quorum_contact(False)
     await eventually(lambda: there.hub.subscriber_count() == 1)
-    here.server.note_contact(True)
+    here.server.set_quorum_contact(True)
     await there.server.close()
     await eventually(lambda: here.hub.subscriber_count() == 1)
     daemon.task.cancel()
@@ -157,7 +157,7 @@
 async def test_a_node_cut_off_in_silence_is_left(
     start_node: Starter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_module, "SILENCE_SECONDS", 0.6)
+    monkeypatch.setattr(client_module, "CONTROL_TIMEOUT_SECONDS", 0.6)
     silent = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
     port = silent.sockets[0].getsockname()[1]
     node, address = await start_node()
@@ -170,7 +170,7 @@
 async def test_a_daemon_goes_back_to_its_own_zone_once_that_can_be_reached(
     start_node: Starter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(control_dialer, "NEARER_SECONDS", 0.3)
+    monkeypatch.setattr(control_dialer, "OWN_ZONE_PROBE_SECONDS", 0.3)
     own, own_address = await start_node()
     other, other_address = await start_node()
     await own.server.close()
--- a/tests/distribution/test_delta_history.py
+++ b/tests/distribution/test_delta_history.py
@@ -1,7 +1,7 @@
 from finchshed.configuration.resources import ResourceKey, Service
 from finchshed.distribution.delta_history import DeltaHistory
 from finchshed.distribution.messages import Delta
-from finchshed.distribution.snapshot import Configuration, apply_delta, whole
+from finchshed.distribution.snapshot import Configuration, apply_delta, full_delta
 
 
 def change(revision: int, name: str) -> Delta:
@@ -23,8 +23,8 @@
         history.append(delta)
     now = state(*deltas)
     assert history.between(18, now) == deltas[-1]
-    assert history.between(1, now) == whole(now)
-    assert history.between(0, now) == whole(now)
+    assert history.between(1, now) == full_delta(now)
+    assert history.between(0, now) == full_delta(now)
 
 
 def test_changes_no_longer_kept_are_sent_as_the_whole() -> None:
@@ -34,7 +34,7 @@
         history.append(delta)
     now = state(*deltas)
     assert history.between(3, now) == Delta(3, 5, puts=deltas[-1].puts)
-    assert history.between(2, now) == whole(now)
+    assert history.between(2, now) == full_delta(now)
 
 
 def test_overlapping_deltas_follow_each_other() -> None:
@@ -51,8 +51,8 @@
 def test_a_whole_configuration_forgets_what_came_before() -> None:
     history = DeltaHistory(10)
     history.append(change(2, "s1"))
-    history.append(whole(state(change(2, "s1"))))
-    assert history.between(1, state(change(2, "s1"))) == whole(state(change(2, "s1")))
+    history.append(full_delta(state(change(2, "s1"))))
+    assert history.between(1, state(change(2, "s1"))) == full_delta(state(change(2, "s1")))
 
 
 def test_changes_past_the_revision_asked_for_are_left_out() -> None:
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -1,7 +1,6 @@
 """The follower's rules: start, deltas, peers, disk."""
 
 from finchshed.configuration.resources import Endpoint, Resource, ResourceKey, Service
-from finchshed.distribution.configuration_fetches import FETCH_RETRY_SECONDS
 from finchshed.distribution.effects import (
     FetchFromControl,
     FetchFromPeer,
@@ -13,6 +12,7 @@
     StartServing,
     TakeEffect,
 )
+from finchshed.distribution.fetch_scheduler import FETCH_RETRY_SECONDS
 from finchshed.distribution.follower import (
     CONTROL_GRACE_SECONDS,
     Follower,
--- a/tests/distribution/test_follower_properties.py
+++ b/tests/distribution/test_follower_properties.py
@@ -7,7 +7,7 @@
 from finchshed.distribution.effects import FollowerRecord, PersistRecord
 from finchshed.distribution.follower import Follower, FollowerIdentity
 from finchshed.distribution.messages import Delta
-from finchshed.distribution.snapshot import Configuration, apply_delta, merge, whole
+from finchshed.distribution.snapshot import Configuration, apply_delta, full_delta, merge
 
 HERE = FollowerIdentity(zone="z1")
 LAST_REVISION = 8
@@ -35,7 +35,7 @@
 
 def delta_between(base: int, revision: int, confirmed: bool) -> Delta:
     if base == 0:
-        return whole(HISTORY[revision], confirmed)
+        return full_delta(HISTORY[revision], confirmed)
     if base == revision:
         return Delta(base, revision, confirmed=confirmed)
     merged = merge(change(number) for number in range(base + 1, revision + 1))
--- a/tests/distribution/test_hub.py
+++ b/tests/distribution/test_hub.py
@@ -17,7 +17,7 @@
 
 def filled(revision: int, limits: HubLimits | None = None) -> Hub:
     hub = Hub("c1", limits)
-    hub.on_contact(True, 0.0)
+    hub.on_quorum_contact(True, 0.0)
     for number in range(1, revision + 1):
         hub.on_committed(change(number), 0.0)
     return hub
@@ -139,7 +139,7 @@
     hub = filled(1)
     hub.set_alternatives(("10.0.0.2:1",))
     join(hub, 1)
-    hub.on_contact(False, 1.0)
+    hub.on_quorum_contact(False, 1.0)
     assert Redirect(("10.0.0.2:1",)) not in [message for _, message in sent(hub.tick(1.1))]
     hub.on_in_force(1, 1, 3.0)
     assert ((1,), Redirect(("10.0.0.2:1",))) in sent(hub.tick(3.0))
@@ -212,7 +212,7 @@
 def test_a_question_is_answered_by_a_read_that_began_after_it_came_in() -> None:
     hub = filled(2)
     join(hub, 1, 2)
-    assert list(hub.on_question(1, 7, 0.1)) == []
+    assert list(hub.on_lease_request(1, 7, 0.1)) == []
     effects = hub.on_confirmed(1, 0.2)
     assert answers(effects) == []
     assert RequestConfirmation(2) in effects
@@ -225,9 +225,9 @@
     join(hub, 2, 2)
     hub.on_confirmed(1, 0.1)
     hub.on_confirmed(2, 0.1)
-    assert list(hub.on_question(1, 7, 0.2)) == [RequestConfirmation(3)]
-    assert list(hub.on_question(2, 9, 0.2)) == []
-    assert list(hub.on_question(2, 10, 0.2)) == []
+    assert list(hub.on_lease_request(1, 7, 0.2)) == [RequestConfirmation(3)]
+    assert list(hub.on_lease_request(2, 9, 0.2)) == []
+    assert list(hub.on_lease_request(2, 10, 0.2)) == []
     assert answers(hub.on_confirmed(3, 0.3)) == [((1,), LeaseRenewed(7, 2))]
     told = sent([*hub.on_committed(change(3), 0.35), *hub.on_confirmed(4, 0.4)])
     assert told[0] == ((1, 2), change(3))
@@ -238,7 +238,7 @@
     hub = filled(2)
     join(hub, 1, 2)
     hub.on_confirmed(1, 0.1)
-    assert list(hub.on_question(1, 7, 0.2)) == [RequestConfirmation(2)]
+    assert list(hub.on_lease_request(1, 7, 0.2)) == [RequestConfirmation(2)]
     assert RequestConfirmation(3) in hub.tick(1.0)
     assert answers(hub.on_confirmed(3, 1.1)) == [((1,), LeaseRenewed(7, 2))]
 
@@ -246,7 +246,7 @@
 def test_a_node_that_lags_behind_a_daemon_does_not_answer_it() -> None:
     hub = filled(2)
     join(hub, 1, 5)
-    hub.on_question(1, 7, 0.1)
+    hub.on_lease_request(1, 7, 0.1)
     assert answers(hub.on_confirmed(5, 0.2)) == []
 
 
@@ -254,7 +254,7 @@
     hub = filled(2)
     join(hub, 1, 2)
     for question in range(1000):
-        hub.on_question(1, question, 0.1)
+        hub.on_lease_request(1, question, 0.1)
     assert [line.question for _, line in answers(hub.on_confirmed(9, 0.2))] == list(
         range(992, 1000)
     )
--- a/tests/distribution/test_server.py
+++ b/tests/distribution/test_server.py
@@ -114,7 +114,7 @@
 
     server = CountingServer()
     port = await server.start("127.0.0.1", 0)
-    server.note_contact(True)
+    server.set_quorum_contact(True)
     server.commit(Delta(0, 1, puts=(Service(name="s1"),)))
     clients = [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(2)]
     try:
@@ -163,7 +163,7 @@
 async def test_a_connection_from_another_network_is_closed_without_an_answer() -> None:
     server = CountingServer(networks=("10.0.0.0/8",))
     port = await server.start("127.0.0.1", 0)
-    server.note_contact(True)
+    server.set_quorum_contact(True)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     client = Client(reader, writer)
     with suppress(ConnectionError):
--- a/tests/distribution/test_status.py
+++ b/tests/distribution/test_status.py
@@ -1,7 +1,7 @@
 """Status over all control nodes."""
 
 from finchshed.distribution.status import (
-    REPORT_SILENCE_SECONDS,
+    REPORT_TIMEOUT_SECONDS,
     InForceReport,
     StatusTable,
     SubscriberStatus,
@@ -39,7 +39,7 @@
 def test_daemons_of_a_silent_control_node_are_silent() -> None:
     table = StatusTable(0.0)
     table.merge(report("c1", 4, daemon("a", 4)), 1.0)
-    later = 1.0 + REPORT_SILENCE_SECONDS + 1.0
+    later = 1.0 + REPORT_TIMEOUT_SECONDS + 1.0
     status = table.summary(later)
     assert [(item.node, item.seconds) for item in status.silent] == [("a", later - 1.0)]
     table.merge(report("c1", 4), later)
--- a/tests/simulation/distribution.py
+++ b/tests/simulation/distribution.py
@@ -165,7 +165,7 @@
         """Do what a control node does now and then."""
         now = self.world.env.now
         self.hub.set_alternatives(tuple(node.name for node in self.world.control))
-        self.hub.on_contact(self.world.in_contact(self), now)
+        self.hub.on_quorum_contact(self.world.in_contact(self), now)
         self.perform(self.hub.tick(now))
 
     def restart(self) -> None:
@@ -342,7 +342,7 @@
 
         def ended(lived: float) -> None:
             if life == self.life:
-                self.book.on_ended(attempt.address, lived, self.world.env.now)
+                self.book.on_connection_ended(attempt.address, lived, self.world.env.now)
                 self.connect()
 
         self.opened_at = self.world.env.now + attempt.wait_seconds
@@ -362,7 +362,7 @@
             self.is_subscribed = False
             self.perform(self.follower.on_control_lost(self.world.env.now))
         now = self.world.env.now
-        self.book.on_ended(self.attempted, now - self.opened_at, now)
+        self.book.on_connection_ended(self.attempted, now - self.opened_at, now)
         self.connect()
 
     def lost(self, link: Link) -> None:
--- a/tests/tenancy/lease_world.py
+++ b/tests/tenancy/lease_world.py
@@ -55,7 +55,7 @@
         self.control = control
         self.rng = rng
         self.hub = Hub("c")
-        self.hub.on_contact(True, 0.0)
+        self.hub.on_quorum_contact(True, 0.0)
         self.reaches_quorum = True
         self.links: dict[int, Link] = {}
         clock.at(0.0, self.apply_later)
@@ -185,7 +185,9 @@
             link, question = self.link, self.lease.next_question(self.clock.now)
 
             def arrive() -> None:
-                link.node.perform(link.node.hub.on_question(link.number, question, self.clock.now))
+                link.node.perform(
+                    link.node.hub.on_lease_request(link.number, question, self.clock.now)
+                )
 
             link.to_node(arrive)
         self.clock.at(self.clock.now + RENEW_SECONDS, self.ask)
