--- a/src/finchshed/directory/__init__.py
+++ b/src/finchshed/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Back ends as they are known at the moment: soft state, reported by the daemons beside them."""
+"""Service directory: soft state about back ends, reported by the daemons beside them."""
--- a/src/finchshed/directory/registration.py
+++ b/src/finchshed/directory/registration.py
@@ -1,4 +1,4 @@
-"""What the daemon beside a back end tells all others of it. Pure values, sent over links."""
+"""Registration of a back end, sent by the daemon beside it to all other nodes."""
 
 import enum
 
@@ -6,29 +6,29 @@
 
 
 class InstanceState(enum.StrEnum):
-    """Whether a back end takes new work."""
+    """Availability of a back end for new requests."""
 
     READY = "ready"
     LEAVING = "leaving"
     GONE = "gone"
-    """There is none, or it doesn't answer."""
+    """The back end doesn't exist or doesn't respond."""
 
 
 class Registration(msgspec.Struct, frozen=True, omit_defaults=True, gc=False):
-    """One back end, by the word of the daemon beside it. Pure value.
+    """State of one back end as reported by the daemon beside it.
 
     Attributes
     ----------
     address
-        Where that daemon listens for other daemons; there is one registration for each address.
+        Address on which that daemon accepts other daemons; identifies the registration.
     epoch
-        Rises with each start of that daemon.
+        Increases with each run of that daemon.
     serial
-        Rises with each change that the daemon reports.
+        Increases with each change that the daemon reports.
     instance
-        Identity of the back end's start; empty while the daemon knows of none.
+        Identity of the back end's run; empty while the daemon knows of none.
     slots
-        Requests the back end runs at a time.
+        Maximum number of requests that the back end runs concurrently.
     """
 
     address: str
@@ -42,5 +42,5 @@
     state: InstanceState = InstanceState.GONE
 
     def supersedes(self, other: "Registration") -> bool:
-        """Whether this one is later than ``other``, which is of the same address."""
+        """Return whether this is newer than ``other``, a registration of the same address."""
         return (self.epoch, self.serial) > (other.epoch, other.serial)
--- a/src/finchshed/directory/table.py
+++ b/src/finchshed/directory/table.py
@@ -1,7 +1,6 @@
-"""All registrations that a control node or a daemon knows of. Pure decisions.
+"""Table of all registrations known to a control node or a daemon. No I/O.
 
-Owns them as soft state: nothing is kept on disk, and what nobody confirms is dropped. Relies on the
-daemons to send their registrations again and again.
+The table is soft state: it isn't persisted, and registrations that daemons stop refreshing expire.
 """
 
 from collections.abc import Iterable
@@ -11,71 +10,71 @@
 
 
 class Directory:
-    """The latest registration of each daemon.
+    """Latest registration of each daemon's back end.
 
     Parameters
     ----------
-    forget_seconds
-        A registration that nobody confirmed for longer is dropped: its machine may be gone.
+    expiry_seconds
+        Time without a refresh after which a registration is dropped.
     """
 
     def __init__(self, expiry_seconds: float) -> None:
-        self._forget_seconds = expiry_seconds
-        self._held: dict[str, Registration] = {}
+        self._expiry_seconds = expiry_seconds
+        self._registrations: dict[str, Registration] = {}
         self._endpoints: dict[str, Endpoint] = {}
-        self._confirmed_at: dict[str, float] = {}
+        self._refreshed_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         """Return the number of registrations."""
-        return len(self._held)
+        return len(self._registrations)
 
     def registrations(self) -> tuple[Registration, ...]:
-        """Return all that is held."""
-        return tuple(self._held.values())
+        """Return all registrations."""
+        return tuple(self._registrations.values())
 
     def get(self, address: str) -> Registration | None:
         """Return the registration of the daemon at ``address``."""
-        return self._held.get(address)
+        return self._registrations.get(address)
 
     def present_addresses(self, registrations: Iterable[Registration]) -> set[str]:
-        """Return the addresses of these at which a back end is held to be there."""
+        """Return the addresses among ``registrations`` that have a back end in the directory."""
         return {item.address for item in registrations if item.address in self._endpoints}
 
     def merge(self, registrations: Iterable[Registration], now: float) -> tuple[Registration, ...]:
-        """Merge registrations; return those that are news. The ones held are confirmed by it."""
-        news = []
+        """Merge registrations and return those that changed; equal ones are only refreshed."""
+        changed = []
         for registration in registrations:
-            held = self._held.get(registration.address)
-            if held is not None and held.supersedes(registration):
+            current = self._registrations.get(registration.address)
+            if current is not None and current.supersedes(registration):
                 continue
-            self._confirmed_at[registration.address] = now
-            if held is None or registration.supersedes(held):
-                self._hold(registration)
-                news.append(registration)
-        return tuple(news)
+            self._refreshed_at[registration.address] = now
+            if current is None or registration.supersedes(current):
+                self._store(registration)
+                changed.append(registration)
+        return tuple(changed)
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Drop what was not confirmed for long; return the addresses."""
-        since = now - self._forget_seconds
-        old = [address for address, at in self._confirmed_at.items() if at < since]
-        self.drop(old)
-        return tuple(old)
+        """Drop registrations that weren't refreshed in time and return their addresses."""
+        since = now - self._expiry_seconds
+        expired = [address for address, at in self._refreshed_at.items() if at < since]
+        self.drop(expired)
+        return tuple(expired)
 
     def drop(self, addresses: Iterable[str]) -> bool:
-        """Forget registrations; return whether any was held."""
-        held = [address for address in addresses if address in self._held]
-        for address in held:
-            del self._held[address]
-            del self._confirmed_at[address]
+        """Remove registrations and return whether any of them existed."""
+        known = [address for address in addresses if address in self._registrations]
+        for address in known:
+            del self._registrations[address]
+            del self._refreshed_at[address]
             self._endpoints.pop(address, None)
-        return bool(held)
+        return bool(known)
 
     def endpoints(self) -> dict[str, Endpoint]:
-        """Return the back ends that are there, as endpoints by their names."""
+        """Return the back ends that aren't gone, as endpoints by name."""
         return {endpoint.name: endpoint for endpoint in self._endpoints.values()}
 
-    def _hold(self, registration: Registration) -> None:
-        self._held[registration.address] = registration
+    def _store(self, registration: Registration) -> None:
+        self._registrations[registration.address] = registration
         if registration.state is InstanceState.GONE:
             self._endpoints.pop(registration.address, None)
         else:
--- a/tests/directory/test_registrar.py
+++ b/tests/directory/test_registrar.py
@@ -1,125 +1,125 @@
-"""Heartbeats of back ends, late and doubled ones too, and what is told of the back end."""
+"""Tests of registration from heartbeats, including delayed and duplicated ones."""
 
 from finchshed.directory.registrar import BackendHeartbeat, Registrar
 from finchshed.directory.registration import InstanceState, Registration
 
 ADDRESS = "10.0.0.1:7000"
-SILENCE_SECONDS = 4.0
+HEARTBEAT_TIMEOUT_SECONDS = 4.0
 
 
-def registrar(epoch: int = 1) -> Registrar:
-    return Registrar(ADDRESS, "a", "texas", epoch=epoch, silence_seconds=SILENCE_SECONDS)
+def make_registrar(epoch: int = 1) -> Registrar:
+    return Registrar(ADDRESS, "a", "texas", epoch=epoch, silence_seconds=HEARTBEAT_TIMEOUT_SECONDS)
 
 
-def beat(
+def heartbeat(
     instance: str, sequence: int, *, leaving: bool = False, slots: int = 8
 ) -> BackendHeartbeat:
     return BackendHeartbeat(instance, "sales", slots, sequence, leaving)
 
 
 def test_a_heartbeat_makes_the_back_end_known() -> None:
-    registered = registrar()
-    assert registered.registration.state is InstanceState.GONE
-    assert registered.on_heartbeat(beat("i-1", 1), 0.0)
+    registrar = make_registrar()
+    assert registrar.registration.state is InstanceState.GONE
+    assert registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
     expected = Registration(ADDRESS, 1, 1, "i-1", "sales", "a", "texas", 8, InstanceState.READY)
-    assert registered.registration == expected
-    assert not registered.on_heartbeat(beat("i-1", 2), 1.5)
+    assert registrar.registration == expected
+    assert not registrar.on_heartbeat(heartbeat("i-1", 2), 1.5)
 
 
 def test_a_late_or_doubled_heartbeat_turns_no_state_back() -> None:
-    registered = registrar()
-    registered.on_heartbeat(beat("i-1", 5), 0.0)
-    assert registered.on_heartbeat(beat("i-1", 6, leaving=True), 1.0)
-    assert registered.registration.state is InstanceState.LEAVING
-    for late in (beat("i-1", 5), beat("i-1", 4), beat("i-1", 6, leaving=True)):
-        assert not registered.on_heartbeat(late, 2.0)
-    assert not registered.on_heartbeat(beat("i-1", 7), 3.0)
-    assert registered.registration.state is InstanceState.LEAVING
+    registrar = make_registrar()
+    registrar.on_heartbeat(heartbeat("i-1", 5), 0.0)
+    assert registrar.on_heartbeat(heartbeat("i-1", 6, leaving=True), 1.0)
+    assert registrar.registration.state is InstanceState.LEAVING
+    for late in (heartbeat("i-1", 5), heartbeat("i-1", 4), heartbeat("i-1", 6, leaving=True)):
+        assert not registrar.on_heartbeat(late, 2.0)
+    assert not registrar.on_heartbeat(heartbeat("i-1", 7), 3.0)
+    assert registrar.registration.state is InstanceState.LEAVING
 
 
 def test_one_that_leaves_without_draining_stays_leaving() -> None:
-    registered = registrar()
-    registered.on_heartbeat(beat("i-1", 1), 0.0)
-    assert registered.on_leave("i-1")
-    assert not registered.on_heartbeat(beat("i-1", 2), 1.0)
-    assert registered.registration.state is InstanceState.LEAVING
-    assert not registered.on_leave("i-1")
+    registrar = make_registrar()
+    registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
+    assert registrar.on_leave("i-1")
+    assert not registrar.on_heartbeat(heartbeat("i-1", 2), 1.0)
+    assert registrar.registration.state is InstanceState.LEAVING
+    assert not registrar.on_leave("i-1")
 
 
 def test_a_late_heartbeat_of_an_earlier_start_changes_nothing() -> None:
-    registered = registrar()
-    registered.on_heartbeat(beat("i-1", 9), 0.0)
-    registered.on_heartbeat(beat("i-2", 1), 1.0)
-    assert not registered.on_heartbeat(beat("i-1", 9), 2.0)
-    assert not registered.on_leave("i-1")
-    assert registered.registration.instance == "i-2"
-    assert registered.registration.state is InstanceState.READY
+    registrar = make_registrar()
+    registrar.on_heartbeat(heartbeat("i-1", 9), 0.0)
+    registrar.on_heartbeat(heartbeat("i-2", 1), 1.0)
+    assert not registrar.on_heartbeat(heartbeat("i-1", 9), 2.0)
+    assert not registrar.on_leave("i-1")
+    assert registrar.registration.instance == "i-2"
+    assert registrar.registration.state is InstanceState.READY
 
 
 def test_after_a_restart_of_the_daemon_a_living_back_end_wins_over_a_late_heartbeat() -> None:
-    registered = registrar()
-    registered.on_heartbeat(beat("i-2", 4), 0.0)
-    assert registered.on_heartbeat(beat("i-1", 9), 0.5)
-    assert registered.on_heartbeat(beat("i-2", 5), 1.5)
-    assert registered.registration.instance == "i-2"
+    registrar = make_registrar()
+    registrar.on_heartbeat(heartbeat("i-2", 4), 0.0)
+    assert registrar.on_heartbeat(heartbeat("i-1", 9), 0.5)
+    assert registrar.on_heartbeat(heartbeat("i-2", 5), 1.5)
+    assert registrar.registration.instance == "i-2"
 
 
 def test_a_silent_back_end_is_gone_until_its_next_heartbeat() -> None:
-    registered = registrar()
-    registered.on_heartbeat(beat("i-1", 1), 0.0)
-    assert not registered.tick(SILENCE_SECONDS)
-    assert registered.tick(SILENCE_SECONDS + 0.1)
-    assert registered.registration.state is InstanceState.GONE
-    assert not registered.tick(SILENCE_SECONDS + 0.2)
-    assert registered.on_heartbeat(beat("i-1", 2), 6.0)
-    assert registered.registration.state is InstanceState.READY
+    registrar = make_registrar()
+    registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
+    assert not registrar.tick(HEARTBEAT_TIMEOUT_SECONDS)
+    assert registrar.tick(HEARTBEAT_TIMEOUT_SECONDS + 0.1)
+    assert registrar.registration.state is InstanceState.GONE
+    assert not registrar.tick(HEARTBEAT_TIMEOUT_SECONDS + 0.2)
+    assert registrar.on_heartbeat(heartbeat("i-1", 2), 6.0)
+    assert registrar.registration.state is InstanceState.READY
 
 
 def test_one_that_refuses_connections_or_is_another_is_gone() -> None:
-    registered = registrar()
-    registered.on_heartbeat(beat("i-1", 1), 0.0)
-    assert not registered.on_misdirected("i-0")
-    assert registered.on_misdirected("i-1")
-    assert not registered.on_unreachable()
-    registered.on_heartbeat(beat("i-1", 2), 1.0)
-    assert registered.on_unreachable()
-    assert registered.registration.state is InstanceState.GONE
+    registrar = make_registrar()
+    registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
+    assert not registrar.on_misdirected("i-0")
+    assert registrar.on_misdirected("i-1")
+    assert not registrar.on_unreachable()
+    registrar.on_heartbeat(heartbeat("i-1", 2), 1.0)
+    assert registrar.on_unreachable()
+    assert registrar.registration.state is InstanceState.GONE
 
 
 def test_each_change_has_a_higher_serial() -> None:
-    registered = registrar()
+    registrar = make_registrar()
     serials = []
     for sequence, slots in enumerate((8, 9, 9, 10), start=1):
-        registered.on_heartbeat(beat("i-1", sequence, slots=slots), 0.0)
-        serials.append(registered.registration.serial)
+        registrar.on_heartbeat(heartbeat("i-1", sequence, slots=slots), 0.0)
+        serials.append(registrar.registration.serial)
     assert serials == [1, 2, 2, 3]
 
 
 def test_a_start_with_an_older_clock_tells_its_registration_under_a_higher_epoch() -> None:
     held = Registration(ADDRESS, 50, 7, "i-0", "sales", state=InstanceState.READY)
-    registered = registrar(epoch=20)
-    registered.on_heartbeat(beat("i-1", 1), 0.0)
-    assert registered.on_own_registration(held)
-    assert registered.registration.supersedes(held)
-    assert registered.registration.instance == "i-1"
-    assert not registered.on_own_registration(held)
-    assert not registered.on_own_registration(registered.registration)
+    registrar = make_registrar(epoch=20)
+    registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
+    assert registrar.on_own_registration(held)
+    assert registrar.registration.supersedes(held)
+    assert registrar.registration.instance == "i-1"
+    assert not registrar.on_own_registration(held)
+    assert not registrar.on_own_registration(registrar.registration)
 
 
 def test_a_check_of_health_tells_who_is_there_until_a_heartbeat_does() -> None:
-    registered = registrar()
-    assert registered.on_health("i-1", "sales", 8, 0.0)
-    assert registered.registration.state is InstanceState.READY
-    assert not registered.on_health("i-2", "sales", 8, 0.1)
-    assert registered.on_heartbeat(beat("i-1", 7, leaving=True), 0.5)
-    assert registered.registration.state is InstanceState.LEAVING
-    assert registered.tick(0.5 + SILENCE_SECONDS + 0.1)
+    registrar = make_registrar()
+    assert registrar.on_health("i-1", "sales", 8, 0.0)
+    assert registrar.registration.state is InstanceState.READY
+    assert not registrar.on_health("i-2", "sales", 8, 0.1)
+    assert registrar.on_heartbeat(heartbeat("i-1", 7, leaving=True), 0.5)
+    assert registrar.registration.state is InstanceState.LEAVING
+    assert registrar.tick(0.5 + HEARTBEAT_TIMEOUT_SECONDS + 0.1)
 
 
 def test_a_late_answer_to_a_check_turns_no_heartbeat_back() -> None:
-    registered = registrar()
-    registered.on_leave("i-1")
-    assert not registered.on_health("i-1", "sales", 8, 0.1)
-    registered.on_heartbeat(beat("i-2", 1), 0.2)
-    assert not registered.on_health("i-3", "sales", 8, 0.3)
-    assert registered.registration.instance == "i-2"
+    registrar = make_registrar()
+    registrar.on_leave("i-1")
+    assert not registrar.on_health("i-1", "sales", 8, 0.1)
+    registrar.on_heartbeat(heartbeat("i-2", 1), 0.2)
+    assert not registrar.on_health("i-3", "sales", 8, 0.3)
+    assert registrar.registration.instance == "i-2"
--- a/tests/directory/test_table.py
+++ b/tests/directory/test_table.py
@@ -1,4 +1,4 @@
-"""Registrations of many daemons: the latest of each counts, in whatever order they come."""
+"""Tests of the directory: the latest registration of each daemon wins in any order of arrival."""
 
 import random
 
@@ -6,7 +6,7 @@
 from finchshed.directory.registration import InstanceState, Registration
 from finchshed.directory.table import Directory
 
-FORGET_SECONDS = 10.0
+EXPIRY_SECONDS = 10.0
 
 
 def registration(
@@ -18,17 +18,17 @@
 
 
 def test_the_latest_counts_in_whatever_order_they_come() -> None:
-    told = [registration(serial, epoch=epoch) for epoch in (1, 2) for serial in range(6)]
+    registrations = [registration(serial, epoch=epoch) for epoch in (1, 2) for serial in range(6)]
     for seed in range(20):
-        directory = Directory(FORGET_SECONDS)
-        shuffled = random.Random(seed).sample(told, len(told))
+        directory = Directory(EXPIRY_SECONDS)
+        shuffled = random.Random(seed).sample(registrations, len(registrations))
         for item in shuffled:
             directory.merge((item,), 0.0)
         assert directory.registrations() == (registration(5, epoch=2),)
 
 
 def test_only_news_are_returned() -> None:
-    directory = Directory(FORGET_SECONDS)
+    directory = Directory(EXPIRY_SECONDS)
     first, second = registration(1), registration(1, host=2)
     assert directory.merge((first, second), 0.0) == (first, second)
     assert directory.merge((first, second), 1.0) == ()
@@ -38,16 +38,16 @@
 
 
 def test_what_nobody_confirms_is_forgotten_and_may_come_again() -> None:
-    directory = Directory(FORGET_SECONDS)
+    directory = Directory(EXPIRY_SECONDS)
     directory.merge((registration(1), registration(1, host=2)), 0.0)
     directory.merge((registration(1),), 8.0)
-    assert directory.expire(FORGET_SECONDS + 1.0) == ("10.0.0.2:7000",)
+    assert directory.expire(EXPIRY_SECONDS + 1.0) == ("10.0.0.2:7000",)
     assert len(directory) == 1
     assert directory.merge((registration(1, host=2),), 12.0) == (registration(1, host=2),)
 
 
 def test_dropping_tells_whether_anything_was_held() -> None:
-    directory = Directory(FORGET_SECONDS)
+    directory = Directory(EXPIRY_SECONDS)
     directory.merge((registration(1),), 0.0)
     assert not directory.drop(("10.0.0.9:7000",))
     assert directory.drop(("10.0.0.1:7000",))
@@ -55,7 +55,7 @@
 
 
 def test_endpoints_are_the_back_ends_that_are_there() -> None:
-    directory = Directory(FORGET_SECONDS)
+    directory = Directory(EXPIRY_SECONDS)
     directory.merge(
         (
             registration(1),
