--- a/src/finchshed/configuration/__init__.py
+++ b/src/finchshed/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Declared configuration: typed resources, changes, and the versioned store."""
+"""Declared configuration: resource types, changes, validation and the versioned store."""
--- a/src/finchshed/configuration/changes.py
+++ b/src/finchshed/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration and their results, as values."""
+"""Configuration changes and their results."""
 
 from typing import TypeAlias
 
@@ -8,25 +8,25 @@
 
 
 class Change(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One operator's change, applied whole or not at all.
+    """An atomic change submitted by an operator.
 
     Attributes
     ----------
     change_id
-        Chosen by the operator's client. A resend under the same identity gets the first result.
+        Idempotency key chosen by the operator's client. A resend returns the first result.
     expected_revision
-        Revision the change was made against. Of racing changes against one revision exactly one
-        is accepted.
+        Revision that the change is based on. Exactly one of several concurrent changes based on
+        the same revision is accepted.
     is_whole
-        Whether ``puts`` are all services, routes by host, limits and tenants there are to be: those
-        not among them are deleted.
+        Whether ``puts`` replaces all services, host routes, ingress limits and tenants. Resources
+        of these kinds that it doesn't contain are deleted.
     version
-        Number that the operator gave the configuration, above the one in force; 0: none. The
-        change then goes by ``base_version`` in place of ``expected_revision``.
+        Version number assigned by the operator, higher than the current one; 0 if unversioned. A
+        versioned change is checked against ``base_version`` instead of ``expected_revision``.
     base_version
-        Version the change was made against; 0: none was in force.
+        Version that the change is based on; 0 if there was none.
     source
-        The configuration as the operator wrote it, kept to be read back.
+        Configuration document as the operator wrote it, stored for retrieval.
     """
 
     change_id: str
@@ -41,13 +41,13 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """The change is committed as ``revision`` and never reverts."""
+    """The change is committed as ``revision`` and can't be lost."""
 
     revision: int
 
 
 class Conflict(msgspec.Struct, frozen=True, tag="conflict"):
-    """Another change was accepted first."""
+    """Another change based on the same revision was accepted first."""
 
     current_revision: int
     winner_change_id: str
@@ -55,7 +55,7 @@
 
 
 class Invalid(msgspec.Struct, frozen=True, tag="invalid"):
-    """The change would make a configuration that contradicts itself."""
+    """The change was rejected because it is malformed or would make the configuration invalid."""
 
     problems: tuple[str, ...]
 
--- a/src/finchshed/configuration/declarations.py
+++ b/src/finchshed/configuration/declarations.py
@@ -1,6 +1,6 @@
-"""Reads declaration files (TOML, under version control) into resources.
+"""Reads resources from TOML declaration files.
 
-A folder holds any number of ``*.toml`` files; together they are the whole configuration::
+A folder contains any number of ``*.toml`` files that together define the configuration::
 
     [policy]
     retry_budget = 3
@@ -74,7 +74,7 @@
 
 
 class _Reader:
-    """Collects resources and problems over all files."""
+    """Accumulates resources and problems over all files."""
 
     def __init__(self) -> None:
         self.resources: dict[ResourceKey, Resource] = {}
@@ -143,7 +143,7 @@
         if explicit_state:
             self.explicit_states.add(key)
 
-    def check_whole(self) -> None:
+    def validate(self) -> None:
         for problem in problems_of(self.resources):
             kind, _, rest = problem.partition("/")
             name, _, message = rest.partition(": ")
@@ -152,22 +152,22 @@
 
 
 def read_declarations(folder: Path) -> Declarations:
-    """Read every ``*.toml`` file in ``folder``.
+    """Read and validate every ``*.toml`` file in ``folder``.
 
     Raises
     ------
     DeclarationError
-        With one line for each problem: file, key, value and what is allowed.
+        With one line per problem, giving file, key, value and the allowed values.
     """
     if not folder.is_dir():
-        raise DeclarationError([f"{folder}: allowed is a folder with *.toml files"])
+        raise DeclarationError([f"{folder}: not a folder, allowed is a folder with *.toml files"])
     paths = sorted(folder.glob("*.toml"))
     if not paths:
-        raise DeclarationError([f"{folder}: holds no *.toml file"])
+        raise DeclarationError([f"{folder}: contains no *.toml file"])
     reader = _Reader()
     for path in paths:
         reader.read_file(path)
-    reader.check_whole()
+    reader.validate()
     if reader.problems:
         raise DeclarationError(reader.problems)
     return Declarations(reader.resources, frozenset(reader.explicit_states))
--- a/src/finchshed/configuration/difference.py
+++ b/src/finchshed/configuration/difference.py
@@ -1,7 +1,4 @@
-"""Difference between a configuration in force and a declared one.
-
-Owns no state.
-"""
+"""Computes and describes the difference between the current and a declared configuration."""
 
 from collections.abc import Mapping
 
@@ -11,13 +8,13 @@
 
 
 class Declarations(msgspec.Struct, frozen=True):
-    """Resources read from files.
+    """Resources read from declaration files.
 
     Attributes
     ----------
     explicit_states
-        Endpoints whose file gives their state; of the others the state in force is kept, so an
-        apply doesn't undo an operator's drain.
+        Endpoints whose declaration sets their state. Other endpoints keep their current state, so
+        that applying the files doesn't undo an operator's drain.
     """
 
     resources: dict[ResourceKey, Resource]
@@ -25,7 +22,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """What a change has to put and delete."""
+    """Resources to put and keys to delete."""
 
     puts: tuple[Resource, ...]
     deletes: tuple[ResourceKey, ...]
@@ -35,21 +32,21 @@
 
 
 def difference(in_force: Mapping[ResourceKey, Resource], declared: Declarations) -> Difference:
-    """Return what makes ``in_force`` equal to ``declared``."""
+    """Return the puts and deletes that turn ``in_force`` into ``declared``."""
     puts = []
     for key, resource in declared.resources.items():
         current = in_force.get(key)
-        wanted = resource
+        target = resource
         if key not in declared.explicit_states:
-            wanted = _with_state_in_force(resource, current)
-        if wanted != current:
-            puts.append(wanted)
+            target = _with_current_state(resource, current)
+        if target != current:
+            puts.append(target)
     deletes = sorted(key for key in in_force if key not in declared.resources)
     return Difference(tuple(puts), tuple(deletes))
 
 
 def describe_difference(in_force: Mapping[ResourceKey, Resource], changed: Difference) -> list[str]:
-    """Return one line for people for each resource and field that changes."""
+    """Return one human-readable line per added or deleted resource and changed field."""
     lines = []
     for resource in changed.puts:
         kind = str(type(resource).__struct_config__.tag)
@@ -65,7 +62,7 @@
     return lines
 
 
-def _with_state_in_force(resource: Resource, current: Resource | None) -> Resource:
+def _with_current_state(resource: Resource, current: Resource | None) -> Resource:
     if isinstance(resource, Endpoint) and isinstance(current, Endpoint):
         return msgspec.structs.replace(resource, state=current.state)
     return resource
--- a/src/finchshed/configuration/fields.py
+++ b/src/finchshed/configuration/fields.py
@@ -1,4 +1,4 @@
-"""Checks one table field by field, so that all of its problems are found at once."""
+"""Converts TOML tables to structs field by field, collecting every problem instead of the first."""
 
 from collections.abc import Mapping
 from typing import Any, TypeVar
@@ -10,7 +10,7 @@
 StructT = TypeVar("StructT", bound=msgspec.Struct)
 
 SECRET_FIELDS = frozenset({"key_sha256", "token_sha256"})
-"""Fields in which a key may stand by mistake where its digest belongs: never shown."""
+"""Fields whose values are omitted from messages: a secret may be given instead of its digest."""
 
 IMPORTANCE_NAMES = {importance.name.lower(): importance for importance in Importance}
 
@@ -23,7 +23,7 @@
     Parameters
     ----------
     where
-        File and place in it, put in front of each problem.
+        Location of the table in its file, used as the prefix of each problem.
     """
     before = len(problems)
     fields = {field.name: field for field in msgspec.structs.fields(struct_type)}
@@ -35,15 +35,15 @@
     for name, field in fields.items():
         if name in table:
             place = f"{where}: {name}"
-            shown = place if name in SECRET_FIELDS else f"{place} = {table[name]!r}"
-            values[name] = _convert_value(table[name], field.type, shown, problems)
+            label = place if name in SECRET_FIELDS else f"{place} = {table[name]!r}"
+            values[name] = _convert_value(table[name], field.type, label, problems)
         elif field.required:
             problems.append(f"{where}: {name}: missing, required")
     return None if len(problems) > before else struct_type(**values)
 
 
 def importance_from_name(table: Mapping[str, Any], where: str, problems: list[str]) -> Any:
-    """Return ``table`` with the name of an importance replaced by its value."""
+    """Return ``table`` with the name of an importance replaced by its enum member."""
     name = table.get("importance")
     if name is None:
         return table
@@ -55,9 +55,9 @@
     return {**table, "importance": importance}
 
 
-def _convert_value(value: Any, value_type: Any, shown: str, problems: list[str]) -> Any:
+def _convert_value(value: Any, value_type: Any, label: str, problems: list[str]) -> Any:
     try:
         return msgspec.convert(value, value_type)
     except msgspec.ValidationError as error:
-        problems.append(f"{shown}: {error}")
+        problems.append(f"{label}: {error}")
         return None
--- a/src/finchshed/configuration/resources.py
+++ b/src/finchshed/configuration/resources.py
@@ -1,7 +1,7 @@
-"""Resources that make up a configuration.
+"""Resource types of the configuration.
 
-A configuration is a set of resources, each named by its kind and name. The same types are read
-from declaration files (TOML), kept in the replicated log and sent to daemons.
+A configuration is a set of resources identified by kind and name. The same types are read from TOML
+declaration files, stored in the replicated log and sent to daemons.
 """
 
 import enum
@@ -18,44 +18,44 @@
 """An IPv4 address and port, ``a.b.c.d:port``."""
 
 Shard: TypeAlias = Annotated[tuple[Address, ...], msgspec.Meta(min_length=1, max_length=9)]
-"""One control group that keeps a part of the ledger."""
+"""Addresses of a control group that stores one shard of the ledger."""
 
 HostName: TypeAlias = Annotated[str, msgspec.Meta(pattern=r"^[^\s/]{1,253}$")]
-"""Host of a request, without a port."""
+"""Host name of a request, without a port."""
 
 HostRouteName: TypeAlias = Annotated[str, msgspec.Meta(pattern=r"^[^\s/]{1,253}/\S{0,4000}$")]
 
 TenantName: TypeAlias = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,128}$")]
-"""Name of a tenant; it travels as the value of a header."""
+"""Name of a tenant, restricted to characters that are valid in a header value."""
 
 KeyDigest: TypeAlias = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
 """Hexadecimal SHA-256 digest of an API key."""
 
 WARM_UP_SECONDS = 10.0
-"""Time over which a new back end's share of the work grows, where none is declared."""
+"""Default time over which traffic to a new back end ramps up."""
 
 PositiveSeconds: TypeAlias = Annotated[float, msgspec.Meta(gt=0.0, le=86_400.0)]
 
 
 class EndpointState(enum.StrEnum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new requests."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
 
 
 class Route(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """Requests of one kind within a service, found by longest path prefix.
+    """Requests of a service under one path prefix; the longest matching prefix applies.
 
     Attributes
     ----------
     prefix
-        Path prefix the route stands for.
+        Path prefix that the route matches.
     importance
-        Class the route's requests are shed by.
+        Importance class for load shedding.
     repeatable
-        Whether a request may run more than once. Where it may not, callers give an
-        idempotency key and the ledger is asked before the request is sent.
+        Whether a request may be executed more than once. If not, callers supply an idempotency
+        key, and the ledger must grant each attempt before it is sent.
     session
         Whether requests of this route belong to sessions.
     """
@@ -69,22 +69,22 @@
 class Service(
     msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True, tag="service"
 ):
-    """A service: its routes and its limits.
+    """Routes and limits of a service.
 
     Attributes
     ----------
     deadline_seconds
-        Deadline of a root request that brings none.
+        Default deadline of root requests.
     max_body_bytes
-        Largest request or answer that is spooled; larger ones are refused with a clear error.
+        Maximum size of a spooled request or response body; larger ones are refused.
     max_sessions
-        Sessions one endpoint admits at a time.
+        Maximum number of concurrent sessions per endpoint.
     session_idle_seconds
-        A session unused for this long has ended.
+        Idle time after which a session ends.
     health_path
-        Path a back end answers checks of its health on.
+        Path for health checks of the back ends.
     max_connections
-        Connections one back end takes; 0: as the settings of its daemon say.
+        Maximum number of connections to one back end; 0 for the value in the daemon's settings.
     """
 
     name: Name
@@ -98,9 +98,9 @@
 
 
 class Destination(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """One of the services that share the requests of a route, and its part of them.
+    """A service that receives part of a route's requests.
 
-    ``weight`` counts against the sum of the route's weights; 0: it gets none.
+    The part is ``weight`` divided by the sum of the route's weights.
     """
 
     service: Name
@@ -110,29 +110,27 @@
 class HostRoute(
     msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True, tag="host_route"
 ):
-    """Requests that come for one host under one path prefix.
-
-    A request falls under the route of its host with the longest prefix of its path.
+    """Ingress requests for one host and path prefix; the longest matching prefix applies.
 
     Attributes
     ----------
     name
-        Host and prefix together, see :func:`host_route_name`.
+        Concatenation of host and prefix, see :func:`host_route_name`.
     destinations
-        Services that answer the requests, by weight.
+        Services that receive the requests, by weight.
     importance
-        Class the requests are shed by.
+        Importance class for load shedding.
     repeatable
-        Whether a request may run more than once. Where it may not, the daemon that took it sends
-        it once, and never again after it may have run.
+        Whether a request may be executed more than once. If not, the ingress daemon doesn't retry
+        a request that may have been executed.
     timeout_seconds
-        Longest time for which a request is held.
+        Maximum time to wait for the response to a request.
     target_seconds
-        Latency the requests are meant to be answered in.
+        Latency objective.
     max_attempts
-        Back ends that one request may be sent to, the first included.
+        Maximum number of back ends that a request is sent to, including the first.
     public
-        Whether requests are taken without an API key where tenants are declared.
+        Whether requests are accepted without an API key when tenants are declared.
     """
 
     name: HostRouteName
@@ -154,14 +152,14 @@
     forbid_unknown_fields=True,
     tag="ingress_limits",
 ):
-    """What a caller may send and how long it may take; the one resource is named ``default``.
+    """Size and time limits for ingress requests; the only resource is named ``default``.
 
     Attributes
     ----------
     head_seconds
-        Longest time from the first byte of a request's head to its last.
+        Maximum time from the first to the last byte of a request's head.
     idle_seconds
-        A connection without a request for longer may be closed.
+        Time without a request after which a connection may be closed.
     """
 
     name: Name = "default"
@@ -174,16 +172,16 @@
 class Endpoint(
     msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True, tag="endpoint"
 ):
-    """One back end with the daemon beside it.
+    """A back end together with the daemon beside it.
 
     Attributes
     ----------
     address
-        Where the daemon beside the back end listens for links of other daemons.
+        Address on which that daemon accepts links from other daemons.
     slots
-        Requests the back end can run at a time, as declared.
+        Declared number of requests that the back end can run concurrently.
     warm_up_seconds
-        Time over which a new back end's share of the work grows to its whole one.
+        Time over which traffic to a new back end ramps up to its full share.
     """
 
     name: Name
@@ -199,28 +197,28 @@
 class Policy(
     msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True, tag="policy"
 ):
-    """Limits that hold for the whole deployment; the one resource is named ``default``.
+    """Limits of the whole deployment; the only resource is named ``default``.
 
     Attributes
     ----------
     retry_budget
-        Spare attempts of one root request over its whole call graph.
+        Maximum number of retries for one root request over its whole call graph.
     retry_ratio
-        Retries a service's callers may make in sum, as a share of its recent successes.
+        Maximum retries by all callers of a service, as a fraction of its recent successes.
     retry_burst
-        Retries that all daemons together may make of a service's calls beyond that share; 0: each
-        daemon has a bound of its own.
+        Retries that all daemons together may make to a service beyond ``retry_ratio``; 0 for a
+        separate limit per daemon.
     key_window_seconds
-        How long an idempotency key is valid; past it a request with that key is refused.
+        Validity of an idempotency key; requests with an older key are refused.
     key_trust_seconds
-        Longest time for which a daemon that control can't reach goes on taking API keys that may
-        have been taken away; 0: no limit.
+        Maximum time for which a daemon without contact to control keeps accepting API keys that
+        may have been revoked; 0 for no limit.
     quota_window_seconds, quota_overshoot, quota_slack
-        In any such window all daemons together take at most ``(rate * window + burst) * (1 +
+        In any window, all daemons together admit at most ``(rate * window + burst) * (1 +
         overshoot) + slack`` requests of a tenant.
     ledger_shards
-        Control groups that the at-most-once ledger is spread over, each by the distribution
-        addresses of its nodes; none: the control group keeps the ledger itself.
+        Control groups that the at-most-once ledger is sharded over, each given by the distribution
+        addresses of its nodes. If empty, the control group itself stores the ledger.
     """
 
     name: Name = "default"
@@ -238,7 +236,7 @@
 class Operator(
     msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True, tag="operator"
 ):
-    """Someone who may change the configuration.
+    """A principal that may change the configuration.
 
     ``token_sha256`` is the hexadecimal SHA-256 digest of the operator's token.
     """
@@ -250,21 +248,21 @@
 class Tenant(
     msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True, tag="tenant"
 ):
-    """Someone whose requests carry an API key.
+    """A client of the deployment, authenticated by API keys.
 
-    Once a tenant is declared, each request by host needs a key, except on public routes and for
-    the calls that back ends make.
+    Once any tenant is declared, ingress requests need a key, except on public routes and for calls
+    made by back ends.
 
     Attributes
     ----------
     key_sha256
-        Digests of the tenant's API keys; several, so that keys can be changed without a gap.
+        Digests of the tenant's API keys. Several keys may be valid at once to allow rotation.
     importance
-        Class of the tenant's requests, in place of that of their route; None: the route's.
+        Importance class that overrides the route's; None to use the route's.
     requests_per_second
-        Requests that all daemons together take from the tenant; 0: no limit.
+        Maximum request rate over all daemons; 0 for no limit.
     burst_requests
-        Requests above that rate which may come at once after a quiet time.
+        Number of requests above that rate admitted at once after an idle period.
     """
 
     name: TenantName
@@ -278,26 +276,26 @@
 
 
 class ResourceKey(msgspec.Struct, frozen=True, order=True):
-    """Identity of a resource."""
+    """Kind and name that identify a resource."""
 
     kind: str
     name: str
 
 
 def host_route_name(host: str, prefix: str) -> str:
-    """Return the name of the route for ``host`` and ``prefix``."""
+    """Return the resource name of the route for ``host`` and ``prefix``."""
     return host + prefix
 
 
 def kind_of(resource_type: type[Resource]) -> str:
-    """Return the kind that resources of a type have in their keys."""
+    """Return the kind used in the keys of a resource type."""
     return str(resource_type.__struct_config__.tag)
 
 
 def key_of(resource: Resource) -> ResourceKey:
-    """Return the identity of ``resource``."""
+    """Return the key of ``resource``."""
     return ResourceKey(kind=kind_of(type(resource)), name=resource.name)
 
 
 KINDS = frozenset(kind_of(resource_type) for resource_type in get_args(Resource))
-"""Kinds of all resources."""
+"""Kinds of all resource types."""
--- a/src/finchshed/configuration/store.py
+++ b/src/finchshed/configuration/store.py
@@ -1,12 +1,12 @@
-"""The versioned configuration as a pure state machine.
+"""Versioned configuration store, a deterministic state machine over the replicated log.
 
-Every control node applies the same changes in the same order. A change is accepted whole or not
-at all; of changes made against one revision exactly one is accepted. Results are retained, so a
-resend under the same change identity gets the first result; past the retention a resend is a
-change against an old revision and gets a conflict, so it is never applied twice.
+Every control node applies the same changes in the same order. Changes are atomic, and exactly one
+of several changes based on the same revision is accepted. Results are retained so that a resend
+with the same change ID returns the first result. A resend after the retention period is based on an
+old revision and conflicts, so no change is applied twice.
 
-Owns the resources, the revision and the results of earlier changes. Relies on the replicated log to
-apply each change once, in order.
+Owns the resources, the revision and the retained results. Relies on the replicated log to apply
+each change once and in order.
 """
 
 import hashlib
@@ -28,19 +28,19 @@
 from finchshed.configuration.validation import duplicate_keys, keeps_sound, problems_of
 
 RESULT_RETENTION = 10_000
-"""Results kept for resends: about a week of changes at 1,400 a day."""
+"""Number of results retained for resends, about a week at 1,400 changes per day."""
 
 OPERATOR_KIND = "operator"
 
 REPLACED_KINDS = frozenset(kind_of(kind) for kind in (Service, HostRoute, IngressLimits, Tenant))
-"""Kinds that a change with the whole configuration gives all resources of."""
+"""Resource kinds that a change with ``is_whole`` replaces completely."""
 
 BOOTSTRAP_OPERATOR = "bootstrap"
-"""Name of the operator who may change a configuration that declares no operator yet."""
+"""Operator name that may change a configuration without declared operators."""
 
 
 class RetainedResult(msgspec.Struct, frozen=True, array_like=True):
-    """The first result of a change. ``digest`` tells a resend from another change."""
+    """First result of a change; ``digest`` distinguishes a resend from a reused change ID."""
 
     change_id: str
     digest: str
@@ -48,14 +48,14 @@
 
 
 class Winner(msgspec.Struct, frozen=True, array_like=True):
-    """Who made a revision."""
+    """Change and operator that created a revision."""
 
     change_id: str
     operator: str
 
 
 class CommittedRevision(msgspec.Struct, frozen=True):
-    """What an accepted change made different."""
+    """Effective puts and deletes of an accepted change."""
 
     revision: int
     puts: tuple[Resource, ...]
@@ -63,7 +63,7 @@
 
 
 class StoreSnapshot(msgspec.Struct):
-    """Everything a store holds."""
+    """Complete state of a store."""
 
     revision: int
     resources: tuple[Resource, ...]
@@ -74,17 +74,17 @@
 
 
 def digest_of_change(change: Change) -> str:
-    """Return the SHA-256 of ``change``, hexadecimal."""
+    """Return the hexadecimal SHA-256 digest of ``change``."""
     return hashlib.sha256(msgspec.json.encode(change)).hexdigest()
 
 
 class ConfigurationStore:
-    """Resources with one revision number for the whole configuration.
+    """Resources under a single revision number.
 
     Parameters
     ----------
     result_retention
-        Results and winners kept for resends; equal on every control node.
+        Number of results and winners retained; must be equal on all control nodes.
     """
 
     def __init__(self, result_retention: int = RESULT_RETENTION) -> None:
@@ -99,9 +99,9 @@
         self.last_committed: CommittedRevision | None = None
 
     def apply(self, change: Change) -> ChangeResult:
-        """Apply ``change``, or return the first result of an earlier one of its identity.
+        """Apply ``change``, or return the retained result if it is a resend.
 
-        :attr:`last_committed` is set to what became different, or None when nothing did.
+        Sets :attr:`last_committed` to the committed puts and deletes, or None if nothing changed.
         """
         self.last_committed = None
         digest = digest_of_change(change)
@@ -115,23 +115,23 @@
         return result
 
     def operators(self) -> dict[str, Operator]:
-        """Return the declared operators by the digest of their token."""
+        """Return the declared operators by token digest."""
         if self._operators is None:
             found = (item for item in self.resources.values() if isinstance(item, Operator))
             self._operators = {operator.token_sha256: operator for operator in found}
         return self._operators
 
     def result_of(self, change_id: str) -> ChangeResult | None:
-        """Return the first result of ``change_id``, when still retained."""
+        """Return the first result of ``change_id``, or None if it isn't retained."""
         retained = self._results.get(change_id)
         return None if retained is None else retained.result
 
     def winner_of(self, revision: int) -> Winner | None:
-        """Return who made ``revision``, when still retained."""
+        """Return the change and operator that created ``revision``, or None if not retained."""
         return self._winners.get(revision)
 
     def snapshot(self) -> StoreSnapshot:
-        """Return everything held."""
+        """Return the complete state."""
         return StoreSnapshot(
             revision=self.revision,
             resources=tuple(self.resources.values()),
@@ -142,7 +142,7 @@
         )
 
     def restore(self, snapshot: StoreSnapshot) -> None:
-        """Replace everything held by ``snapshot``."""
+        """Replace the complete state by ``snapshot``."""
         self.revision = snapshot.revision
         self.resources = {key_of(resource): resource for resource in snapshot.resources}
         self._results = {retained.change_id: retained for retained in snapshot.results}
@@ -153,9 +153,9 @@
         self.last_committed = None
 
     def _apply_first(self, change: Change) -> ChangeResult:
-        if not self._builds_on_latest(change):
+        if not self._is_based_on_latest(change):
             return self._conflict(change)
-        change = self._as_difference(change)
+        change = self._reduce_to_difference(change)
         problems = self._problems(change)
         if problems:
             return Invalid(tuple(problems))
@@ -169,22 +169,24 @@
         self._commit(change, candidate)
         return Accepted(self.revision)
 
-    def _builds_on_latest(self, change: Change) -> bool:
+    def _is_based_on_latest(self, change: Change) -> bool:
         if change.version:
             return change.base_version == self.version
         return change.expected_revision == self.revision
 
-    def _as_difference(self, change: Change) -> Change:
-        """Return a change that gives the whole configuration as what it makes different."""
+    def _reduce_to_difference(self, change: Change) -> Change:
+        """Reduce a change with ``is_whole`` to its effective puts and deletes."""
         if not change.is_whole:
             return change
-        given = {key_of(resource) for resource in change.puts}
-        missing = [key for key in self.resources if key.kind in REPLACED_KINDS and key not in given]
+        put_keys = {key_of(resource) for resource in change.puts}
+        absent = [
+            key for key in self.resources if key.kind in REPLACED_KINDS and key not in put_keys
+        ]
         puts = [item for item in change.puts if self.resources.get(key_of(item)) != item]
-        # Two different resources of one key are left for the check of duplicates.
-        if len(given) < len(change.puts):
+        # Keep all puts if keys repeat, so that the duplicate check reports them.
+        if len(put_keys) < len(change.puts):
             puts = list(change.puts)
-        deletes = (*change.deletes, *missing)
+        deletes = (*change.deletes, *absent)
         return msgspec.structs.replace(change, puts=tuple(puts), deletes=deletes)
 
     def _conflict(self, change: Change) -> Conflict:
--- a/src/finchshed/configuration/validation.py
+++ b/src/finchshed/configuration/validation.py
@@ -1,6 +1,6 @@
-"""Checks of a whole configuration: names that refer to each other, addresses, bounds.
+"""Validates a configuration: references between resources, addresses, duplicates and bounds.
 
-Owns no state; a change is refused as a whole, with every problem that was found.
+Validation reports every problem it finds, not only the first.
 """
 
 import collections
@@ -26,7 +26,7 @@
 """Highest TCP port: 16 bits (RFC 9293, 3.1)."""
 
 MAX_SHARDS = 64
-"""Groups that the ledger may be spread over. Chosen, not measured."""
+"""Maximum number of ledger shards."""
 
 POLICY_NAME = "default"
 LIMITS_NAME = "default"
@@ -34,7 +34,7 @@
 
 
 def problems_of(resources: Mapping[ResourceKey, Resource]) -> list[str]:
-    """Return what contradicts itself in ``resources``, one line each; empty when sound."""
+    """Return one line per problem in ``resources``; empty if the configuration is valid."""
     services = {item.name for item in resources.values() if isinstance(item, Service)}
     problems: list[str] = []
     for resource in resources.values():
@@ -52,9 +52,9 @@
             problems.append(f"policy/{resource.name}: name: only '{POLICY_NAME}' is allowed")
         if isinstance(resource, Policy):
             problems += _problems_of_shards(resource)
-    problems += _shared_addresses(resources.values())
-    problems += _shared_tokens(resources.values())
-    problems += _shared_keys(resources.values())
+    problems += _duplicate_address_problems(resources.values())
+    problems += _duplicate_token_problems(resources.values())
+    problems += _duplicate_key_problems(resources.values())
     return problems
 
 
@@ -63,24 +63,25 @@
     puts: Iterable[Resource],
     deletes: Iterable[ResourceKey],
 ) -> bool:
-    """Return whether a change of a sound configuration is sure to leave it sound.
+    """Return whether a change to a valid configuration certainly leaves it valid.
 
-    Only what the change touches is looked at, so its cost does not grow with a configuration of
-    thousands of resources unless it puts endpoints or operators or deletes services.
+    Checks only the resources that the change touches, so that the cost doesn't grow with the size
+    of the configuration, except for puts of endpoints, operators or tenants. False means that
+    a full check with :func:`problems_of` is needed.
 
     Parameters
     ----------
     resources
-        The configuration after the change.
+        Configuration after the change.
     puts, deletes
-        The change.
+        Resources and keys that the change puts and deletes.
     """
     if any(key.kind == SERVICE_KIND for key in deletes):
         return False
-    return all(_fits_in(resource, resources) for resource in puts)
+    return all(_is_valid_put(resource, resources) for resource in puts)
 
 
-def _fits_in(put: Resource, resources: Mapping[ResourceKey, Resource]) -> bool:
+def _is_valid_put(put: Resource, resources: Mapping[ResourceKey, Resource]) -> bool:
     if isinstance(put, Service):
         return not _problems_of_service(put)
     if isinstance(put, HostRoute):
@@ -98,15 +99,15 @@
         return (
             ResourceKey(kind=SERVICE_KIND, name=put.service) in resources
             and is_address(put.address)
-            and _is_alone(put, resources, lambda other: _address_of(other) == put.address)
+            and _is_unique(put, resources, lambda other: _address_of(other) == put.address)
         )
     if isinstance(put, Tenant):
         keys = set(put.key_sha256)
-        return _is_alone(put, resources, lambda other: not keys.isdisjoint(_keys_of(other)))
-    return _is_alone(put, resources, lambda other: _token_of(other) == put.token_sha256)
+        return _is_unique(put, resources, lambda other: not keys.isdisjoint(_keys_of(other)))
+    return _is_unique(put, resources, lambda other: _token_of(other) == put.token_sha256)
 
 
-def _is_alone(
+def _is_unique(
     put: Resource,
     resources: Mapping[ResourceKey, Resource],
     is_same: Callable[[Resource], bool],
@@ -210,7 +211,7 @@
     return port.isdecimal() and 1 <= int(port) <= MAX_PORT
 
 
-def _shared_addresses(resources: Iterable[Resource]) -> list[str]:
+def _duplicate_address_problems(resources: Iterable[Resource]) -> list[str]:
     owners: dict[str, list[str]] = collections.defaultdict(list)
     for resource in resources:
         if isinstance(resource, Endpoint):
@@ -223,7 +224,7 @@
     ]
 
 
-def _shared_tokens(resources: Iterable[Resource]) -> list[str]:
+def _duplicate_token_problems(resources: Iterable[Resource]) -> list[str]:
     owners: dict[str, list[str]] = collections.defaultdict(list)
     for resource in resources:
         if isinstance(resource, Operator):
@@ -235,8 +236,8 @@
     ]
 
 
-def _shared_keys(resources: Iterable[Resource]) -> list[str]:
-    """Return the tenants that hold a key together; the key itself is not told."""
+def _duplicate_key_problems(resources: Iterable[Resource]) -> list[str]:
+    """Return a problem for each API key shared by tenants, without revealing its digest."""
     owners: dict[str, list[str]] = collections.defaultdict(list)
     for resource in resources:
         for digest in set(_keys_of(resource)):
--- a/tests/configuration/test_keeps_sound.py
+++ b/tests/configuration/test_keeps_sound.py
@@ -1,4 +1,4 @@
-"""What is checked by what a change touches agrees with the check of the whole."""
+"""Checks that the incremental check never accepts a configuration that the full check rejects."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/configuration/test_store_properties.py
+++ b/tests/configuration/test_store_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the store over random histories of racing and resending operators."""
+"""Property tests of the store over random histories of concurrent, resent and restarted changes."""
 
 import msgspec
 from hypothesis import given, settings
--- a/tests/configuration/test_store_stateful.py
+++ b/tests/configuration/test_store_stateful.py
@@ -1,4 +1,4 @@
-"""The configuration store under racing, resending and restarting, against a plain model."""
+"""Stateful test of the store against a reference model, with resends and restarts."""
 
 import msgspec
 from hypothesis import settings
@@ -51,18 +51,18 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.steady = ConfigurationStore(RETENTION)
+        self.continuous = ConfigurationStore(RETENTION)
         self.restarted = ConfigurationStore(RETENTION)
         self.model: dict[ResourceKey, Resource] = {}
         self.revision = 0
-        self.latest: dict[str, ChangeResult] = {}
+        self.retained_results: dict[str, ChangeResult] = {}
         self.accepted_at: dict[str, int] = {}
-        self.made = 0
+        self.changes_made = 0
 
     def apply(self, change: Change) -> ChangeResult:
-        result = self.steady.apply(change)
+        result = self.continuous.apply(change)
         assert self.restarted.apply(change) == result
-        committed = self.steady.last_committed
+        committed = self.continuous.last_committed
         assert self.restarted.last_committed == committed
         if committed is not None:
             assert result == Accepted(self.revision + 1)
@@ -97,9 +97,9 @@
         puts: list[Resource],
         deletes: list[ResourceKey],
     ) -> Change:
-        self.made += 1
+        self.changes_made += 1
         expected = max(0, self.revision - behind)
-        change = Change(f"c{self.made}", operator, expected, tuple(puts), tuple(deletes))
+        change = Change(f"c{self.changes_made}", operator, expected, tuple(puts), tuple(deletes))
         before = self.revision
         result = self.apply(change)
         if expected != before:
@@ -107,22 +107,22 @@
         if isinstance(result, Conflict) and expected < before:
             winner = self.accepted_at.get(result.winner_change_id)
             assert winner in (expected + 1, before)
-        self._remember(change, result)
+        self._retain(change, result)
         return change
 
     @rule(change=changes)
     def resend(self, change: Change) -> None:
-        """Within the retention the first result, past it never a second effect."""
-        retained = self.steady.result_of(change.change_id)
+        """A resend returns the first result while retained and is never applied twice."""
+        retained = self.continuous.result_of(change.change_id)
         result = self.apply(change)
-        if change.change_id in self.latest:
-            assert retained == result == self.latest[change.change_id]
+        if change.change_id in self.retained_results:
+            assert retained == result == self.retained_results[change.change_id]
         else:
-            self._remember(change, result)
+            self._retain(change, result)
 
     @rule(change=changes)
     def use_its_identity_for_another_change(self, change: Change) -> None:
-        if change.change_id in self.latest:
+        if change.change_id in self.retained_results:
             other = msgspec.structs.replace(change, puts=(Service(name="other"),), deletes=())
             assert isinstance(self.apply(other), Invalid)
 
@@ -134,7 +134,7 @@
 
     @invariant()
     def holds_what_was_accepted(self) -> None:
-        for store in (self.steady, self.restarted):
+        for store in (self.continuous, self.restarted):
             assert store.revision == self.revision
             assert store.resources == self.model
             assert set(store.operators()) == {
@@ -143,7 +143,7 @@
 
     @invariant()
     def is_bounded_and_equal_after_restarts(self) -> None:
-        snapshot = self.steady.snapshot()
+        snapshot = self.continuous.snapshot()
         assert len(snapshot.results) <= RETENTION
         assert len(snapshot.winners) <= RETENTION
         assert snapshot == self.restarted.snapshot()
@@ -156,10 +156,10 @@
         addresses = [endpoint.address for endpoint in endpoints]
         assert len(addresses) == len(set(addresses))
 
-    def _remember(self, change: Change, result: ChangeResult) -> None:
-        self.latest[change.change_id] = result
-        while len(self.latest) > RETENTION:
-            del self.latest[next(iter(self.latest))]
+    def _retain(self, change: Change, result: ChangeResult) -> None:
+        self.retained_results[change.change_id] = result
+        while len(self.retained_results) > RETENTION:
+            del self.retained_results[next(iter(self.retained_results))]
 
 
 def test_no_order_of_changes_resends_and_restarts_breaks_the_store() -> None:
--- a/tests/configuration/test_tenants.py
+++ b/tests/configuration/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants as a part of the configuration: their checks, and whole changes."""
+"""Tests of tenant declarations, key uniqueness and replacement by whole changes."""
 
 from pathlib import Path
 
@@ -68,23 +68,23 @@
 )
 def test_what_is_wrong_with_a_tenant_is_told(tmp_path: Path, field: str, shown: str) -> None:
     (tmp_path / "tenants.toml").write_text(f'[[tenant]]\nname = "officers"\n{field}\n')
-    with pytest.raises(DeclarationError) as told:
+    with pytest.raises(DeclarationError) as raised:
         read_declarations(tmp_path)
-    assert shown in str(told.value)
+    assert shown in str(raised.value)
 
 
 def test_a_key_given_in_place_of_its_digest_is_not_shown(tmp_path: Path) -> None:
     (tmp_path / "tenants.toml").write_text(
         '[[tenant]]\nname = "officers"\nkey_sha256 = ["the-key-itself"]\n'
     )
-    with pytest.raises(DeclarationError) as told:
+    with pytest.raises(DeclarationError) as raised:
         read_declarations(tmp_path)
-    assert "key_sha256" in str(told.value)
-    assert "the-key-itself" not in str(told.value)
+    assert "key_sha256" in str(raised.value)
+    assert "the-key-itself" not in str(raised.value)
 
 
 def test_a_name_twice_is_told(tmp_path: Path) -> None:
     (tmp_path / "tenants.toml").write_text('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n')
-    with pytest.raises(DeclarationError) as told:
+    with pytest.raises(DeclarationError) as raised:
         read_declarations(tmp_path)
-    assert "tenant a: declared in tenants.toml too" in str(told.value)
+    assert "tenant a: declared in tenants.toml too" in str(raised.value)
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""The quick check of a change agrees with the check of the whole configuration."""
+"""Checks that the incremental check agrees with validation of the whole configuration."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/configuration/test_whole_changes.py
+++ b/tests/configuration/test_whole_changes.py
@@ -1,4 +1,4 @@
-"""Changes that give the whole configuration, under version numbers of the operator's."""
+"""Tests of changes that replace the whole configuration under operator-assigned versions."""
 
 import msgspec
 import pytest
