--- a/src/finchshed/distribution/__init__.py
+++ b/src/finchshed/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of accepted configuration from control nodes to daemons."""
+"""Distribution of committed configuration from control nodes to daemons."""
--- a/src/finchshed/distribution/addresses.py
+++ b/src/finchshed/distribution/addresses.py
@@ -1,8 +1,8 @@
-"""Which control node a daemon tries next. Pure; randomness is passed in.
+"""Selects the control node that a daemon connects to next. No I/O; randomness is injected.
 
-Nodes of the own zone come first, the others in an order of the daemon's own, so that the daemons
-of a lost control node spread over the rest. A node that failed is tried again after a delay that
-doubles, with jitter over the upper half of it.
+Nodes in the daemon's zone are preferred. The others follow in a random order per daemon, so that
+the daemons of a failed control node spread over the rest. Failed nodes are retried with exponential
+backoff and jitter over the upper half of the delay.
 """
 
 import random
@@ -12,31 +12,30 @@
 from finchshed.common.backoff import Backoff
 
 BACKOFF_SECONDS_MIN = 0.2
-"""Bound of the wait before a node that failed once is tried again. Chosen, not measured."""
+"""Backoff after the first failure, before jitter."""
 
 BACKOFF_SECONDS_MAX = 5.0
-"""Bound of that wait after many failures. Chosen, not measured."""
+"""Maximum backoff after repeated failures, before jitter."""
 
 CONNECT_TIMEOUT_SECONDS_MIN = 0.15
-"""Longest wait for the first connection to a node: ten round trips between the zones of a region.
+"""Timeout of the first connection attempt to a node: ten round trips between zones of a region.
 
-A machine that has no power answers nothing; when a whole site comes back the nodes that are up
-already are found by going on to the next one soon. The wait doubles with each failure."""
+Short enough to skip unpowered machines quickly when a whole site restarts. The timeout doubles with
+each failure."""
 
 CONNECT_TIMEOUT_SECONDS_MAX = 0.75
-"""Longest wait for a connection, once shorter ones have failed: a slow node, a far region."""
+"""Maximum connection timeout, for slow nodes and distant regions."""
 
 RECONNECT_BACKOFF = Backoff(BACKOFF_SECONDS_MIN, BACKOFF_SECONDS_MAX)
 CONNECT_TIMEOUT = Backoff(CONNECT_TIMEOUT_SECONDS_MIN, CONNECT_TIMEOUT_SECONDS_MAX)
 
 STABLE_SECONDS = 10.0
-"""A connection that lived this long counts as a success, and the delay starts anew. Chosen,
-not measured."""
+"""Connection lifetime after which the backoff is reset."""
 
 
 @dataclass(frozen=True, slots=True)
 class ControlAddress:
-    """Distribution address ``host:port`` of a control node; ``zone`` is empty if not known."""
+    """Distribution address ``host:port`` of a control node; ``zone`` is empty if unknown."""
 
     address: str
     zone: str = ""
@@ -44,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectAttempt:
-    """Try ``address`` after ``wait_seconds``, for ``connect_seconds`` at most."""
+    """Connect to ``address`` after ``wait_seconds``, with a timeout of ``connect_seconds``."""
 
     address: ControlAddress
     wait_seconds: float
@@ -52,86 +51,86 @@
 
 
 @dataclass(slots=True)
-class _Record:
+class _NodeState:
     failures: int
     ready_at: float
     rank: float
 
 
 def parse_control_address(text: str) -> ControlAddress:
-    """Read ``zone=host:port`` or ``host:port``."""
+    """Parse ``zone=host:port`` or ``host:port``."""
     zone, separator, address = text.partition("=")
     return ControlAddress(address, zone) if separator else ControlAddress(text)
 
 
 class AddressBook:
-    """Control nodes as one daemon knows them.
+    """Control nodes known to one daemon, with their connection failures.
 
     Parameters
     ----------
     addresses
-        Control nodes of the settings; at least one.
+        Control nodes from the settings; at least one.
     zone
         Zone of the daemon.
     rng
-        Source of the order and of the jitter.
+        Randomness for the order of nodes and for jitter.
     """
 
     def __init__(self, addresses: Iterable[ControlAddress], zone: str, rng: random.Random) -> None:
         self._zone = zone
         self._rng = rng
-        self._records: dict[ControlAddress, _Record] = {}
+        self._states: dict[ControlAddress, _NodeState] = {}
         for address in addresses:
             self._add(address)
 
     def add(self, addresses: Iterable[str]) -> None:
-        """Add nodes that a control node or the settings named later."""
-        known = {entry.address for entry in self._records}
+        """Add control nodes learned later, skipping those already known."""
+        known = {entry.address for entry in self._states}
         for text in addresses:
             if text not in known:
                 self._add(ControlAddress(text))
 
     def next_attempt(self, now: float) -> ConnectAttempt:
-        """Return the most preferred node that is ready, or else the first to be ready."""
-        ready = [entry for entry, record in self._records.items() if record.ready_at <= now]
+        """Return the preferred node that isn't backing off, or the one whose backoff ends first."""
+        ready = [entry for entry, state in self._states.items() if state.ready_at <= now]
         if ready:
-            chosen = min(ready, key=self._preference)
+            chosen = min(ready, key=self._preference_key)
             return ConnectAttempt(chosen, 0.0, self._connect_seconds(chosen))
-        first = min(self._records, key=lambda entry: self._records[entry].ready_at)
-        wait = self._records[first].ready_at - now
+        first = min(self._states, key=lambda entry: self._states[entry].ready_at)
+        wait = self._states[first].ready_at - now
         return ConnectAttempt(first, wait, self._connect_seconds(first))
 
     def own_zone_node(self, address: ControlAddress) -> ControlAddress | None:
-        """Return a node of the own zone, if ``address`` is of another."""
+        """Return a node in the daemon's zone if ``address`` is in another zone, else None."""
         if address.zone == self._zone:
             return None
-        return next((entry for entry in self._records if entry.zone == self._zone), None)
+        return next((entry for entry in self._states if entry.zone == self._zone), None)
 
     def on_reachable(self, address: ControlAddress) -> None:
-        """Note that a connection could be opened: earlier failures count no more."""
-        record = self._records[address]
-        record.failures = 0
-        record.ready_at = 0.0
+        """Clear the failures and backoff of a node that accepted a connection."""
+        state = self._states[address]
+        state.failures = 0
+        state.ready_at = 0.0
 
     def on_connection_ended(
         self, address: ControlAddress, lived_seconds: float, now: float
     ) -> None:
-        """Note that an attempt or a connection has ended; ``lived_seconds`` 0: never opened."""
-        record = self._records[address]
+        """Record a failed attempt (``lived_seconds`` 0) or the end of a connection."""
+        state = self._states[address]
         if lived_seconds >= STABLE_SECONDS:
-            record.failures = 0
-        failures = record.failures
-        record.failures += 1
-        record.rank = self._rng.random()
-        record.ready_at = now + RECONNECT_BACKOFF.half_jitter(failures, self._rng)
+            state.failures = 0
+        failures = state.failures
+        state.failures += 1
+        state.rank = self._rng.random()
+        state.ready_at = now + RECONNECT_BACKOFF.half_jitter(failures, self._rng)
 
     def _connect_seconds(self, address: ControlAddress) -> float:
-        failures = self._records[address].failures
+        failures = self._states[address].failures
         return CONNECT_TIMEOUT.bound(failures)
 
     def _add(self, address: ControlAddress) -> None:
-        self._records[address] = _Record(0, 0.0, self._rng.random())
+        self._states[address] = _NodeState(0, 0.0, self._rng.random())
 
-    def _preference(self, address: ControlAddress) -> tuple[int, bool, float]:
-        record = self._records[address]
-        return (min(record.failures, 1), address.zone != self._zone, record.rank)
+    def _preference_key(self, address: ControlAddress) -> tuple[int, bool, float]:
+        state = self._states[address]
+        return (min(state.failures, 1), address.zone != self._zone, state.rank)
--- a/src/finchshed/distribution/client.py
+++ b/src/finchshed/distribution/client.py
@@ -1,13 +1,13 @@
-"""A daemon's connection to control: one at a time, to whichever control node serves.
+"""Client connection from a daemon to one control node at a time.
 
-Owns the connection in use, its subscription and its heartbeats: a control node that is cut off in
-silence is noticed by the lines that are missing, and left for another. Control nodes use it too,
-for the ledger of another group.
+Owns the current connection, its subscription and its heartbeats. If the control node sends nothing
+for a while, the client moves to another one. Control nodes also use the client to reach the ledger
+of another control group.
 
-Relies on :class:`~finchshed.distribution.addresses.AddressBook` for the node to try next, on
-:mod:`finchshed.distribution.control_dialer` for opening connections, and on
-:class:`~finchshed.distribution.ledger_requests.LedgerRequests`, which sends a request again on the
-next connection until it is answered or its time is up.
+Relies on :class:`~finchshed.distribution.addresses.AddressBook` to select nodes, on
+:mod:`finchshed.distribution.control_dialer` to open connections, and on
+:class:`~finchshed.distribution.ledger_requests.LedgerRequests` to resend requests on the next
+connection until they are answered or time out.
 """
 
 import asyncio
@@ -43,56 +43,58 @@
 from finchshed.quota.messages import QuotaAnswer, QuotaRequest, QuotaShares, QuotaTokens
 
 CONTROL_TIMEOUT_SECONDS = 1.5
-"""A control node that sent nothing for this long is left; it sends each half second.
+"""Time without a message from the control node after which the connection is abandoned.
 
-The 4 s until a change is in force have to hold this, the check after it, and two nodes in a row
-that can't be reached either.
+Control nodes send a heartbeat each half second. The 4 s within which a change must be in force have
+to cover this timeout, the check interval and two further nodes that can't be reached.
 """
 
 HEARTBEAT_INTERVAL_SECONDS = 1.0
-"""Longest time between two reports of the revision in force. Chosen, not measured."""
+"""Maximum time between reports of the revision in force."""
 
 CHECK_INTERVAL_SECONDS = 0.25
-"""Time between looks for silence and for a report that is due. Chosen, not measured."""
+"""Time between checks for a silent control node and for a due heartbeat."""
 
 MAX_LINE_BYTES = 96 << 20
-"""Longest line taken from control, bytes: a whole configuration or a completed call's answer."""
+"""Maximum line length accepted from control: fits a full configuration or a stored response."""
 
 
 class ControlClient:
-    """Keeps a connection to one control node.
+    """Maintains a connection to one control node.
+
+    The callbacks among the attributes are optional and set by the daemon.
 
     Parameters
     ----------
     identity
-        Who subscribes.
+        Identity sent with the subscription.
     addresses
-        Control nodes of the settings; at least one.
+        Control nodes from the settings; at least one.
     handlers
         Callbacks, all called on the event loop.
     rng
-        Source of order and jitter.
+        Randomness for the order of nodes and for jitter.
     connect
-        Opens connections; None: the event loop does. Proof passes one that can be cut.
+        Opens connections; None to use the event loop. Tests pass one that can be interrupted.
 
     Attributes
     ----------
     ledger
-        The daemon's requests to the at-most-once ledger.
+        Requests to the at-most-once ledger.
     on_hints
-        Called with the platform's list as control read it; set by the daemon.
+        Called with the platform's list of leaving machines.
     on_explain
-        Called when an operator asks for recent decisions; set by the daemon.
+        Called when an operator asks for recent decisions.
     on_lease
-        Called with answers to the daemon's questions for its lease; set by the daemon.
+        Called with answers to lease renewals.
     on_quota
-        Called with answers about quotas; set by the daemon.
+        Called with answers to quota reports and token requests.
     on_directory
-        Called with registrations of back ends; set by the daemon.
+        Called with registrations of back ends.
     on_crash_news
-        Called with news of requests that crash back ends; set by the daemon.
+        Called with reports of requests that crash back ends.
     registration
-        Returns the registration of the back end beside the daemon; None: it tells of none.
+        Returns the registration of the daemon's back end; None to announce none.
     """
 
     def __init__(
@@ -112,7 +114,7 @@
         self._ended: asyncio.Event = asyncio.Event()
         self._check: asyncio.TimerHandle | None = None
         self._is_subscribed = False
-        self._heard_at = 0.0
+        self._last_message_at = 0.0
         self._heartbeat_due = 0.0
         self.ledger = LedgerRequests(identity.node, self._send_ledger_request)
         self.connections_made = 0
@@ -126,16 +128,16 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether a control node has answered the subscription and still serves."""
+        """Whether a control node has answered the subscription on the current connection."""
         return self._is_subscribed
 
     @property
     def peer_address(self) -> str:
-        """Address of the control node in use, or empty."""
+        """Address of the connected control node, or empty."""
         return "" if self._connection is None else self._connection.peer_address
 
     async def run(self) -> None:
-        """Stay connected until cancelled."""
+        """Connect, and reconnect after each failure, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             attempt = self._book.next_attempt(loop.time())
@@ -146,39 +148,39 @@
             self._book.on_connection_ended(attempt.address, lived, loop.time())
 
     def report_in_force(self, revision: int) -> None:
-        """Tell the control node which revision is in force here."""
+        """Report the revision in force to the control node."""
         self._send_subscribed(InForce(revision))
         if self._is_subscribed:
             self._heartbeat_due = asyncio.get_running_loop().time() + HEARTBEAT_INTERVAL_SECONDS
 
     def announce(self) -> None:
-        """Tell the control node of the back end beside this daemon."""
+        """Send the registration of the daemon's back end to the control node."""
         if self._connection is not None and self.registration is not None:
             self._connection.send(Announce(self.registration()))
 
     def renew_lease(self, question: int) -> None:
-        """Send a question for the daemon's lease."""
+        """Send a lease renewal identified by ``question``."""
         self._send_subscribed(RenewLease(question))
 
     def send_quota(self, request: QuotaRequest) -> bool:
-        """Send a report or an ask to the leader; return whether there was a way to send it."""
+        """Send a quota report or token request and return whether it was sent."""
         return self._send_subscribed(request)
 
     def send_crash_news(self, news: CrashNews) -> None:
-        """Tell the control node of requests that back ends ended under."""
+        """Report requests under which back ends crashed."""
         self._send_subscribed(news)
 
     def add_addresses(self, addresses: Iterable[str]) -> None:
-        """Take in further control nodes."""
+        """Add control nodes learned after the start."""
         self._book.add(addresses)
 
     def fetch(self, revision: int) -> None:
-        """Ask the control node for what follows ``revision``."""
+        """Request the changes after ``revision``."""
         if self._connection is not None:
             self._connection.send(Fetch(revision))
 
     async def _connect_and_serve(self, address: ControlAddress, connect_seconds: float) -> float:
-        """Return for how many seconds the connection served."""
+        """Open one connection, use it until it ends, and return its lifetime in seconds."""
         loop = asyncio.get_running_loop()
         self._ended.clear()
         connection: Connection = LineProtocol(
@@ -186,7 +188,7 @@
         )
         if not await self._dialer.open(address, connection, connect_seconds):
             return 0.0
-        opened_at = self._heard_at = loop.time()
+        opened_at = self._last_message_at = loop.time()
         self._connection = connection
         self.connections_made += 1
         self._subscribe(connection)
@@ -212,9 +214,11 @@
         self.ledger.resend_pending()
 
     async def _wait_until_ended(self, address: ControlAddress) -> None:
-        """Return once the connection has ended, is silent, or a nearer node can be reached."""
-        nearer = self._book.own_zone_node(address)
-        probing = None if nearer is None else asyncio.create_task(self._move_to(nearer))
+        """Return once the connection has ended or timed out, or a node in the own zone is up."""
+        local = self._book.own_zone_node(address)
+        probing = (
+            None if local is None else asyncio.create_task(self._disconnect_when_reachable(local))
+        )
         self._check = asyncio.get_running_loop().call_later(CHECK_INTERVAL_SECONDS, self._on_check)
         try:
             await self._ended.wait()
@@ -225,14 +229,14 @@
                 probing.cancel()
 
     def _on_check(self) -> None:
-        """Look for silence, and send a heartbeat when one is due."""
+        """End a silent connection, and send a heartbeat when one is due."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         connection = self._connection
         if (
             connection is None
             or not connection.is_open
-            or now - self._heard_at > CONTROL_TIMEOUT_SECONDS
+            or now - self._last_message_at > CONTROL_TIMEOUT_SECONDS
         ):
             self._ended.set()
             return
@@ -241,10 +245,10 @@
             self.announce()
         self._check = loop.call_later(CHECK_INTERVAL_SECONDS, self._on_check)
 
-    async def _move_to(self, nearer: ControlAddress) -> None:
-        """End the connection once a nearer control node can be reached."""
-        await self._dialer.wait_until_reachable(nearer, self._rng)
-        self._book.on_reachable(nearer)
+    async def _disconnect_when_reachable(self, local: ControlAddress) -> None:
+        """End the connection once the control node ``local`` can be reached."""
+        await self._dialer.wait_until_reachable(local, self._rng)
+        self._book.on_reachable(local)
         self._ended.set()
 
     def _leave(self, connection: Connection) -> None:
@@ -257,7 +261,7 @@
     def _on_message(self, connection: Connection, message: ControlToDaemon) -> None:
         if connection is not self._connection:
             return
-        self._heard_at = asyncio.get_running_loop().time()
+        self._last_message_at = asyncio.get_running_loop().time()
         if isinstance(message, Delta):
             if not self._is_subscribed:
                 self._is_subscribed = True
@@ -275,12 +279,12 @@
             if self.on_quota is not None:
                 self.on_quota(message)
         elif isinstance(message, Hints | DirectoryUpdate | LeaseRenewed | CrashNews):
-            self._pass_on(message)
+            self._dispatch(message)
         else:
             self.ledger.on_answer(message)
 
-    def _pass_on(self, message: Hints | DirectoryUpdate | LeaseRenewed | CrashNews) -> None:
-        """Hand a message to the part of the daemon that waits for it, if there is one."""
+    def _dispatch(self, message: Hints | DirectoryUpdate | LeaseRenewed | CrashNews) -> None:
+        """Pass a message to its callback, if one is set."""
         match message:
             case Hints() if self.on_hints is not None:
                 self.on_hints(message)
@@ -292,7 +296,7 @@
                 self.on_crash_news(message)
 
     def _send_subscribed(self, message: InForce | RenewLease | QuotaRequest | CrashNews) -> bool:
-        """Send what only a node that took the subscription reads; return whether it was sent."""
+        """Send a message that requires an answered subscription; return whether it was sent."""
         connection = self._connection if self._is_subscribed else None
         return connection is not None and connection.send(message) > 0
 
--- a/src/finchshed/distribution/client_handlers.py
+++ b/src/finchshed/distribution/client_handlers.py
@@ -1,6 +1,6 @@
-"""What the connection to control tells its owner, and what it asks of it.
+"""Callbacks from the control connection to its owner.
 
-Owns no state. Relies on the owner to answer at once: all is called on the event loop.
+All callbacks run on the event loop and must not block.
 """
 
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientHandlers:
-    """What the client tells its owner.
+    """Callbacks of a :class:`~finchshed.distribution.client.ControlClient`.
 
-    ``revision_held`` and ``revision_in_force`` are read for subscriptions and heartbeats.
+    ``revision_held`` is sent with subscriptions and ``revision_in_force`` with heartbeats.
     """
 
     on_delta: Callable[[Delta], None]
--- a/src/finchshed/distribution/committed_configuration.py
+++ b/src/finchshed/distribution/committed_configuration.py
@@ -1,7 +1,6 @@
-"""The configuration as committed at one control node, and the lines that bring others to it. Pure.
+"""Committed configuration of one control node and the encoded deltas sent to subscribers. No I/O.
 
-Owns the configuration, its latest changes, and each line made of them: a delta is encoded once,
-and the same bytes are written to all of its subscribers.
+Each delta is encoded once, and the same bytes are written to all subscribers that need it.
 """
 
 from finchshed.common.errors import InvariantError
@@ -12,12 +11,13 @@
 
 
 class CommittedConfiguration:
-    """The configuration of one hub.
+    """Committed configuration of one hub, with cached lines for its subscribers.
 
     Parameters
     ----------
     history_changes
-        Changes kept for merged deltas; who is further behind gets the whole configuration.
+        Number of changes kept for merged deltas. Subscribers further behind receive the whole
+        configuration.
     """
 
     def __init__(self, history_changes: int) -> None:
@@ -28,46 +28,52 @@
 
     @property
     def current(self) -> Configuration:
-        """The configuration as committed and applied here."""
+        """The committed configuration."""
         return self._current
 
     @property
     def revision(self) -> int:
-        """Its revision."""
+        """Revision of the committed configuration."""
         return self._current.revision
 
     def restore(self, configuration: Configuration) -> None:
-        """Replace the whole configuration by that of a snapshot.
+        """Replace the configuration by that of a snapshot.
 
         Raises
         ------
         InvariantError
-            If it would take the committed configuration back.
+            If the snapshot is older than the committed configuration.
         """
         if configuration.revision < self.revision:
-            raise InvariantError("a snapshot must not revert the configuration")
+            raise InvariantError(
+                f"snapshot at revision {configuration.revision} is older than the committed "
+                f"revision {self.revision}"
+            )
         if configuration.revision > self.revision:
             self._history.clear()
         self._current = configuration
-        self._forget_lines()
+        self._clear_lines()
 
     def apply(self, delta: Delta) -> None:
-        """Apply one committed change, from the revision before it.
+        """Apply the next committed change.
 
         Raises
         ------
         InvariantError
-            If it does not follow the change before it.
+            If the change doesn't start at the current revision.
         """
         if delta.base != self.revision or delta.revision <= delta.base:
-            raise InvariantError(f"change {delta.revision} does not follow {delta.base}")
+            raise InvariantError(
+                f"change from revision {delta.base} to {delta.revision} doesn't follow the "
+                f"committed revision {self.revision}"
+            )
         before = self._current if delta.base > 0 else Configuration()
         self._current = apply_delta(before, delta)
         self._history.append(delta)
-        self._forget_lines()
+        self._clear_lines()
 
     def catch_up_line(self, base: int) -> SharedLine:
-        """Return the line that brings ``base`` to the current revision."""
+        """Return the encoded delta from ``base`` to the current revision."""
         line = self._catch_up.get(base)
         if line is None:
             line = SharedLine(self._history.between(base, self._current))
@@ -75,13 +81,13 @@
         return line
 
     def unchanged_line(self, confirmed: bool) -> SharedLine:
-        """Return the line that changes nothing; ``confirmed`` says that a quorum confirmed it."""
+        """Return the encoded empty delta; ``confirmed`` states that a quorum confirmed it."""
         line = self._unchanged.get(confirmed)
         if line is None:
             line = SharedLine(empty_delta(self.revision, confirmed))
             self._unchanged[confirmed] = line
         return line
 
-    def _forget_lines(self) -> None:
+    def _clear_lines(self) -> None:
         self._catch_up.clear()
         self._unchanged.clear()
--- a/src/finchshed/distribution/control_dialer.py
+++ b/src/finchshed/distribution/control_dialer.py
@@ -1,7 +1,6 @@
-"""Opens a daemon's connections to control nodes, and tries nodes that it isn't connected to.
+"""Opens connections to control nodes and probes nodes that the daemon isn't connected to.
 
-Owns nothing but the way a connection is opened. Relies on
-:class:`~finchshed.distribution.client.ControlClient`, which says what to open, and when.
+:class:`~finchshed.distribution.client.ControlClient` decides when and where to connect.
 """
 
 import asyncio
@@ -15,13 +14,13 @@
 
 Connection: TypeAlias = LineProtocol[ControlToDaemon]
 Connect: TypeAlias = Callable[[Callable[[], Connection], str, int], Awaitable[object]]
-"""Opens a connection for the protocol made by the first argument to a host and port."""
+"""Connects the protocol returned by the first argument to a host and port."""
 
 OWN_ZONE_PROBE_SECONDS = 60.0
-"""A daemon linked to another zone's control node tries its own zone's after one to two of these.
+"""Base interval for probing the control node in the daemon's zone while connected to another zone.
 
-Without it a control node that was restarted would serve nobody, and a zone would hang on links to
-others that may be cut. Chosen, not measured.
+Each probe waits one to two intervals. Returning to the own zone gives a restarted control node its
+subscribers back and avoids depending on links between zones.
 """
 
 
@@ -31,7 +30,7 @@
     Parameters
     ----------
     connect
-        Opens a connection; None: the event loop does. Proof passes one that can be cut.
+        Opens a connection; None to use the event loop. Tests pass one that can be interrupted.
     """
 
     def __init__(self, connect: Connect | None = None) -> None:
@@ -40,7 +39,7 @@
     async def open(
         self, address: ControlAddress, connection: Connection, timeout_seconds: float
     ) -> bool:
-        """Open ``connection`` to ``address``; return whether it could be opened in time."""
+        """Open ``connection`` to ``address`` and return whether that succeeded in time."""
         host, _, port = address.address.rpartition(":")
         try:
             opening = self._connect(lambda: connection, host, int(port))
@@ -50,14 +49,14 @@
         return True
 
     async def wait_until_reachable(self, address: ControlAddress, rng: random.Random) -> None:
-        """Try ``address`` now and then, and return once a connection to it can be opened."""
+        """Probe ``address`` periodically and return once it accepts a connection."""
         while True:
             await asyncio.sleep(OWN_ZONE_PROBE_SECONDS * (1.0 + rng.random()))
             if await self._can_reach(address):
                 return
 
     async def _can_reach(self, address: ControlAddress) -> bool:
-        """Whether a connection to a control node can be opened; it is closed at once."""
+        """Return whether ``address`` accepts a connection, which is closed again immediately."""
         probe: Connection = LineProtocol(ControlToDaemon, _ignore)
         is_open = await self.open(address, probe, CONNECT_TIMEOUT_SECONDS_MAX)
         if is_open:
@@ -66,7 +65,7 @@
 
 
 def _ignore(connection: Connection, message: ControlToDaemon) -> None:
-    """Drop what comes in on a connection that is only tried."""
+    """Discard messages received on a probe connection."""
 
 
 async def _connect_by_loop(make_protocol: Callable[[], Connection], host: str, port: int) -> object:
--- a/src/finchshed/distribution/delta_history.py
+++ b/src/finchshed/distribution/delta_history.py
@@ -1,7 +1,4 @@
-"""The latest deltas, kept to bring someone a few changes behind up to date. Pure.
-
-Owns those deltas; its size is bounded in changes and in items.
-"""
+"""Bounded history of recent deltas, used to update receivers that are a few changes behind."""
 
 from collections import deque
 
@@ -9,18 +6,18 @@
 from finchshed.distribution.snapshot import Configuration, full_delta, merge
 
 ITEM_LIMIT = 20_000
-"""Resources and keys kept in all deltas together: bounds the memory. Chosen, not measured."""
+"""Default maximum number of resources and keys kept over all deltas, to bound memory."""
 
 
 class DeltaHistory:
-    """Deltas that follow each other, the oldest forgotten first.
+    """Consecutive deltas; the oldest are evicted first.
 
     Parameters
     ----------
     limit
-        Most deltas kept.
+        Maximum number of deltas.
     item_limit
-        Most resources and keys kept in all deltas together; this bounds the memory.
+        Maximum number of resources and keys over all deltas.
     """
 
     def __init__(self, limit: int, item_limit: int = ITEM_LIMIT) -> None:
@@ -33,17 +30,17 @@
         return len(self._deltas)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Remove all deltas."""
         self._deltas.clear()
         self._items = 0
 
     def append(self, delta: Delta) -> None:
-        """Keep a delta that was applied; a whole configuration forgets what came before it."""
+        """Append an applied delta; a full configuration clears the history instead."""
         if delta.base == 0:
             self.clear()
             return
         held = self._deltas[-1].revision if self._deltas else delta.base
-        # What an overlapping delta repeats is equal, so it may be said to start later.
+        # The overlap repeats equal states, so the delta may start at the end of the history.
         base = max(delta.base, held)
         self._deltas.append(Delta(base, delta.revision, delta.puts, delta.deletes))
         self._items += _items_of(delta)
@@ -51,7 +48,10 @@
             self._items -= _items_of(self._deltas.popleft())
 
     def between(self, base: int, configuration: Configuration) -> Delta:
-        """Return what brings ``base`` to ``configuration``: merged changes, or the whole."""
+        """Return the delta from ``base`` to ``configuration``, merged or full if that is shorter.
+
+        The delta is also full if the history doesn't reach back to ``base``.
+        """
         reaches_back = bool(self._deltas) and self._deltas[0].base <= base
         if base == 0 or not reaches_back:
             return full_delta(configuration)
--- a/src/finchshed/distribution/effects.py
+++ b/src/finchshed/distribution/effects.py
@@ -1,4 +1,4 @@
-"""What a follower asks its surroundings to do."""
+"""Effects that a follower requests from its runner."""
 
 import enum
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 
 class FollowerRecord(msgspec.Struct, frozen=True):
-    """What a daemon with a data folder keeps across restarts.
+    """State that a daemon with a data folder keeps across restarts.
 
     Attributes
     ----------
     highest_seen
-        Highest revision the daemon has heard of from anyone.
+        Highest revision reported to the daemon by any node.
     configuration
-        Whole configuration it held, or None if it held none.
+        Full configuration, or None if the daemon had none.
     """
 
     highest_seen: int
@@ -27,21 +27,21 @@
 
 
 class ServingBasis(enum.StrEnum):
-    """Why a daemon may take calls."""
+    """Reason for which a daemon may accept calls."""
 
     NONE = "none"
-    """It may not yet."""
+    """The daemon may not accept calls yet."""
 
     QUORUM = "quorum"
-    """A quorum of control nodes confirmed the revision in this life of the process."""
+    """A quorum of control nodes confirmed the revision since the process started."""
 
     DISK_AND_PEERS = "disk_and_peers"
-    """Its own disk holds the revision and most peers of its zone know of none higher."""
+    """The revision is on disk and a majority of peers in the zone reported none higher."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchFromControl:
-    """Send ``Fetch(revision)`` to the control node in use."""
+    """Send ``Fetch(revision)`` to the connected control node."""
 
     revision: int
 
@@ -56,21 +56,21 @@
 
 @dataclass(frozen=True, slots=True)
 class GreetPeers:
-    """Open a link to each of these endpoints, to learn its revision."""
+    """Open a link to each of these endpoints to learn their revisions."""
 
     endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class PersistRecord:
-    """Write the record and sync it, then call ``on_persisted`` or ``on_persist_failed``."""
+    """Write and sync the record, then call ``on_persisted`` or ``on_persist_failed``."""
 
     record: FollowerRecord
 
 
 @dataclass(frozen=True, slots=True)
 class TakeEffect:
-    """Act on ``current`` from now on; ``previous`` is what was acted on before."""
+    """Replace the configuration in force, ``previous``, by ``current``."""
 
     previous: Configuration
     current: Configuration
@@ -78,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportInForce:
-    """Send ``InForce(revision)`` to the control node in use."""
+    """Send ``InForce(revision)`` to the connected control node."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartServing:
-    """The daemon may take calls from now on."""
+    """Start accepting calls."""
 
     basis: ServingBasis
 
--- a/src/finchshed/distribution/fetch_scheduler.py
+++ b/src/finchshed/distribution/fetch_scheduler.py
@@ -1,54 +1,54 @@
-"""When a follower asks for the revisions that it lacks, and whom. Pure.
+"""Decides when a follower fetches missing revisions, and from which source. No I/O.
 
-Owns the time of the next fetch and whose turn it is. Relies on
-:class:`~finchshed.distribution.peer_revisions.PeerRevisions` for which peer is ahead.
+Alternates between control and the peers that
+:class:`~finchshed.distribution.peer_revisions.PeerRevisions` knows to be ahead.
 """
 
 from finchshed.distribution.effects import FetchFromControl, FetchFromPeer
 from finchshed.distribution.peer_revisions import PeerRevisions
 
 FETCH_RETRY_SECONDS = 1.0
-"""An unanswered fetch is repeated, from another source if there is one, after this long. Chosen,
-not measured."""
+"""Time after which an unanswered fetch is repeated, from another source if there is one."""
 
 
 class FetchScheduler:
-    """Fetches of one follower. ``now`` is monotonic seconds.
+    """Schedules the fetches of one follower. ``now`` is monotonic seconds.
 
     Parameters
     ----------
     peers
-        What peers hold, as far as they reported it.
+        Revisions reported by peers.
     """
 
     def __init__(self, peers: PeerRevisions) -> None:
         self._peers = peers
-        self._due = 0.0
+        self._next_fetch_at = 0.0
         self._peer_is_next = False
 
     def fetch_now(self, now: float) -> None:
-        """Let the next fetch go out at once: there is news of a higher revision."""
-        self._due = now
+        """Allow the next fetch immediately, because a higher revision became known."""
+        self._next_fetch_at = now
 
     def postpone(self, now: float) -> None:
-        """Give control the time of one fetch to send what is missing by itself."""
-        self._due = now + FETCH_RETRY_SECONDS
+        """Delay the next fetch, because control sends missing revisions after a subscription."""
+        self._next_fetch_at = now + FETCH_RETRY_SECONDS
 
     def on_up_to_date(self) -> None:
-        """Begin with control, and with every peer, when something is missing again."""
+        """Reset the order of sources, starting with control, once no revision is missing."""
         self._peer_is_next = False
         self._peers.clear_asked()
 
     def next_fetch(
         self, revision: int, control_connected: bool, now: float
     ) -> FetchFromControl | FetchFromPeer | None:
-        """Return whom to ask for what follows ``revision``; None: not yet, or nobody.
+        """Return the fetch of what follows ``revision``, or None if none is due or possible.
 
-        Control is asked first; if that brought nothing, or there is none, the furthest peer.
+        Control comes first. If it didn't answer or isn't connected, the peer with the highest
+        revision is next.
         """
-        if now < self._due:
+        if now < self._next_fetch_at:
             return None
-        self._due = now + FETCH_RETRY_SECONDS
+        self._next_fetch_at = now + FETCH_RETRY_SECONDS
         peer = self._peers.next_peer_ahead(revision)
         if peer and (self._peer_is_next or not control_connected):
             self._peer_is_next = False
--- a/src/finchshed/distribution/follower.py
+++ b/src/finchshed/distribution/follower.py
@@ -1,14 +1,13 @@
-"""The daemon's side of configuration: hold it, never go back, and know when calls may be taken.
+"""Follows the committed configuration at a daemon and decides when calls may be accepted.
 
-Pure decisions: no I/O and no clock. Owns the configuration in force at a daemon, and whether the
-daemon may take calls.
+No I/O and no clock. Owns the configuration in force at the daemon, which never goes back to an
+earlier revision.
 
-A revision comes into force in three steps. It is *held* once a delta that fits has been applied;
-it is *recorded* once the data folder has it synced (skipped without a data folder); then it is
-*in force*. Recording first means that a daemon with a disk never comes back to less than it has
-acted on.
+A revision comes into force in three steps. It is *held* once an applicable delta has been applied,
+*recorded* once it is synced to the data folder (skipped without one), and then *in force*. Because
+recording comes first, a restarted daemon never resumes with an older revision than it acted on.
 
-Relies on :mod:`finchshed.distribution.follower_runner`, which carries the effects out.
+:mod:`finchshed.distribution.follower_runner` executes the effects.
 """
 
 from collections.abc import Sequence
@@ -38,35 +37,33 @@
 )
 
 CONTROL_GRACE_SECONDS = 2.0
-"""After a start, control has this long to be reached before disk and peers are enough. Chosen,
-not measured."""
+"""Time after start during which only control, not disk and peers, can enable serving."""
 
 HISTORY_CHANGES = 64
-"""Changes kept for peers; one that is further behind gets the whole configuration. Chosen,
-not measured."""
+"""Number of changes kept for peers. Peers further behind receive the full configuration."""
 
 NO_EFFECTS: tuple[FollowerEffect, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerIdentity:
-    """Where the daemon stands. ``endpoint`` is empty on an edge."""
+    """Zone and endpoint of the daemon; ``endpoint`` is empty on an edge."""
 
     zone: str
     endpoint: str = ""
 
 
 class Follower:
-    """Follows the accepted configuration.
+    """Follows the committed configuration.
 
     Parameters
     ----------
     identity
-        Zone and endpoint of the daemon; peers are the other endpoints of the zone.
+        Zone and endpoint of the daemon; its peers are the other endpoints of the zone.
     has_disk
         Whether revisions are recorded in a data folder before they come into force.
     record
-        What the data folder held at start, if anything.
+        Record read from the data folder at start, if any.
     """
 
     def __init__(
@@ -107,26 +104,26 @@
 
     @property
     def held_revision(self) -> int:
-        """Revision held; at least the one in force. Subscriptions start from it."""
+        """Revision held, at least the one in force. Subscriptions start from it."""
         return self._held.revision
 
     @property
     def highest_seen(self) -> int:
-        """Highest revision heard of from anyone, in this life or an earlier one on the disk."""
+        """Highest revision reported by any node, including before a restart if recorded."""
         return self._highest_seen
 
     @property
     def may_serve(self) -> bool:
-        """Whether calls may be taken. Once true it stays true until the process ends."""
+        """Whether calls may be accepted. Once true, it stays true until the process ends."""
         return self._basis is not ServingBasis.NONE
 
     @property
     def disk_failed(self) -> bool:
-        """Whether the data folder refused a record; tests read it."""
+        """Whether writing a record to the data folder has failed."""
         return self._disk_failed
 
     def start(self, now: float) -> Sequence[FollowerEffect]:
-        """Begin; with a record, act on it at once and ask the peers of the zone."""
+        """Start; with a record, put it into force at once and contact the peers of the zone."""
         self._started_at = now
         if not self._started_from_disk:
             return NO_EFFECTS
@@ -134,62 +131,62 @@
         peers = self._zone_peers()
         if peers:
             effects.append(GreetPeers(peers))
-        effects.extend(self._settle(now))
+        effects.extend(self._next_effects(now))
         return effects
 
     def on_control_connected(self, now: float) -> Sequence[FollowerEffect]:
-        """Note that a control node took the subscription."""
+        """Handle an accepted subscription."""
         self._control_connected = True
         self._fetches.postpone(now)
         return NO_EFFECTS
 
     def on_control_lost(self, now: float) -> Sequence[FollowerEffect]:
-        """Note that no control node is in reach."""
+        """Handle the loss of the connection to control."""
         self._control_connected = False
         self._fetches.fetch_now(now)
-        return self._settle(now)
+        return self._next_effects(now)
 
     def on_control_delta(self, delta: Delta, now: float) -> Sequence[FollowerEffect]:
-        """Apply a delta from the control node in use, after the subscription."""
+        """Apply a delta from the connected control node."""
         if delta.confirmed:
             self._confirmed_revision = max(self._confirmed_revision or 0, delta.revision)
         return self._on_delta(delta, now)
 
     def on_peer_delta(self, peer: str, delta: Delta, now: float) -> Sequence[FollowerEffect]:
-        """Apply a delta from another daemon. It can't confirm anything for a quorum."""
+        """Apply a delta from another daemon, ignoring its ``confirmed`` flag."""
         self._peers.record(peer, delta.revision)
         return self._on_delta(delta, now)
 
     def on_peer_revision(self, peer: str, revision: int, now: float) -> Sequence[FollowerEffect]:
-        """Note the revision that came with a call, an answer or a heartbeat of ``peer``."""
+        """Handle the revision carried by a call, an answer or a heartbeat of ``peer``."""
         if revision <= self._held.revision and self.may_serve:
             return NO_EFFECTS
         self._peers.record(peer, revision)
         if revision > self._highest_seen:
             self._highest_seen = revision
             self._fetches.fetch_now(now)
-        return self._settle(now)
+        return self._next_effects(now)
 
     def on_persisted(self, now: float) -> Sequence[FollowerEffect]:
-        """Act on what has been recorded, and record what came in meanwhile."""
+        """Put the recorded revision into force, and record any newer one."""
         recorded = self._recording
         self._recording = None
         if recorded is None:
             return NO_EFFECTS
-        return [*self._take_effect(recorded), *self._settle(now)]
+        return [*self._take_effect(recorded), *self._next_effects(now)]
 
     def on_persist_failed(self, now: float) -> Sequence[FollowerEffect]:
-        """Go on without the disk: calls matter more than the next restart, which needs a quorum."""
+        """Continue without the disk. The next restart then needs a quorum to serve."""
         self._disk_failed = True
         self._recording = None
-        return self._settle(now)
+        return self._next_effects(now)
 
     def tick(self, now: float) -> Sequence[FollowerEffect]:
         """Repeat an unanswered fetch. Call about every half second."""
-        return self._settle(now)
+        return self._next_effects(now)
 
     def answer_fetch(self, revision: int) -> Delta:
-        """Return what a peer that holds ``revision`` needs to hold what is in force here."""
+        """Return the delta that brings a peer from ``revision`` to the revision in force here."""
         if revision >= self._in_force.revision:
             return empty_delta(self._in_force.revision)
         return self._history.between(revision, self._in_force)
@@ -215,10 +212,10 @@
             self._held = apply_delta(self._held, delta)
             self._history.append(delta)
             self._holds_any = True
-        return self._settle(now)
+        return self._next_effects(now)
 
-    def _settle(self, now: float) -> list[FollowerEffect]:
-        """Return what the present state asks for."""
+    def _next_effects(self, now: float) -> list[FollowerEffect]:
+        """Return the effects due in the current state."""
         effects: list[FollowerEffect] = []
         effects.extend(self._record_or_take_effect())
         effects.extend(self._start_serving(now))
@@ -263,15 +260,15 @@
             return ServingBasis.NONE
         if self._confirmed_revision is not None and in_force >= self._confirmed_revision:
             return ServingBasis.QUORUM
-        # A quorum knows more than the peers, so it is heard first where it can be reached.
+        # Peers may lag behind a quorum, so they are only trusted without a control connection.
         without_control = (
             not self._control_connected and now - self._started_at >= CONTROL_GRACE_SECONDS
         )
-        if self._started_from_disk and without_control and self._most_peers_answered():
+        if self._started_from_disk and without_control and self._majority_of_peers_reported():
             return ServingBasis.DISK_AND_PEERS
         return ServingBasis.NONE
 
-    def _most_peers_answered(self) -> bool:
+    def _majority_of_peers_reported(self) -> bool:
         names = [endpoint.name for endpoint in self._zone_peers()]
         return 2 * self._peers.count_reported(names) > len(names) or not names
 
--- a/src/finchshed/distribution/follower_runner.py
+++ b/src/finchshed/distribution/follower_runner.py
@@ -1,7 +1,7 @@
-"""Runs a daemon's follower: joins its decisions, the connection to control and the data folder.
+"""Runs a daemon's follower and executes its effects.
 
-Owns all three. A daemon makes one, runs it, hands it what peers report, and is called with what to
-act on.
+Owns the follower, the connection to control and the data folder's record. The daemon passes in the
+revisions and deltas of peers, and receives effects through :class:`FollowerListener`.
 """
 
 import asyncio
@@ -38,17 +38,17 @@
 from finchshed.runtime import clock
 
 TICK_SECONDS = 0.5
-"""Time between ticks of the follower, half of the pause between fetches. Chosen, not measured."""
+"""Interval between ticks of the follower, half of the fetch retry time."""
 
 
 class FollowerListener(Protocol):
-    """What a daemon does when its follower asks for it. Called on the event loop."""
+    """Effects that the daemon executes for its follower. Called on the event loop."""
 
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
-        """Act on ``current`` from now on."""
+        """Replace the configuration in force by ``current``."""
 
     def start_serving(self, basis: ServingBasis) -> None:
-        """Take calls from now on."""
+        """Start accepting calls."""
 
     def fetch_from_peer(self, peer: str, revision: int) -> None:
         """Send ``Fetch(revision)`` on the link to ``peer``, if there is one."""
@@ -58,22 +58,22 @@
 
 
 class FollowerRunner:
-    """Runs a follower.
+    """Runs a follower until cancelled.
 
     Parameters
     ----------
     identity
-        Who the daemon is.
+        Identity of the daemon.
     addresses
-        Control nodes of the settings; at least one.
+        Control nodes from the settings; at least one.
     listener
         The daemon.
     rng
-        Source of order and jitter.
+        Randomness for the order of nodes and for jitter.
     data_folder
-        Where the highest revision is kept, or None without a disk.
+        Folder for the follower's record, or None to run without a disk.
     connect
-        Opens connections to control nodes; None: the event loop does.
+        Opens connections to control nodes; None to use the event loop.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         handlers = ClientHandlers(
             on_delta=self._on_control_delta,
             on_connected=self._on_connected,
-            on_disconnected=self._on_lost,
+            on_disconnected=self._on_disconnected,
             revision_held=lambda: self.follower.held_revision,
             revision_in_force=lambda: self.follower.revision,
         )
@@ -104,7 +104,7 @@
         self._writing: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Run the follower and its control connection until cancelled."""
         self._perform(self.follower.start(_now()))
         connecting = asyncio.create_task(self.client.run())
         try:
@@ -119,13 +119,13 @@
                 self._writing.cancel()
 
     def on_peer_revision(self, peer: str, revision: int) -> None:
-        """Note the revision on a message of ``peer``: an endpoint's name where it is known."""
+        """Handle the revision carried by a message of ``peer``, an endpoint name if known."""
         effects = self.follower.on_peer_revision(peer, revision, _now())
         if effects:
             self._perform(effects)
 
     def on_peer_delta(self, peer: str, delta: Delta) -> None:
-        """Take what ``peer`` answered to a fetch."""
+        """Handle the delta that ``peer`` sent in answer to a fetch."""
         self._perform(self.follower.on_peer_delta(peer, delta, _now()))
 
     def _read_record(self) -> FollowerRecord | None:
@@ -134,7 +134,7 @@
         try:
             return self._file.read()
         except StorageError as error:
-            logger.error("starting as without a disk: {}", error)
+            logger.error("can't read the configuration record, starting without it: {}", error)
             return None
 
     def _on_control_delta(self, delta: Delta) -> None:
@@ -143,7 +143,7 @@
     def _on_connected(self) -> None:
         self._perform(self.follower.on_control_connected(_now()))
 
-    def _on_lost(self) -> None:
+    def _on_disconnected(self) -> None:
         self._perform(self.follower.on_control_lost(_now()))
 
     def _perform(self, effects: Sequence[FollowerEffect]) -> None:
@@ -172,7 +172,7 @@
         try:
             await asyncio.to_thread(self._file.write, record)
         except StorageError as error:
-            logger.error("going on without a disk: {}", error)
+            logger.error("can't write the configuration record, continuing without it: {}", error)
             self._perform(self.follower.on_persist_failed(_now()))
             return
         self._perform(self.follower.on_persisted(_now()))
--- a/src/finchshed/distribution/hub_effects.py
+++ b/src/finchshed/distribution/hub_effects.py
@@ -1,4 +1,4 @@
-"""Limits of a hub, and what it asks the server to do."""
+"""Limits of a hub, and the effects that it requests from its server."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -11,20 +11,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HubLimits:
-    """Bounds and times of a hub.
+    """Limits and intervals of a hub.
 
     Attributes
     ----------
     history_changes
-        Changes kept for merged deltas; who is further behind gets the whole configuration.
+        Number of changes kept for merged deltas. Subscribers further behind receive the full
+        configuration.
     heartbeat_seconds
-        Each subscriber is sent at least one line in this time.
+        Interval between heartbeats to each subscriber.
     silence_seconds
-        A subscriber not heard from for this long is dropped and listed as silent.
+        Time without a message after which a subscriber is dropped and reported as silent.
     contact_grace_seconds
-        Without a quorum for this long, subscribers are sent to other control nodes.
+        Time without a quorum after which subscribers are redirected to other control nodes.
     repeat_seconds
-        A fetch is taken as having crossed a delta on the way for this long after that delta.
+        Time after sending a delta during which a fetch of the same changes is ignored, because it
+        was probably sent before the delta arrived.
     """
 
     history_changes: int = 512
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True)
 class SharedLine:
-    """A message for many subscribers; encoded when the first of them is written to."""
+    """A message for several subscribers, encoded once on first use."""
 
     message: msgspec.Struct
 
@@ -63,9 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestConfirmation:
-    """Ask a quorum for the latest revision, apply up to it, then call ``on_confirmed(ticket)``.
+    """Read the latest revision from a quorum, apply it, then call ``on_confirmed(ticket)``.
 
-    No answer is needed when no quorum answers; the next tick asks again.
+    A failed read needs no callback, because the next tick requests another one.
     """
 
     ticket: int
--- a/src/finchshed/distribution/identity.py
+++ b/src/finchshed/distribution/identity.py
@@ -1,11 +1,11 @@
-"""Who a daemon is, as told to control nodes."""
+"""Identity of a daemon, as sent to control nodes."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ClientIdentity:
-    """Who the daemon is. ``endpoint`` is empty on an edge."""
+    """Identity of a daemon process; ``endpoint`` is empty on an edge."""
 
     node: str
     incarnation: str
--- a/src/finchshed/distribution/ledger_requests.py
+++ b/src/finchshed/distribution/ledger_requests.py
@@ -1,6 +1,6 @@
-"""A daemon's ledger requests to control, sent again on the next connection until answered.
+"""Ledger requests from a daemon to control, resent on each new connection until answered.
 
-Owns the requests in progress. Relies on the client for the connection in use.
+Owns the pending requests. The control client sends them on its current connection.
 """
 
 import asyncio
@@ -20,15 +20,13 @@
 )
 
 SendRequest: TypeAlias = Callable[[LedgerRequest], bool]
-"""Sends a request on the connection in use; False if there is none."""
+"""Sends a request on the current connection and returns False if there is none."""
 
 CANCEL_TIMEOUT_SECONDS = 30.0
-"""How long the cancel of an attempt whose grant did not come in time is tried. Chosen, not
-measured."""
+"""Timeout for cancelling an attempt whose grant didn't arrive in time."""
 
 MAX_PENDING_REQUESTS = 8192
-"""Requests in progress at a time, beyond which one is refused at once: bounds the memory. Chosen,
-not measured."""
+"""Maximum number of pending requests, to bound memory. Further requests fail immediately."""
 
 
 @dataclass(slots=True)
@@ -39,14 +37,14 @@
 
 
 class LedgerRequests:
-    """Requests in progress.
+    """Pending ledger requests of one daemon.
 
     Parameters
     ----------
     node
         Name of the daemon.
     send
-        Sends a request.
+        Sends a request on the current connection.
     """
 
     def __init__(self, node: str, send: SendRequest) -> None:
@@ -54,24 +52,24 @@
         self._send = send
         self._pending: dict[int, _Pending] = {}
         self._last_request = 0
-        self._abandoning: set[asyncio.Task[bool]] = set()
+        self._cancelling: set[asyncio.Task[bool]] = set()
 
     def resend_pending(self) -> None:
-        """Send all requests in progress, on a new connection."""
+        """Send all pending requests on a new connection."""
         for pending in self._pending.values():
             self._send_one(pending)
 
     def on_answer(self, message: LedgerAnswer) -> None:
-        """Take an answer; one that nobody waits for any more is dropped."""
+        """Complete the request that ``message`` answers; ignore answers to unknown requests."""
         pending = self._pending.get(message.request)
         if pending is not None and not pending.answer.done():
             pending.answer.set_result(message)
 
     async def begin(self, key: str, attempt: str, timeout_seconds: float) -> LedgerAnswer:
-        """Ask leave to run the request under ``key``; once granted, the attempt may be sent once.
+        """Request permission to execute the request under ``key``, for a single attempt.
 
-        When no answer comes in time the attempt must not be sent: it is cancelled in the
-        background, and the answer is :class:`LedgerRefused`.
+        On a timeout the result is :class:`LedgerRefused`, and the attempt must not be sent. It is
+        cancelled in the background, because the grant may have been committed.
         """
         number = self._next_request()
         pending = _Pending(LedgerBegin(number, key, attempt, self._node), _future())
@@ -79,18 +77,18 @@
         if answer is not None:
             return answer
         if pending.sent:
-            self._abandon(key, attempt)
+            self._cancel_in_background(key, attempt)
         return LedgerRefused(number, expired=False, detail="no answer from control")
 
     async def cancel(self, key: str, attempt: str, timeout_seconds: float) -> bool:
-        """Free the key of an attempt that was granted and not sent; True once committed."""
+        """Release the key of an attempt that wasn't sent; return whether this was committed."""
         pending = _Pending(LedgerCancel(self._next_request(), key, attempt), _future())
         return isinstance(await self._request(pending, timeout_seconds), LedgerNoted)
 
     async def complete(
         self, key: str, attempt: str, answer: Answered, timeout_seconds: float
     ) -> bool:
-        """Record the answer of an attempt that ran; True once committed."""
+        """Record the answer of an executed attempt; return whether this was committed."""
         message = LedgerComplete(self._next_request(), key, attempt, answer)
         pending = _Pending(message, _future())
         return isinstance(await self._request(pending, timeout_seconds), LedgerNoted)
@@ -99,10 +97,10 @@
         self._last_request += 1
         return self._last_request
 
-    def _abandon(self, key: str, attempt: str) -> None:
+    def _cancel_in_background(self, key: str, attempt: str) -> None:
         task = asyncio.create_task(self.cancel(key, attempt, CANCEL_TIMEOUT_SECONDS))
-        self._abandoning.add(task)
-        task.add_done_callback(self._abandoning.discard)
+        self._cancelling.add(task)
+        task.add_done_callback(self._cancelling.discard)
 
     async def _request(self, pending: _Pending, timeout_seconds: float) -> LedgerAnswer | None:
         if len(self._pending) >= MAX_PENDING_REQUESTS:
--- a/src/finchshed/distribution/messages.py
+++ b/src/finchshed/distribution/messages.py
@@ -1,7 +1,7 @@
-"""Messages between a daemon and a control node (JSON lines), and between daemons for deltas.
+"""Messages between daemons and control nodes, as JSON lines. Daemons also exchange deltas.
 
-A daemon opens one connection to one control node and keeps it. Configuration flows down it;
-ledger requests and reports flow up it.
+A daemon keeps one connection to one control node. It receives configuration on the connection, and
+sends ledger requests and reports.
 """
 
 from typing import Annotated, TypeAlias
@@ -15,21 +15,21 @@
 from finchshed.quota.messages import QuotaAsk, QuotaReport, QuotaShares, QuotaTokens
 
 Revision: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-"""Revision of the configuration; the operators' schema holds it in 64 bits."""
+"""Revision of the configuration, limited to the 64 bits of the operators' schema."""
 
 RequestNumber: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 Text: TypeAlias = Annotated[str, msgspec.Meta(max_length=200)]
-"""Name of a node, service, zone or endpoint, and the like: kept and passed on by control."""
+"""Bounded name of a node, service, zone or endpoint, stored and forwarded by control."""
 
 LedgerName: TypeAlias = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-"""Key or attempt: the ledger keeps it for a whole window."""
+"""Bounded idempotency key or attempt ID, stored by the ledger for the key window."""
 
 
 class Subscribe(msgspec.Struct, frozen=True, omit_defaults=True, tag="subscribe"):
-    """First line of a daemon: who it is and the highest revision it holds (0: none).
+    """First message of a daemon: its identity and the highest revision it holds, 0 for none.
 
-    ``endpoint`` names the declared endpoint the daemon stands beside; empty on an edge.
+    ``endpoint`` is the name of the daemon's declared endpoint; empty on an edge.
     """
 
     node: Text
@@ -41,11 +41,10 @@
 
 
 class Delta(msgspec.Struct, frozen=True, omit_defaults=True, tag="delta"):
-    """What changed from ``base`` to ``revision``.
+    """Changes from revision ``base`` to ``revision``.
 
-    ``base`` 0 means the whole configuration: the receiver drops what it held.
-    ``confirmed`` says that a quorum confirmed, after the subscription came in, that no higher
-    revision had been accepted.
+    A ``base`` of 0 marks the full configuration, which replaces the receiver's. ``confirmed``
+    states that, after the subscription, a quorum confirmed that no higher revision was committed.
     """
 
     base: Revision
@@ -56,42 +55,45 @@
 
 
 class InForce(msgspec.Struct, frozen=True, tag="in_force"):
-    """The daemon acts on ``revision``. Also sent as a heartbeat."""
+    """Reports that ``revision`` is in force at the daemon; also sent as a heartbeat."""
 
     revision: Revision
 
 
 class Redirect(msgspec.Struct, frozen=True, tag="redirect"):
-    """The control node can't serve; try ``addresses`` (may be empty)."""
+    """Tells the daemon to leave this control node for one of ``addresses``, which may be empty."""
 
     addresses: tuple[str, ...] = ()
 
 
 class Fetch(msgspec.Struct, frozen=True, tag="fetch"):
-    """Ask for a delta from ``revision``; answered by :class:`Delta`."""
+    """Requests the changes after ``revision``; answered by :class:`Delta`."""
 
     revision: Revision
 
 
 class RenewLease(msgspec.Struct, frozen=True, tag="renew_lease"):
-    """The daemon's question for its lease of the API keys; see :mod:`finchshed.tenancy.lease`."""
+    """Requests renewal of the daemon's API key lease; see :mod:`finchshed.tenancy.lease`.
+
+    ``question`` identifies the request and is repeated in the answer.
+    """
 
     question: RequestNumber
 
 
 class LeaseRenewed(msgspec.Struct, frozen=True, tag="lease_renewed"):
-    """A quorum confirmed, after the question came in, that ``revision`` was the latest."""
+    """States that a quorum, after the request arrived, confirmed ``revision`` as the latest."""
 
     question: RequestNumber
     revision: Revision
 
 
 class LedgerBegin(msgspec.Struct, frozen=True, tag="ledger_begin"):
-    """Ask leave to run the request under ``key``.
+    """Requests permission to execute the request under ``key``.
 
-    The key is a UUID of version 7 (see :mod:`finchshed.ledger.keys`): the time in it bounds its
-    validity.
-    ``attempt`` is unique for each time a daemon wants to send the request to a back end.
+    The key is a version 7 UUID whose timestamp bounds its validity (see
+    :mod:`finchshed.ledger.keys`). ``attempt`` is unique for each attempt to send the request to a
+    back end.
     """
 
     request: RequestNumber
@@ -101,7 +103,7 @@
 
 
 class LedgerCancel(msgspec.Struct, frozen=True, tag="ledger_cancel"):
-    """The attempt was granted and never sent: the key is free again."""
+    """Releases the key of an attempt that was never sent."""
 
     request: RequestNumber
     key: LedgerName
@@ -109,7 +111,7 @@
 
 
 class LedgerComplete(msgspec.Struct, frozen=True, tag="ledger_complete"):
-    """The attempt ran to its end with this whole answer."""
+    """Records the complete answer of an executed attempt."""
 
     request: RequestNumber
     key: LedgerName
@@ -118,26 +120,26 @@
 
 
 class LedgerGranted(msgspec.Struct, frozen=True, tag="ledger_granted"):
-    """Committed; the attempt may be sent once."""
+    """The grant is committed, and the attempt may be sent once."""
 
     request: int
 
 
 class LedgerCompleted(msgspec.Struct, frozen=True, tag="ledger_completed"):
-    """The request under this key ran before; here is its answer."""
+    """Returns the stored answer of a request that was already executed."""
 
     request: int
     answer: Answered
 
 
 class LedgerUnknown(msgspec.Struct, frozen=True, tag="ledger_unknown"):
-    """The request under this key was begun and not completed; it is not run again."""
+    """An earlier attempt was granted but not completed, so the request isn't executed again."""
 
     request: int
 
 
 class LedgerRefused(msgspec.Struct, frozen=True, tag="ledger_refused"):
-    """Nothing was granted: the key is expired, or no quorum answered."""
+    """The attempt isn't granted, because the key has expired or no quorum answered."""
 
     request: int
     expired: bool
@@ -145,7 +147,7 @@
 
 
 class LedgerNoted(msgspec.Struct, frozen=True, tag="ledger_noted"):
-    """A cancel or complete is committed."""
+    """A cancellation or completion is committed."""
 
     request: int
 
@@ -157,14 +159,14 @@
 
 
 class LeavingHint(msgspec.Struct, frozen=True):
-    """The platform lists the machine of an endpoint as leaving.
+    """An endpoint whose machine is listed as leaving by the platform.
 
     Attributes
     ----------
     endpoint
         Name of the declared endpoint.
     listed_seconds
-        How long ago, when the message was sent, control first read it.
+        Time since control first read the entry, as of sending the message.
     """
 
     endpoint: str
@@ -172,32 +174,32 @@
 
 
 class Hints(msgspec.Struct, frozen=True, omit_defaults=True, tag="hints"):
-    """Endpoints that the platform lists as leaving, all of them; only a hint.
+    """Complete list of endpoints that the platform reports as leaving.
 
-    The list lags by up to ``lag_seconds``, so a hint may mean an earlier machine at the same
-    address: it applies to a daemon's incarnation only if that was linked before the hint was
-    first listed, less the lag (:func:`applies_to`). An endpoint the platform doesn't list keeps
-    serving. A hint that is no longer sent is withdrawn.
+    The platform's list lags by up to ``lag_seconds``, so an entry may refer to an earlier machine
+    at the same address. :meth:`applies_to` therefore checks that the daemon's current incarnation
+    was linked more than that lag before the entry appeared. Entries missing from a later message
+    are withdrawn.
     """
 
     leaving: tuple[LeavingHint, ...]
     lag_seconds: float
 
     def applies_to(self, hint: LeavingHint, linked_seconds: float) -> bool:
-        """Whether ``hint`` means the incarnation that was linked ``linked_seconds`` ago."""
+        """Return whether ``hint`` refers to the incarnation linked ``linked_seconds`` ago."""
         return linked_seconds > hint.listed_seconds + self.lag_seconds
 
 
 class Announce(msgspec.Struct, frozen=True, tag="announce"):
-    """The daemon tells of the back end beside it; also sent now and then without a change."""
+    """Registration of the daemon's back end, sent on changes and refreshed periodically."""
 
     registration: Registration
 
 
 class DirectoryUpdate(msgspec.Struct, frozen=True, omit_defaults=True, tag="directory"):
-    """Registrations that are news; with ``is_whole``, all that the control node holds.
+    """Changed registrations, or with ``is_whole`` all registrations of the control node.
 
-    ``forgotten`` are addresses whose registrations were not confirmed for long.
+    ``forgotten`` lists addresses whose registrations expired.
     """
 
     registrations: tuple[Registration, ...] = ()
@@ -206,13 +208,13 @@
 
 
 class ControlNodes(msgspec.Struct, frozen=True, tag="control_nodes"):
-    """Distribution addresses of the control nodes that the sender knows of, its own included."""
+    """Distribution addresses of the control nodes known to the sender, including its own."""
 
     addresses: tuple[str, ...]
 
 
 class ExplainRequest(msgspec.Struct, frozen=True, omit_defaults=True, tag="explain_request"):
-    """An operator asks the daemon for its recent decisions; empty ``root`` asks for all."""
+    """Requests a daemon's recent decisions for an operator; an empty ``root`` selects all."""
 
     request: int
     root: str = ""
@@ -220,7 +222,7 @@
 
 
 class Decision(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One decision of a daemon. ``age_seconds`` is its age when the message was sent."""
+    """A decision of a daemon; ``age_seconds`` is its age when the message was sent."""
 
     age_seconds: float
     root: str
--- a/src/finchshed/distribution/quorum_reads.py
+++ b/src/finchshed/distribution/quorum_reads.py
@@ -1,7 +1,6 @@
-"""Reads from a quorum that a hub's subscribers wait for, one at a time.
+"""Serializes the quorum reads that a hub's subscribers wait for.
 
-Owns the read in progress and the ticket of the next one. Relies on the replicated log, through
-``confirm``, for the answer.
+Owns the read in progress and the ticket of the next one.
 """
 
 import asyncio
@@ -12,22 +11,22 @@
 from finchshed.common.errors import FinchshedError
 
 CONFIRMATION_PAUSE_SECONDS = 0.05
-"""Least time between reads from a quorum: one read answers all that came in meanwhile.
+"""Pause between quorum reads; one read serves all requests that arrived in the meantime.
 
-A daemon that claims a higher revision than is in force waits for it for as long as it stays;
-without a pause such a claim would keep the node busy. Chosen, not measured."""
+Without it, a daemon that claims a revision higher than the committed one would trigger reads
+continuously, because it keeps waiting for a confirmation."""
 
 
 class QuorumReads:
-    """Confirms tickets of a hub.
+    """Confirms a hub's tickets by quorum reads, one at a time.
 
     Parameters
     ----------
     confirm
-        Reads the latest revision from a quorum and returns True once it is applied to the hub;
-        False or a :class:`FinchshedError` if no quorum answered.
+        Reads the latest revision from a quorum and returns True once it is applied to the hub.
+        Returns False or raises :class:`FinchshedError` if no quorum answered.
     on_confirmed
-        Called with each ticket that a quorum confirmed.
+        Called with each confirmed ticket.
     """
 
     def __init__(
@@ -39,13 +38,13 @@
         self._reading: asyncio.Task[None] | None = None
 
     def request(self, ticket: int) -> None:
-        """Confirm ``ticket``, which stands for every earlier one as well."""
+        """Request confirmation of ``ticket`` and all earlier ones."""
         self._ticket = ticket
         if self._reading is None or self._reading.done():
             self._reading = asyncio.create_task(self._read_until_idle())
 
     def close(self) -> None:
-        """End the read in progress."""
+        """Cancel the read in progress."""
         if self._reading is not None:
             self._reading.cancel()
 
@@ -55,7 +54,7 @@
             try:
                 confirmed = await self._confirm()
             except FinchshedError as error:
-                logger.debug("no confirmation by a quorum: {}", error)
+                logger.debug("quorum read failed: {}", error)
                 confirmed = False
             if confirmed:
                 self._on_confirmed(ticket)
--- a/src/finchshed/distribution/record.py
+++ b/src/finchshed/distribution/record.py
@@ -1,7 +1,7 @@
-"""The file in a daemon's data folder that keeps the highest revision across restarts.
+"""File in a daemon's data folder that stores the follower's record across restarts.
 
-A new record replaces the old one whole: written beside it, synced, renamed over it, and the
-folder synced. After a crash at any point the folder holds the old record or the new one.
+Records are replaced atomically: the new one is written to a temporary file, synced and renamed over
+the old one, and the folder is synced. After a crash the folder holds either record intact.
 """
 
 import os
@@ -20,12 +20,12 @@
 
 
 class RecordFile:
-    """Reads and replaces the record.
+    """Reads and atomically replaces the record.
 
     Parameters
     ----------
     folder
-        The daemon's data folder; made if it is not there.
+        The daemon's data folder, created by :meth:`read` if it is missing.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -34,14 +34,14 @@
         self._temporary = folder / (FILE_NAME + TEMPORARY_SUFFIX)
 
     def read(self) -> FollowerRecord | None:
-        """Return the record, or None if the folder holds none.
+        """Return the record, or None if the folder contains none.
 
         Raises
         ------
         CorruptRecordError
-            If the record fails its checksum; the daemon then starts as one without a disk.
+            If the record fails its checksum or is malformed.
         StorageError
-            If the folder can't be read or made.
+            If the folder can't be read or created.
         """
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -59,12 +59,12 @@
             raise CorruptRecordError(f"{self._path} is malformed: {error}") from error
 
     def write(self, record: FollowerRecord) -> None:
-        """Replace the record and return once it is synced. Blocks; call off the event loop.
+        """Replace the record and sync it. Blocks, so don't call it on the event loop.
 
         Raises
         ------
         StorageError
-            If the disk refuses, for example because it is full.
+            If the record can't be written, for example because the disk is full.
         """
         body = msgspec.json.encode(record)
         content = xxhash.xxh3_64_hexdigest(body).encode("ascii") + b"\n" + body
--- a/src/finchshed/distribution/server.py
+++ b/src/finchshed/distribution/server.py
@@ -1,7 +1,7 @@
-"""Accepts daemons' connections to a control node, and carries the hub's effects out.
+"""Accepts daemons' connections to a control node and executes the hub's effects.
 
-Owns the connections. Ledger requests, registrations and reports that come up them are handed to
-the control program. Relies on :class:`~finchshed.distribution.hub.Hub` for what is sent to whom.
+Owns the connections. Ledger requests, registrations and reports received on them are passed to the
+control program. :class:`~finchshed.distribution.hub.Hub` decides what is sent to which daemon.
 """
 
 import asyncio
@@ -40,18 +40,16 @@
 Connection: TypeAlias = LineProtocol[DaemonToControl]
 
 BACKLOG = 2048
-"""Connections that the kernel keeps until they are accepted: all daemons of a lost control node may
-come at once. Chosen, not measured."""
+"""Listen backlog, sized for all daemons of a failed control node reconnecting at once."""
 
 TICK_SECONDS = 0.25
-"""Time between looks at full buffers, half of the hub's heartbeat. Chosen, not measured."""
+"""Interval between checks of full buffers, half of the hub's heartbeat interval."""
 
 BUFFER_LIMIT_BYTES = 4 << 20
-"""A subscriber with more than this unsent is skipped until half of it has been sent. Chosen, not
-measured."""
+"""Unsent bytes above which a subscriber is skipped until half of them have been sent."""
 
 MAX_REQUEST_BYTES = 96 << 20
-"""Longest line taken from a daemon; a completed call's whole answer is in it."""
+"""Maximum line length accepted from a daemon: fits the complete answer of a call."""
 
 
 class HubServer:
@@ -60,26 +58,26 @@
     Parameters
     ----------
     hub
-        The decisions; only this server calls it once it is started.
+        Decides what is sent. Once the server is started, nothing else may call it.
     confirm
-        Reads the latest revision from a quorum and returns True once it is applied to the hub;
-        False or a :class:`FinchshedError` if no quorum answered.
+        Reads the latest revision from a quorum and returns True once it is applied to the hub.
+        Returns False or raises :class:`FinchshedError` if no quorum answered.
     on_ledger
         Called with each ledger request and the function that sends its answer.
     on_explanation
         Called with each daemon's answer to an :class:`ExplainRequest`.
     on_announce
-        Called with each registration that a daemon tells.
+        Called with each registration sent by a daemon.
     on_quota
-        Called with each report or ask about quotas, and the name of the daemon it is of.
+        Called with a daemon's name and its quota report or token request.
     on_crash_news
-        Called with what a daemon tells of requests that crash back ends.
+        Called with each report of requests that crash back ends.
     on_subscribed
-        Returns what each daemon is sent once it has subscribed.
+        Returns the messages to send to a daemon after its subscription.
     networks
-        Networks that daemons connect from; None for any.
+        Networks that daemons may connect from; None for any.
     credentials
-        Keys for TLS; None: plain text.
+        TLS credentials; None for plain text.
     """
 
     def __init__(
@@ -115,7 +113,7 @@
         self._server: Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen and return the port, which is chosen by the system if ``port`` is 0."""
+        """Start listening and return the port, chosen by the system if ``port`` is 0."""
         listener = listening(host, port, BACKLOG)
         self._server = await serve(self._make_protocol, self._credentials, listener)
         self._ticking = asyncio.create_task(self._tick_forever())
@@ -132,24 +130,24 @@
             connection.abort()
 
     def commit(self, delta: Delta) -> None:
-        """SendLine a committed change to all subscribers."""
+        """Send a committed change to all subscribers."""
         self._perform(self._hub.on_committed(delta, self._now()))
 
     def restore(self, configuration: Configuration) -> None:
-        """Take a whole configuration from a snapshot."""
+        """Replace the configuration by that of a snapshot."""
         self._perform(self._hub.restore(configuration, self._now()))
 
     def set_quorum_contact(self, in_contact: bool) -> None:
-        """Note whether this node is in contact with a quorum; call at least every half second."""
+        """Record whether this node is in contact with a quorum; call at least twice a second."""
         self._hub.on_quorum_contact(in_contact, self._now())
 
     def send_to(self, node: str, message: ControlToDaemon) -> bool:
-        """SendLine to one daemon; False when it isn't connected here."""
+        """Send a message to one daemon; return False if it isn't connected here."""
         connection = self._by_node.get(node)
         return connection is not None and connection.send(message) > 0
 
     def broadcast(self, message: ControlToDaemon) -> None:
-        """SendLine to every daemon connected here whose buffer has room."""
+        """Send a message to every connected daemon whose buffer isn't full."""
         line = encode_line(message)
         for connection in self._connections.values():
             if connection.unsent_bytes() <= BUFFER_LIMIT_BYTES:
@@ -171,7 +169,7 @@
             return
         number = self._numbers.get(connection)
         if number is None:
-            logger.warning("{} sent a message before it subscribed", connection.peer_address)
+            logger.warning("{} sent a message before subscribing", connection.peer_address)
             connection.abort()
         elif isinstance(message, InForce):
             self._hub.on_in_force(number, message.revision, self._now())
@@ -180,16 +178,16 @@
         elif isinstance(message, RenewLease):
             self._perform(self._hub.on_lease_request(number, message.question, self._now()))
         elif isinstance(message, QuotaReport | QuotaAsk | Announce | CrashNews | ExplainReply):
-            self._pass_on(self._names[number], message)
+            self._dispatch(self._names[number], message)
         else:
             self._on_ledger(message, lambda answer: _send(connection, answer))
 
-    def _pass_on(
+    def _dispatch(
         self,
         daemon: str,
         message: QuotaReport | QuotaAsk | Announce | CrashNews | ExplainReply,
     ) -> None:
-        """Hand a message to the part of the node that waits for it, if there is one."""
+        """Pass a message to its callback, if one is set."""
         match message:
             case QuotaReport() | QuotaAsk() if self._on_quota is not None:
                 self._on_quota(daemon, message)
@@ -204,8 +202,10 @@
         if connection in self._numbers:
             connection.abort()
             return
-        if fault := _unproven_subscriber(connection, message):
-            logger.warning("link of daemon {} refused: {}", connection.peer_address, fault)
+        if unproven_claims := _unproven_subscriber(connection, message):
+            logger.warning(
+                "link of daemon {} refused: {}", connection.peer_address, unproven_claims
+            )
             connection.abort()
             return
         connection.greeted()
@@ -270,9 +270,9 @@
 
 
 def _unproven_subscriber(connection: Connection, message: Subscribe) -> str:
-    """Return what a subscriber claims and its certificate doesn't hold, as text.
+    """Return a description of claims that the subscriber's certificate doesn't prove, or empty.
 
-    Control nodes subscribe too: they ask for the ledger of another group.
+    Control nodes also subscribe, to reach the ledger of another control group.
     """
     names = proven_names(connection.transport) or frozenset()
     role = (
--- a/src/finchshed/distribution/snapshot.py
+++ b/src/finchshed/distribution/snapshot.py
@@ -1,8 +1,8 @@
-"""A configuration at one revision, and the arithmetic of deltas.
+"""Configuration at one revision, and applying and merging deltas.
 
-A delta from ``base`` to ``revision`` names, for every resource that changed in between, its
-state at ``revision``. So it may be applied to any revision in ``base .. revision - 1``: what it
-repeats is equal. Two deltas that follow each other merge into one in the same way.
+A delta from ``base`` to ``revision`` contains the state at ``revision`` of every resource that
+changed in between. It can therefore be applied to any revision from ``base`` to ``revision - 1``,
+and consecutive deltas can be merged into one.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All resources as accepted up to ``revision``; never changed once made."""
+    """Immutable set of all resources at ``revision``."""
 
     revision: int = 0
     resources: Mapping[ResourceKey, Resource] = field(default_factory=dict)
@@ -31,17 +31,23 @@
 
 
 def apply_delta(configuration: Configuration, delta: Delta) -> Configuration:
-    """Return ``configuration`` brought to the delta's revision.
+    """Return ``configuration`` updated to the delta's revision.
 
     Raises
     ------
     InvariantError
-        If the delta starts after the configuration's revision, or would take it back.
+        If the delta starts after the configuration's revision, or ends before it.
     """
     if not is_applicable(delta, configuration.revision):
-        raise InvariantError(f"delta from {delta.base} does not fit {configuration.revision}")
+        raise InvariantError(
+            f"delta starts at revision {delta.base}, after the configuration's revision "
+            f"{configuration.revision}"
+        )
     if delta.revision < configuration.revision:
-        raise InvariantError(f"delta to {delta.revision} reverts {configuration.revision}")
+        raise InvariantError(
+            f"delta ends at revision {delta.revision}, before the configuration's revision "
+            f"{configuration.revision}"
+        )
     if delta.base == 0:
         return Configuration(delta.revision, {key_of(item): item for item in delta.puts})
     resources = dict(configuration.resources)
@@ -53,7 +59,7 @@
 
 
 def full_delta(configuration: Configuration, confirmed: bool = False) -> Delta:
-    """Return the delta that stands for the whole of ``configuration``."""
+    """Return the delta with base 0 that contains all of ``configuration``."""
     return Delta(
         base=0,
         revision=configuration.revision,
@@ -63,24 +69,26 @@
 
 
 def empty_delta(revision: int, confirmed: bool = False) -> Delta:
-    """Return the delta that changes nothing at ``revision``; it serves as a heartbeat."""
+    """Return a delta without changes at ``revision``, used as a heartbeat."""
     return Delta(base=revision, revision=revision, confirmed=confirmed)
 
 
 def merge(deltas: Iterable[Delta]) -> Delta:
-    """Return one delta for a run of deltas, each starting where the one before ended.
+    """Merge consecutive deltas into one.
 
     Raises
     ------
     InvariantError
-        If there is none, or there is a gap between two.
+        If there are no deltas, or one doesn't start where the previous one ended.
     """
     puts: dict[ResourceKey, Resource] = {}
     deletes: dict[ResourceKey, None] = {}
     base = revision = -1
     for delta in deltas:
         if revision not in (-1, delta.base):
-            raise InvariantError(f"delta from {delta.base} does not follow {revision}")
+            raise InvariantError(
+                f"delta starts at revision {delta.base}, but the previous one ends at {revision}"
+            )
         if base == -1:
             base = delta.base
         revision = delta.revision
--- a/src/finchshed/distribution/status.py
+++ b/src/finchshed/distribution/status.py
@@ -1,9 +1,8 @@
-"""Which daemons have a revision in force, over all control nodes.
+"""Aggregates, over all control nodes, which revision is in force at each daemon.
 
-Each control node reports the daemons connected to it, in batches of what changed; the node that
-answers an operator merges the reports of all.
-
-Owns the merged state, in memory only. Relies on the reports being repeated.
+Each control node reports changes of the daemons connected to it, and the node that answers an
+operator merges all reports. The merged state is kept in memory only and rebuilt from repeated
+reports.
 """
 
 from bisect import bisect_right
@@ -13,20 +12,17 @@
 import msgspec
 
 REPORT_TIMEOUT_SECONDS = 5.0
-"""Daemons of a control node that has not reported for this long count as silent. Chosen,
-not measured."""
+"""Time without a report from a control node after which its daemons count as silent."""
 
 RETENTION_SECONDS = 86_400.0
-"""A silent daemon that no declared endpoint stands for is forgotten after this long. Chosen, not
-measured."""
+"""Time after which a silent daemon without a declared endpoint is removed."""
 
 REVISION_TIMES_KEPT = 1024
-"""Latest revisions whose times are kept, to say since when a daemon is behind. Chosen, not
-measured."""
+"""Number of revisions whose arrival times are kept to tell how long a daemon has been behind."""
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One daemon as its control node knows it."""
+    """State of one daemon as known to its control node."""
 
     node: str
     endpoint: str
@@ -37,14 +33,14 @@
 
 
 class InForceReport(msgspec.Struct, frozen=True, omit_defaults=True, tag="in_force_report"):
-    """What changed at one control node. Sent at least every second, also when empty.
+    """Changes at one control node, sent at least every second even if empty.
 
     Attributes
     ----------
     revision
         Revision committed and applied at the control node.
     everything
-        The report lists all daemons connected there: those it doesn't list are not.
+        Whether the report lists all connected daemons, so that any others are disconnected.
     """
 
     control_node: str
@@ -54,7 +50,7 @@
 
 
 class DaemonState(msgspec.Struct, frozen=True):
-    """A daemon that is behind or silent, and for how long."""
+    """A daemon that is behind or silent, and since how many seconds."""
 
     node: str
     endpoint: str
@@ -65,9 +61,10 @@
 
 
 class DistributionStatus(msgspec.Struct, frozen=True):
-    """In force at ``in_force`` of ``known`` daemons; the others are behind or silent.
+    """Summary: ``revision`` is in force at ``in_force`` of ``known`` daemons.
 
-    A declared endpoint whose daemon was never heard of is among the silent, with revision 0.
+    The others are behind or silent. A declared endpoint whose daemon never connected is listed as
+    silent with revision 0.
     """
 
     revision: int
@@ -84,7 +81,7 @@
 
 
 class StatusTable:
-    """Merges reports. ``now`` is monotonic seconds of the merging node."""
+    """Merges the reports of all control nodes. ``now`` is the local monotonic time in seconds."""
 
     def __init__(self, now: float) -> None:
         self._started_at = now
@@ -94,7 +91,7 @@
         self._advanced_at: list[float] = []
 
     def merge(self, report: InForceReport, now: float) -> None:
-        """Add a report of one control node."""
+        """Merge a report of one control node."""
         self._reported_at[report.control_node] = now
         self._note_revision(report.revision, now)
         if report.everything:
@@ -104,7 +101,7 @@
             by_control[report.control_node] = _Entry(status, now)
 
     def summary(self, now: float, declared: Iterable[str] = ()) -> DistributionStatus:
-        """Return the state of all daemons; each of the ``declared`` endpoints should have one."""
+        """Summarize all daemons, including those missing for ``declared`` endpoints."""
         revision = self._revisions[-1] if self._revisions else 0
         missing = dict.fromkeys(declared)
         behind: list[DaemonState] = []
@@ -120,12 +117,12 @@
                     continue
                 silent.append(_state(status, now - silent_since))
             elif status.revision < revision:
-                behind.append(_state(status, now - self._passed_at(status.revision)))
+                behind.append(_state(status, now - self._superseded_at(status.revision)))
             else:
                 in_force += 1
         for endpoint in missing:
-            unheard = SubscriberStatus("", endpoint, "", "", 0, connected=False)
-            silent.append(_state(unheard, now - self._started_at))
+            never_connected = SubscriberStatus("", endpoint, "", "", 0, connected=False)
+            silent.append(_state(never_connected, now - self._started_at))
         return DistributionStatus(
             revision=revision,
             known=in_force + len(behind) + len(silent),
@@ -135,7 +132,7 @@
         )
 
     def _latest(self, node: str, now: float) -> tuple[SubscriberStatus, float | None]:
-        """Return the best entry of a daemon and since when it is silent, or None if it is not."""
+        """Return a daemon's most reliable status, and since when it is silent or None."""
         best: _Entry | None = None
         best_silent: float | None = None
         for control_node, entry in self._entries[node].items():
@@ -158,8 +155,8 @@
             entry = by_control.get(report.control_node)
             if entry is None or node in listed or not entry.status.connected:
                 continue
-            gone = msgspec.structs.replace(entry.status, connected=False)
-            by_control[report.control_node] = _Entry(gone, now)
+            disconnected = msgspec.structs.replace(entry.status, connected=False)
+            by_control[report.control_node] = _Entry(disconnected, now)
 
     def _note_revision(self, revision: int, now: float) -> None:
         if self._revisions and revision <= self._revisions[-1]:
@@ -169,8 +166,8 @@
         del self._revisions[:-REVISION_TIMES_KEPT]
         del self._advanced_at[:-REVISION_TIMES_KEPT]
 
-    def _passed_at(self, revision: int) -> float:
-        """Return when a revision higher than ``revision`` was first heard of."""
+    def _superseded_at(self, revision: int) -> float:
+        """Return when a revision higher than ``revision`` was first reported."""
         position = bisect_right(self._revisions, revision)
         return self._advanced_at[min(position, len(self._advanced_at) - 1)]
 
--- a/src/finchshed/distribution/subscribers.py
+++ b/src/finchshed/distribution/subscribers.py
@@ -1,7 +1,7 @@
-"""The subscribers of one control node, and what changed of them since the last report. Pure.
+"""Subscribers of one control node, and their changes since the last status report. No I/O.
 
-Owns what is known of each connection, and which connection speaks for a daemon that has several.
-Relies on :class:`~finchshed.distribution.hub.Hub` for everything that is sent.
+Tracks the state of each connection. If a daemon has several connections, the newest one represents
+it in reports.
 """
 
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 from finchshed.distribution.status import SubscriberStatus
 
 MAX_LEASE_REQUESTS = 8
-"""Unanswered questions for a lease that are kept for one subscriber. Chosen, not measured."""
+"""Maximum number of unanswered lease renewals kept per subscriber."""
 
 
 @dataclass(slots=True)
@@ -21,19 +21,20 @@
     Attributes
     ----------
     sent_revision
-        Revision that it was brought to last.
+        Revision of the latest delta sent.
     in_force
-        Revision that it said it acts on.
+        Revision that the daemon reported as in force.
     heard_at, sent_at
-        Time of its latest message, and of the latest delta sent to it, seconds.
+        Times of the latest message received and of the latest delta sent, in seconds.
     ticket
-        First read from a quorum that confirms its configuration; None once it is confirmed.
+        Ticket of the first quorum read that confirms the subscription; None once confirmed.
     is_full
-        Its buffer was full when last looked at, so it is skipped.
+        Whether the send buffer was full when last checked, so that the subscriber is skipped.
     is_redirected
-        It was sent to other control nodes.
-    questions
-        Questions for a lease, each with the ticket of the first read that may answer it.
+        Whether the daemon was redirected to other control nodes.
+    lease_requests
+        Pending lease renewals by ``question``, each with the ticket of the first quorum read that
+        may answer it.
     """
 
     identity: Subscribe
@@ -47,17 +48,17 @@
     lease_requests: dict[int, int] = field(default_factory=dict)
 
     def needs_confirmation(self) -> bool:
-        """Return whether a read from a quorum is wanted."""
+        """Return whether the subscriber waits for a quorum read."""
         return self.ticket is not None or bool(self.lease_requests)
 
     def add_lease_request(self, question: int, ticket: int) -> None:
-        """Keep a question that the read of ``ticket`` may answer; the oldest goes if it is full."""
+        """Add a lease renewal that the read of ``ticket`` may answer; evict the oldest if full."""
         if len(self.lease_requests) >= MAX_LEASE_REQUESTS:
             del self.lease_requests[next(iter(self.lease_requests))]
         self.lease_requests[question] = ticket
 
     def pop_answered(self, ticket: int) -> list[int]:
-        """Return the questions that the read of ``ticket`` answers, and forget them."""
+        """Remove and return the lease renewals that the read of ``ticket`` answers."""
         answered = [question for question, since in self.lease_requests.items() if since <= ticket]
         for question in answered:
             del self.lease_requests[question]
@@ -65,7 +66,7 @@
 
 
 class Subscribers:
-    """Subscribers by number of their connection; a daemon's newest connection speaks for it."""
+    """Subscribers by connection number, and the newest connection of each daemon."""
 
     def __init__(self) -> None:
         self._by_number: dict[int, Subscriber] = {}
@@ -83,51 +84,51 @@
         return self._by_number.get(number)
 
     def add(self, number: int, subscriber: Subscriber) -> None:
-        """Keep a new connection, which speaks for its daemon from now on."""
+        """Add a connection, which becomes its daemon's newest."""
         self._by_number[number] = subscriber
         self._newest[subscriber.identity.node] = number
-        self._note(number, subscriber, connected=True)
+        self._add_to_report(number, subscriber, connected=True)
 
     def remove(self, number: int) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         subscriber = self._by_number.pop(number, None)
         if subscriber is None or self._newest[subscriber.identity.node] != number:
             return
-        self._note(number, subscriber, connected=False)
-        self._fall_back(subscriber.identity.node)
+        self._add_to_report(number, subscriber, connected=False)
+        self._restore_previous_connection(subscriber.identity.node)
 
     def on_in_force(self, number: int, revision: int, now: float) -> None:
-        """Note which revision a daemon acts on."""
+        """Record the revision in force at a daemon."""
         subscriber = self._by_number.get(number)
         if subscriber is None:
             return
         subscriber.heard_at = now
         if subscriber.in_force != revision:
             subscriber.in_force = revision
-            self._note(number, subscriber, connected=True)
+            self._add_to_report(number, subscriber, connected=True)
 
     def collect_changed(self, everything: bool) -> tuple[SubscriberStatus, ...]:
-        """Return what changed since the last call, or the state of all connected daemons."""
+        """Return changes since the last call, or with ``everything`` all connected daemons."""
         if everything:
             self._changed.clear()
             for number, subscriber in self._by_number.items():
-                self._note(number, subscriber, connected=True)
+                self._add_to_report(number, subscriber, connected=True)
         changed = tuple(self._changed.values())
         self._changed.clear()
         return changed
 
-    def _fall_back(self, node: str) -> None:
-        """Let a former connection under the name ``node`` speak for it again, if one is left."""
-        former = [number for number, item in self if item.identity.node == node]
-        if not former:
+    def _restore_previous_connection(self, node: str) -> None:
+        """Make the newest remaining connection of ``node``, if any, represent it again."""
+        remaining = [number for number, item in self if item.identity.node == node]
+        if not remaining:
             del self._newest[node]
             return
-        newest = max(former)
+        newest = max(remaining)
         self._newest[node] = newest
-        self._note(newest, self._by_number[newest], connected=True)
+        self._add_to_report(newest, self._by_number[newest], connected=True)
 
-    def _note(self, number: int, subscriber: Subscriber, connected: bool) -> None:
-        """Put a daemon's state in the next report; a former connection doesn't stand for it."""
+    def _add_to_report(self, number: int, subscriber: Subscriber, connected: bool) -> None:
+        """Add a daemon's state to the next report, unless it has a newer connection."""
         identity = subscriber.identity
         if self._newest.get(identity.node) != number:
             return
--- a/tests/distribution/test_addresses.py
+++ b/tests/distribution/test_addresses.py
@@ -1,4 +1,4 @@
-"""Order and backoff of control nodes."""
+"""Tests of the order, timeouts and backoff in which control nodes are tried."""
 
 import random
 
@@ -70,7 +70,7 @@
 
 
 def test_a_node_that_is_never_reached_is_tried_for_ever() -> None:
-    """A daemon without control for over an hour still follows it when it is back."""
+    """Guards against giving up on control after a long outage."""
     book = AddressBook(NODES[:1], "z1", random.Random(1))
     now = 0.0
     for _ in range(2_000):
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -1,4 +1,4 @@
-"""Hub server, client and runner over loopback."""
+"""Integration tests of the hub server, control client and follower runner over loopback."""
 
 import asyncio
 import random
@@ -28,21 +28,21 @@
 from finchshed.distribution.server import Answer, HubServer
 from finchshed.distribution.snapshot import Configuration
 
-GIVE_UP_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 def change(revision: int) -> Delta:
     return Delta(revision - 1, revision, puts=(Service(name=f"s{revision}"),))
 
 
-async def eventually(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(GIVE_UP_SECONDS):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():  # noqa: ASYNC110 - conditions of other tasks have no event
             await asyncio.sleep(0.01)
 
 
 class ControlNode:
-    """A hub server with a quorum that can be taken away."""
+    """A hub server whose quorum and ledger answers can be switched off."""
 
     def __init__(self) -> None:
         self.hub = Hub("c")
@@ -71,7 +71,7 @@
 
 
 class Daemon:
-    """A listener that notes what it is told."""
+    """A follower listener that records the effects it receives."""
 
     def __init__(self, addresses: list[ControlAddress], folder: Path | None = None) -> None:
         identity = ClientIdentity("n1", "1", "licence", "z1")
@@ -114,10 +114,10 @@
     node, address = await start_node()
     node.server.commit(change(1))
     daemon = Daemon([address])
-    await eventually(lambda: daemon.bases == [ServingBasis.QUORUM])
+    await wait_until(lambda: daemon.bases == [ServingBasis.QUORUM])
     node.server.commit(change(2))
-    await eventually(lambda: daemon.revisions[-1] == 2)
-    await eventually(lambda: [s.revision for s in node.hub.collect_report(True).daemons] == [2])
+    await wait_until(lambda: daemon.revisions[-1] == 2)
+    await wait_until(lambda: [s.revision for s in node.hub.collect_report(True).daemons] == [2])
     assert daemon.revisions == sorted(set(daemon.revisions))
     daemon.task.cancel()
 
@@ -129,11 +129,11 @@
     node.has_quorum = False
     node.server.commit(change(1))
     daemon = Daemon([address])
-    await eventually(lambda: daemon.revisions == [1])
+    await wait_until(lambda: daemon.revisions == [1])
     await asyncio.sleep(1.0)
     assert not daemon.runner.follower.may_serve
     node.has_quorum = True
-    await eventually(lambda: daemon.runner.follower.may_serve)
+    await wait_until(lambda: daemon.runner.follower.may_serve)
     daemon.task.cancel()
 
 
@@ -143,14 +143,14 @@
     first, first_address = await start_node()
     second, second_address = await start_node()
     daemon = Daemon([first_address, second_address])
-    await eventually(lambda: daemon.runner.client.is_connected)
+    await wait_until(lambda: daemon.runner.client.is_connected)
     at_first = first.hub.subscriber_count() == 1
     here, there = (first, second) if at_first else (second, first)
     here.server.set_quorum_contact(False)
-    await eventually(lambda: there.hub.subscriber_count() == 1)
+    await wait_until(lambda: there.hub.subscriber_count() == 1)
     here.server.set_quorum_contact(True)
     await there.server.close()
-    await eventually(lambda: here.hub.subscriber_count() == 1)
+    await wait_until(lambda: here.hub.subscriber_count() == 1)
     daemon.task.cancel()
 
 
@@ -162,7 +162,7 @@
     port = silent.sockets[0].getsockname()[1]
     node, address = await start_node()
     daemon = Daemon([ControlAddress(f"127.0.0.1:{port}", "z1"), address])
-    await eventually(lambda: node.hub.subscriber_count() == 1)
+    await wait_until(lambda: node.hub.subscriber_count() == 1)
     daemon.task.cancel()
     silent.close()
 
@@ -177,12 +177,12 @@
     home = ControlAddress(own_address.address, "z1")
     away = ControlAddress(other_address.address, "z2")
     daemon = Daemon([home, away])
-    await eventually(lambda: other.hub.subscriber_count() == 1)
+    await wait_until(lambda: other.hub.subscriber_count() == 1)
     await asyncio.sleep(1.0)
     assert daemon.runner.client.connections_made == 1
     await own.server.start("127.0.0.1", own.port)
-    await eventually(lambda: own.hub.subscriber_count() == 1)
-    await eventually(lambda: other.hub.subscriber_count() == 0)
+    await wait_until(lambda: own.hub.subscriber_count() == 1)
+    await wait_until(lambda: other.hub.subscriber_count() == 0)
     daemon.task.cancel()
 
 
@@ -193,12 +193,12 @@
     node.server.commit(change(1))
     node.server.commit(change(2))
     daemon = Daemon([address], tmp_path)
-    await eventually(lambda: daemon.runner.follower.may_serve)
+    await wait_until(lambda: daemon.runner.follower.may_serve)
     daemon.task.cancel()
     node.server.commit(change(3))
     again = Daemon([address], tmp_path)
     assert again.runner.follower.held_revision == 2
-    await eventually(lambda: again.runner.follower.may_serve)
+    await wait_until(lambda: again.runner.follower.may_serve)
     assert again.revisions == [2, 3]
     again.task.cancel()
 
@@ -209,11 +209,11 @@
     node, address = await start_node()
     daemon = Daemon([address])
     client = daemon.runner.client
-    await eventually(lambda: client.is_connected)
+    await wait_until(lambda: client.is_connected)
     assert isinstance(await client.ledger.begin("k1", "a1", 10.0), LedgerGranted)
     node.answers_ledger = False
     asking = asyncio.create_task(client.ledger.begin("k2", "a2", 10.0))
-    await eventually(lambda: len(node.requests) == 2)
+    await wait_until(lambda: len(node.requests) == 2)
     node.answers_ledger = True
     await node.server.close()
     await node.server.start("127.0.0.1", node.port)
@@ -226,7 +226,7 @@
     node.answers_ledger = False
     daemon = Daemon([address])
     client = daemon.runner.client
-    await eventually(lambda: client.is_connected)
+    await wait_until(lambda: client.is_connected)
     assert isinstance(await client.ledger.begin("k", "a", 0.1), LedgerRefused)
-    await eventually(lambda: isinstance(node.requests[-1], LedgerCancel))
+    await wait_until(lambda: isinstance(node.requests[-1], LedgerCancel))
     daemon.task.cancel()
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower's rules: start, deltas, peers, disk."""
+"""Tests of the follower: start, deltas, peers and disk."""
 
 from finchshed.configuration.resources import Endpoint, Resource, ResourceKey, Service
 from finchshed.distribution.effects import (
@@ -20,7 +20,7 @@
 )
 from finchshed.distribution.messages import Delta
 
-HERE = FollowerIdentity(zone="z1", endpoint="own")
+IDENTITY = FollowerIdentity(zone="z1", endpoint="own")
 
 
 def service(name: str) -> Service:
@@ -47,7 +47,7 @@
 
 
 def test_takes_no_call_before_a_quorum_confirmed() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.start(0.0)
     effects = follower.on_control_delta(full(5, service("a")), 0.0)
     assert kinds(effects) == [TakeEffect, ReportInForce]
@@ -58,13 +58,13 @@
 
 
 def test_an_empty_configuration_can_be_confirmed() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_delta(Delta(base=0, revision=0, confirmed=True), 0.0)
     assert follower.may_serve
 
 
 def test_a_confirmation_of_a_revision_not_yet_held_waits_for_it() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_connected(0.0)
     follower.on_control_delta(full(5, service("a")), 0.0)
     effects = follower.on_control_delta(Delta(base=7, revision=7, confirmed=True), 0.1)
@@ -75,7 +75,7 @@
 
 
 def test_a_delta_with_a_gap_is_fetched_and_not_applied() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_connected(0.0)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     effects = follower.on_control_delta(Delta(base=4, revision=5, puts=(service("b"),)), 1.0)
@@ -84,7 +84,7 @@
 
 
 def test_an_overlapping_delta_is_applied_and_a_late_one_is_not() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), service("b"), confirmed=True), 0.0)
     key = ResourceKey(kind="service", name="b")
     follower.on_control_delta(Delta(base=1, revision=4, deletes=(key,)), 1.0)
@@ -96,7 +96,7 @@
 
 
 def test_a_peer_ahead_is_asked_when_control_is_out_of_reach() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     follower.on_control_lost(1.0)
     assert follower.on_peer_revision("p", 6, 2.0) == [FetchFromPeer("p", 3)]
@@ -106,7 +106,7 @@
 
 
 def test_a_peer_that_does_not_answer_is_not_the_only_one_asked() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     follower.on_control_lost(1.0)
     assert follower.on_peer_revision("dead", 6, 2.0) == [FetchFromPeer("dead", 3)]
@@ -116,7 +116,7 @@
 
 
 def test_control_that_does_not_answer_gives_way_to_a_peer() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_connected(0.0)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     assert follower.on_peer_revision("p", 4, 5.0) == [FetchFromControl(3)]
@@ -125,7 +125,7 @@
 
 
 def test_a_peer_cannot_confirm_for_a_quorum() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.start(0.0)
     follower.on_peer_delta("p", full(6, service("a"), confirmed=True), 0.0)
     assert follower.revision == 6
@@ -133,7 +133,7 @@
 
 
 def test_a_daemon_without_a_disk_takes_no_call_during_a_cut() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.start(0.0)
     for peer in ("p", "q", "r"):
         follower.on_peer_delta(peer, full(6, endpoint("p"), endpoint("own")), 0.0)
@@ -142,7 +142,7 @@
 
 
 def test_a_daemon_with_a_disk_serves_once_most_peers_of_its_zone_answered() -> None:
-    follower = Follower(HERE, has_disk=True, record=record(4, "p", "q", "r"))
+    follower = Follower(IDENTITY, has_disk=True, record=record(4, "p", "q", "r"))
     assert kinds(follower.start(0.0)) == [TakeEffect, GreetPeers]
     follower.on_peer_revision("p", 4, 1.0)
     follower.on_peer_revision("stranger", 4, 1.0)
@@ -154,7 +154,7 @@
 
 
 def test_disk_and_peers_are_not_enough_while_control_is_connected() -> None:
-    follower = Follower(HERE, has_disk=True, record=record(4))
+    follower = Follower(IDENTITY, has_disk=True, record=record(4))
     assert kinds(follower.start(10.0)) == [TakeEffect]
     follower.on_control_connected(10.1)
     follower.tick(10.0 + 2 * CONTROL_GRACE_SECONDS)
@@ -164,7 +164,7 @@
 
 
 def test_a_daemon_with_a_disk_fetches_what_a_peer_has_before_it_serves() -> None:
-    follower = Follower(HERE, has_disk=True, record=record(4, "p"))
+    follower = Follower(IDENTITY, has_disk=True, record=record(4, "p"))
     follower.start(-CONTROL_GRACE_SECONDS)
     assert follower.on_peer_revision("p", 5, 1.0)[-1] == FetchFromPeer("p", 4)
     assert not follower.may_serve
@@ -178,7 +178,7 @@
 
 
 def test_a_higher_revision_on_disk_than_held_must_be_reached_first() -> None:
-    follower = Follower(HERE, has_disk=True, record=record(4, highest=9))
+    follower = Follower(IDENTITY, has_disk=True, record=record(4, highest=9))
     follower.start(0.0)
     assert not follower.may_serve
     follower.on_control_connected(0.0)
@@ -188,7 +188,7 @@
 
 
 def test_a_revision_is_recorded_before_it_is_in_force() -> None:
-    follower = Follower(HERE, has_disk=True)
+    follower = Follower(IDENTITY, has_disk=True)
     effects = follower.on_control_delta(full(2, service("a"), confirmed=True), 0.0)
     assert effects == [PersistRecord(FollowerRecord(2, full(2, service("a"))))]
     assert follower.revision == 0
@@ -203,7 +203,7 @@
 
 
 def test_a_failing_disk_does_not_hold_configuration_up() -> None:
-    follower = Follower(HERE, has_disk=True)
+    follower = Follower(IDENTITY, has_disk=True)
     follower.on_control_delta(full(2, service("a"), confirmed=True), 0.0)
     effects = follower.on_persist_failed(0.1)
     assert kinds(effects) == [TakeEffect, ReportInForce, StartServing]
@@ -211,14 +211,14 @@
 
 
 def test_a_peer_is_answered_with_what_is_in_force() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     assert follower.answer_fetch(3) == Delta(base=3, revision=3)
     assert follower.answer_fetch(1) == full(3, service("a"))
 
 
 def test_a_peer_a_few_changes_behind_is_sent_only_these() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, *(service(name) for name in "abcdef")), 0.0)
     follower.on_control_delta(Delta(base=3, revision=4, puts=(service("g"),)), 1.0)
     follower.on_control_delta(
@@ -235,7 +235,7 @@
 
 
 def test_a_peer_is_sent_no_more_than_what_is_in_force() -> None:
-    follower = Follower(HERE, has_disk=True)
+    follower = Follower(IDENTITY, has_disk=True)
     follower.on_control_delta(full(3, *(service(name) for name in "abc")), 0.0)
     follower.on_persisted(0.1)
     follower.on_control_delta(Delta(base=3, revision=4, puts=(service("d"),)), 1.0)
@@ -247,11 +247,11 @@
 
 
 def test_a_peer_whose_answer_was_lost_is_asked_again() -> None:
-    follower = Follower(HERE)
+    follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     follower.on_control_lost(1.0)
     assert follower.on_peer_revision("p", 6, 2.0) == [FetchFromPeer("p", 3)]
-    # A link tells a revision once, so the follower has to remember who holds it.
+    # A link reports a revision only once, so the follower must remember its source.
     assert follower.tick(2.0 + FETCH_RETRY_SECONDS) == [FetchFromPeer("p", 3)]
     assert follower.on_peer_revision("q", 5, 3.1) == []
     assert follower.tick(2.0 + 2 * FETCH_RETRY_SECONDS) == [FetchFromPeer("q", 3)]
--- a/tests/distribution/test_follower_properties.py
+++ b/tests/distribution/test_follower_properties.py
@@ -1,4 +1,4 @@
-"""Whatever order messages come in, a follower never goes back."""
+"""Property tests: a follower never reverts, whatever the order of messages and restarts."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 
 
 def change(revision: int) -> Delta:
-    """Change number ``revision`` of a fixed history of puts and deletes."""
+    """Return the change to ``revision`` in a fixed history of puts and deletes."""
     name = NAMES[revision % len(NAMES)]
     if revision % 4 == 0:
         return Delta(revision - 1, revision, deletes=(ResourceKey(kind="service", name=name),))
@@ -58,7 +58,7 @@
 
 
 class Machine:
-    """A daemon on a disk that keeps only what was synced."""
+    """A follower with a simulated disk that keeps only synced records over restarts."""
 
     def __init__(self, has_disk: bool) -> None:
         self.has_disk = has_disk
--- a/tests/distribution/test_hub.py
+++ b/tests/distribution/test_hub.py
@@ -1,4 +1,4 @@
-"""The hub: one encoding for many, merged catch-up, bounded buffers, confirmations, silence."""
+"""Tests of the hub: shared encoding, catch-up, full buffers, confirmations and timeouts."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return Delta(revision - 1, revision, puts=(Service(name=name, deadline_seconds=revision),))
 
 
-def filled(revision: int, limits: HubLimits | None = None) -> Hub:
+def hub_at(revision: int, limits: HubLimits | None = None) -> Hub:
     hub = Hub("c1", limits)
     hub.on_quorum_contact(True, 0.0)
     for number in range(1, revision + 1):
@@ -27,7 +27,7 @@
     return Subscribe(node, "1", "licence", "z1", revision)
 
 
-def sent(effects: object) -> list[tuple[tuple[int, ...], object]]:
+def sent_messages(effects: object) -> list[tuple[tuple[int, ...], object]]:
     return [
         (effect.subscribers, effect.line.message)
         for effect in effects  # type: ignore[attr-defined]
@@ -35,99 +35,101 @@
     ]
 
 
-def join(hub: Hub, number: int, revision: int = 0) -> None:
+def subscribe(hub: Hub, number: int, revision: int = 0) -> None:
     hub.subscribe(number, subscription(f"n{number}", revision), 0.0)
 
 
 def test_a_change_is_encoded_once_for_all_subscribers() -> None:
-    hub = filled(2)
-    join(hub, 1)
-    join(hub, 2)
+    hub = hub_at(2)
+    subscribe(hub, 1)
+    subscribe(hub, 2)
     effects = hub.on_committed(change(3), 1.0)
-    assert sent(effects) == [((1, 2), change(3))]
+    assert sent_messages(effects) == [((1, 2), change(3))]
     assert isinstance(effects[0], SendLine)
     assert effects[0].line.line is effects[0].line.line
 
 
 def test_who_is_behind_gets_one_merged_delta() -> None:
-    hub = filled(3)
+    hub = hub_at(3)
     hub.on_committed(Delta(3, 4, deletes=(ResourceKey("service", "s3"),)), 0.0)
     hub.on_committed(change(5, "s1"), 0.0)
-    ((numbers, message),) = sent(hub.subscribe(1, subscription("n1", 4), 0.0))
+    ((numbers, message),) = sent_messages(hub.subscribe(1, subscription("n1", 4), 0.0))
     assert numbers == (1,)
     assert message == change(5, "s1")
-    ((_, message),) = sent(hub.subscribe(2, subscription("n2", 3), 0.0))
+    ((_, message),) = sent_messages(hub.subscribe(2, subscription("n2", 3), 0.0))
     assert isinstance(message, Delta)
     assert (message.base, message.revision) == (3, 5)
     assert message.deletes == (ResourceKey("service", "s3"),)
 
 
 def test_who_is_behind_the_history_gets_the_whole() -> None:
-    hub = filled(10, HubLimits(history_changes=4))
-    ((_, message),) = sent(hub.subscribe(1, subscription("n1", 3), 0.0))
+    hub = hub_at(10, HubLimits(history_changes=4))
+    ((_, message),) = sent_messages(hub.subscribe(1, subscription("n1", 3), 0.0))
     assert isinstance(message, Delta)
     assert (message.base, message.revision, len(message.puts)) == (0, 10, 10)
 
 
 def test_who_is_ahead_of_this_node_is_sent_nothing_until_it_has_caught_up() -> None:
-    hub = filled(3)
+    hub = hub_at(3)
     effects = hub.subscribe(1, subscription("n1", 5), 0.0)
-    assert sent(effects) == []
-    assert sent(hub.on_confirmed(1, 0.1)) == []
+    assert sent_messages(effects) == []
+    assert sent_messages(hub.on_confirmed(1, 0.1)) == []
     hub.on_committed(change(4), 0.2)
     hub.on_committed(change(5), 0.2)
-    assert sent(hub.on_committed(change(6), 0.3)) == [((1,), change(6))]
+    assert sent_messages(hub.on_committed(change(6), 0.3)) == [((1,), change(6))]
 
 
 def test_a_confirmation_covers_subscriptions_made_before_it_was_asked_for() -> None:
-    hub = filled(2)
+    hub = hub_at(2)
     first = hub.subscribe(1, subscription("n1", 2), 0.0)
     assert first == [RequestConfirmation(1)]
     assert RequestConfirmation not in map(type, hub.subscribe(2, subscription("n2", 2), 0.0))
     effects = hub.on_confirmed(1, 0.1)
-    assert sent(effects) == [((1,), Delta(2, 2, confirmed=True))]
+    assert sent_messages(effects) == [((1,), Delta(2, 2, confirmed=True))]
     assert RequestConfirmation(2) in effects
-    assert sent(hub.on_confirmed(2, 0.2)) == [((2,), Delta(2, 2, confirmed=True))]
+    assert sent_messages(hub.on_confirmed(2, 0.2)) == [((2,), Delta(2, 2, confirmed=True))]
 
 
 def test_an_empty_configuration_is_sent_whole_and_confirmed() -> None:
     hub = Hub("c1")
     effects = hub.subscribe(1, subscription("n1"), 0.0)
-    assert sent(effects) == [((1,), Delta(0, 0))]
+    assert sent_messages(effects) == [((1,), Delta(0, 0))]
 
 
 def test_an_unanswered_confirmation_is_asked_for_again() -> None:
-    hub = filled(1)
-    join(hub, 1)
+    hub = hub_at(1)
+    subscribe(hub, 1)
     assert any(isinstance(effect, RequestConfirmation) for effect in hub.tick(1.0))
 
 
 def test_a_full_subscriber_is_skipped_and_caught_up_once_it_has_drained() -> None:
-    hub = filled(3)
-    join(hub, 1)
-    join(hub, 2)
+    hub = hub_at(3)
+    subscribe(hub, 1)
+    subscribe(hub, 2)
     hub.on_buffer(1, True, 0.5)
     assert hub.full_subscribers() == (1,)
     for number in range(4, 40):
-        assert [numbers for numbers, _ in sent(hub.on_committed(change(number), 1.0))] == [(2,)]
-    ((numbers, message),) = sent(hub.on_buffer(1, False, 2.0))
+        assert [numbers for numbers, _ in sent_messages(hub.on_committed(change(number), 1.0))] == [
+            (2,)
+        ]
+    ((numbers, message),) = sent_messages(hub.on_buffer(1, False, 2.0))
     assert numbers == (1,)
     assert isinstance(message, Delta)
     assert message.revision == 39
 
 
 def test_a_fetch_that_crossed_a_delta_is_answered_only_when_repeated() -> None:
-    hub = filled(3)
-    join(hub, 1)
+    hub = hub_at(3)
+    subscribe(hub, 1)
     hub.on_committed(change(4), 1.0)
     assert hub.on_fetch(1, 3, 1.1) == ()
-    assert sent(hub.on_fetch(1, 3, 2.1)) == [((1,), change(4))]
+    assert sent_messages(hub.on_fetch(1, 3, 2.1)) == [((1,), change(4))]
 
 
 def test_a_silent_subscriber_is_dropped() -> None:
-    hub = filled(1)
-    join(hub, 1)
-    join(hub, 2)
+    hub = hub_at(1)
+    subscribe(hub, 1)
+    subscribe(hub, 2)
     hub.on_in_force(2, 1, 4.0)
     effects = hub.tick(hub.limits.silence_seconds + 1.0)
     assert Close(1) in effects
@@ -136,18 +138,18 @@
 
 
 def test_a_node_without_a_quorum_sends_its_subscribers_elsewhere() -> None:
-    hub = filled(1)
+    hub = hub_at(1)
     hub.set_alternatives(("10.0.0.2:1",))
-    join(hub, 1)
+    subscribe(hub, 1)
     hub.on_quorum_contact(False, 1.0)
-    assert Redirect(("10.0.0.2:1",)) not in [message for _, message in sent(hub.tick(1.1))]
+    assert Redirect(("10.0.0.2:1",)) not in [message for _, message in sent_messages(hub.tick(1.1))]
     hub.on_in_force(1, 1, 3.0)
-    assert ((1,), Redirect(("10.0.0.2:1",))) in sent(hub.tick(3.0))
-    assert sent(hub.tick(4.0)) == []
+    assert ((1,), Redirect(("10.0.0.2:1",))) in sent_messages(hub.tick(3.0))
+    assert sent_messages(hub.tick(4.0)) == []
 
 
 def test_the_committed_configuration_never_goes_back() -> None:
-    hub = filled(3)
+    hub = hub_at(3)
     with pytest.raises(InvariantError):
         hub.on_committed(change(3), 0.0)
     with pytest.raises(InvariantError):
@@ -157,8 +159,8 @@
 
 
 def test_reports_list_changes_once() -> None:
-    hub = filled(2)
-    join(hub, 1)
+    hub = hub_at(2)
+    subscribe(hub, 1)
     hub.on_in_force(1, 2, 0.1)
     assert [(item.node, item.revision) for item in hub.collect_report().daemons] == [("n1", 2)]
     assert hub.collect_report().daemons == ()
@@ -168,7 +170,7 @@
 
 
 def test_a_restarted_daemon_is_not_silent_when_its_former_connection_ends() -> None:
-    hub = filled(3)
+    hub = hub_at(3)
     hub.subscribe(1, subscription("n1"), 0.0)
     hub.subscribe(2, subscription("n1"), 1.0)
     hub.on_in_force(2, 3, 1.1)
@@ -183,7 +185,7 @@
 
 
 def test_reports_of_a_former_connection_do_not_stand_for_the_restarted_daemon() -> None:
-    hub = filled(3)
+    hub = hub_at(3)
     hub.subscribe(1, subscription("n1", 2), 0.0)
     hub.subscribe(2, subscription("n1"), 1.0)
     hub.on_in_force(2, 1, 1.1)
@@ -193,7 +195,7 @@
 
 
 def test_a_former_connection_may_end_last() -> None:
-    hub = filled(3)
+    hub = hub_at(3)
     hub.subscribe(1, subscription("n1"), 0.0)
     hub.subscribe(2, subscription("n1"), 1.0)
     hub.unsubscribe(2)
@@ -205,56 +207,56 @@
     assert not status.connected
 
 
-def answers(effects: object) -> list[tuple[tuple[int, ...], LeaseRenewed]]:
-    return [(to, line) for to, line in sent(effects) if isinstance(line, LeaseRenewed)]
+def lease_answers(effects: object) -> list[tuple[tuple[int, ...], LeaseRenewed]]:
+    return [(to, line) for to, line in sent_messages(effects) if isinstance(line, LeaseRenewed)]
 
 
 def test_a_question_is_answered_by_a_read_that_began_after_it_came_in() -> None:
-    hub = filled(2)
-    join(hub, 1, 2)
+    hub = hub_at(2)
+    subscribe(hub, 1, 2)
     assert list(hub.on_lease_request(1, 7, 0.1)) == []
     effects = hub.on_confirmed(1, 0.2)
-    assert answers(effects) == []
+    assert lease_answers(effects) == []
     assert RequestConfirmation(2) in effects
-    assert answers(hub.on_confirmed(2, 0.3)) == [((1,), LeaseRenewed(7, 2))]
+    assert lease_answers(hub.on_confirmed(2, 0.3)) == [((1,), LeaseRenewed(7, 2))]
 
 
 def test_one_read_answers_all_that_wait_each_behind_its_configuration() -> None:
-    hub = filled(2)
-    join(hub, 1, 2)
-    join(hub, 2, 2)
+    hub = hub_at(2)
+    subscribe(hub, 1, 2)
+    subscribe(hub, 2, 2)
     hub.on_confirmed(1, 0.1)
     hub.on_confirmed(2, 0.1)
     assert list(hub.on_lease_request(1, 7, 0.2)) == [RequestConfirmation(3)]
     assert list(hub.on_lease_request(2, 9, 0.2)) == []
     assert list(hub.on_lease_request(2, 10, 0.2)) == []
-    assert answers(hub.on_confirmed(3, 0.3)) == [((1,), LeaseRenewed(7, 2))]
-    told = sent([*hub.on_committed(change(3), 0.35), *hub.on_confirmed(4, 0.4)])
-    assert told[0] == ((1, 2), change(3))
-    assert told[1:] == [((2,), LeaseRenewed(9, 3)), ((2,), LeaseRenewed(10, 3))]
+    assert lease_answers(hub.on_confirmed(3, 0.3)) == [((1,), LeaseRenewed(7, 2))]
+    messages = sent_messages([*hub.on_committed(change(3), 0.35), *hub.on_confirmed(4, 0.4)])
+    assert messages[0] == ((1, 2), change(3))
+    assert messages[1:] == [((2,), LeaseRenewed(9, 3)), ((2,), LeaseRenewed(10, 3))]
 
 
 def test_a_failed_read_answers_nothing_and_the_next_tick_asks_again() -> None:
-    hub = filled(2)
-    join(hub, 1, 2)
+    hub = hub_at(2)
+    subscribe(hub, 1, 2)
     hub.on_confirmed(1, 0.1)
     assert list(hub.on_lease_request(1, 7, 0.2)) == [RequestConfirmation(2)]
     assert RequestConfirmation(3) in hub.tick(1.0)
-    assert answers(hub.on_confirmed(3, 1.1)) == [((1,), LeaseRenewed(7, 2))]
+    assert lease_answers(hub.on_confirmed(3, 1.1)) == [((1,), LeaseRenewed(7, 2))]
 
 
 def test_a_node_that_lags_behind_a_daemon_does_not_answer_it() -> None:
-    hub = filled(2)
-    join(hub, 1, 5)
+    hub = hub_at(2)
+    subscribe(hub, 1, 5)
     hub.on_lease_request(1, 7, 0.1)
-    assert answers(hub.on_confirmed(5, 0.2)) == []
+    assert lease_answers(hub.on_confirmed(5, 0.2)) == []
 
 
 def test_a_daemon_that_asks_without_end_keeps_a_bounded_number_of_questions() -> None:
-    hub = filled(2)
-    join(hub, 1, 2)
+    hub = hub_at(2)
+    subscribe(hub, 1, 2)
     for question in range(1000):
         hub.on_lease_request(1, question, 0.1)
-    assert [line.question for _, line in answers(hub.on_confirmed(9, 0.2))] == list(
+    assert [line.question for _, line in lease_answers(hub.on_confirmed(9, 0.2))] == list(
         range(992, 1000)
     )
--- a/tests/distribution/test_record.py
+++ b/tests/distribution/test_record.py
@@ -1,4 +1,4 @@
-"""The record of the highest revision on disk."""
+"""Tests of the follower's record file: atomic replacement, corruption and write errors."""
 
 from pathlib import Path
 
--- a/tests/distribution/test_server.py
+++ b/tests/distribution/test_server.py
@@ -1,4 +1,4 @@
-"""The distribution server: what one connection sends harms no other."""
+"""Tests that invalid input on one connection to the hub server doesn't affect other connections."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Sequence
@@ -29,7 +29,7 @@
 from finchshed.link.networks import PeerNetworks
 from tests.link.strategies import NESTED, garbage
 
-STEP_SECONDS = 5.0
+STEP_TIMEOUT_SECONDS = 5.0
 SUBSCRIBE = Subscribe("bad", "1", "licence", "z1", 0)
 
 requests = st.one_of(
@@ -54,7 +54,7 @@
 
 
 class CountingServer(HubServer):
-    """A server at once confirmed by its quorum, which counts the confirmations."""
+    """A server whose quorum reads succeed immediately and are counted."""
 
     def __init__(self, networks: Sequence[str] = ("127.0.0.0/8",)) -> None:
         allowed = PeerNetworks(networks)
@@ -83,28 +83,28 @@
         await self.writer.drain()
 
     async def receive(self) -> ControlToDaemon:
-        line = await within(self._reader.readline())
+        line = await with_timeout(self._reader.readline())
         message: ControlToDaemon = msgspec.json.decode(line, type=ControlToDaemon)
         return message
 
     async def receive_revision(self, revision: int) -> None:
-        """Wait for a delta that brings ``revision``; other messages may come before it."""
-        async with asyncio.timeout(STEP_SECONDS):
+        """Wait for a delta to ``revision``, skipping other messages."""
+        async with asyncio.timeout(STEP_TIMEOUT_SECONDS):
             while True:
-                told = await self.receive()
-                if isinstance(told, Delta) and told.revision == revision:
+                message = await self.receive()
+                if isinstance(message, Delta) and message.revision == revision:
                     return
 
     async def ended(self) -> None:
         """Wait until the server has closed the connection."""
         try:
-            await within(self._reader.read())
+            await with_timeout(self._reader.read())
         except ConnectionError:
             return
 
 
-async def within(step: Awaitable[bytes]) -> bytes:
-    async with asyncio.timeout(STEP_SECONDS):
+async def with_timeout(step: Awaitable[bytes]) -> bytes:
+    async with asyncio.timeout(STEP_TIMEOUT_SECONDS):
         return await step
 
 
@@ -168,7 +168,7 @@
     client = Client(reader, writer)
     with suppress(ConnectionError):
         await client.send(SUBSCRIBE)
-        assert await within(reader.read()) == b""
+        assert await with_timeout(reader.read()) == b""
     assert server.confirmations == 0
     writer.close()
     await server.close()
--- a/tests/distribution/test_status.py
+++ b/tests/distribution/test_status.py
@@ -1,4 +1,4 @@
-"""Status over all control nodes."""
+"""Tests of the daemon status merged over all control nodes."""
 
 from finchshed.distribution.status import (
     REPORT_TIMEOUT_SECONDS,
--- a/tests/distribution/test_strangers.py
+++ b/tests/distribution/test_strangers.py
@@ -1,4 +1,4 @@
-"""The hub server against connections that aren't a daemon's."""
+"""Tests of the hub server against unsubscribed and misbehaving connections."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -12,7 +12,7 @@
 from finchshed.link import lines
 from finchshed.link.encoding import encode_line
 
-GIVE_UP_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 SUBSCRIBE = encode_line(Subscribe("n", "1", "s", "z", 0))
 
 
@@ -33,8 +33,8 @@
     await made.close()
 
 
-async def eventually(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(GIVE_UP_SECONDS):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():  # noqa: ASYNC110 - conditions of other tasks have no event
             await asyncio.sleep(0.01)
 
@@ -42,7 +42,7 @@
 async def is_closed(reader: asyncio.StreamReader) -> bool:
     """Wait until the server has closed the connection."""
     try:
-        async with asyncio.timeout(GIVE_UP_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while await reader.read(65_536):
                 pass
     except ConnectionError:
@@ -60,7 +60,7 @@
     assert await is_closed(reader)
     _, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(SUBSCRIBE + long_line)
-    await eventually(lambda: [s.revision for s in hub.collect_report(True).daemons] == [7])
+    await wait_until(lambda: [s.revision for s in hub.collect_report(True).daemons] == [7])
     writer.close()
 
 
@@ -73,9 +73,9 @@
     _, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(SUBSCRIBE)
     assert await is_closed(reader)
-    await eventually(lambda: hub.subscriber_count() == 1)
+    await wait_until(lambda: hub.subscriber_count() == 1)
     writer.write(encode_line(InForce(3)))
-    await eventually(lambda: [s.revision for s in hub.collect_report(True).daemons] == [3])
+    await wait_until(lambda: [s.revision for s in hub.collect_report(True).daemons] == [3])
     writer.close()
 
 
@@ -90,11 +90,11 @@
     hub, port = server
     _, good = await asyncio.open_connection("127.0.0.1", port)
     good.write(SUBSCRIBE)
-    await eventually(lambda: hub.subscriber_count() == 1)
+    await wait_until(lambda: hub.subscriber_count() == 1)
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(line)
     assert await is_closed(reader)
-    await eventually(lambda: hub.subscriber_count() == 1)
+    await wait_until(lambda: hub.subscriber_count() == 1)
     good.write(encode_line(InForce(5)))
-    await eventually(lambda: [s.revision for s in hub.collect_report(True).daemons] == [5])
+    await wait_until(lambda: [s.revision for s in hub.collect_report(True).daemons] == [5])
     good.close()
