--- a/src/finchshed/control/daemons/distribution_service.py
+++ b/src/finchshed/control/daemons/distribution_service.py
@@ -190,7 +190,7 @@
 
     async def _publish_quorum_contact(self) -> None:
         while True:
-            self._server.note_contact(self._log.in_contact())
+            self._server.set_quorum_contact(self._log.in_contact())
             await asyncio.sleep(QUORUM_CHECK_SECONDS)
 
     async def _report_status(self) -> None:
--- a/src/finchshed/daemon/calling/endpoints.py
+++ b/src/finchshed/daemon/calling/endpoints.py
@@ -48,7 +48,7 @@
     def on_update(self, update: DirectoryUpdate) -> None:
         """Merge an update; registrations it lacks are kept, as control may have just started."""
         now = clock.now()
-        present = self._directory.present_at(update.registrations)
+        present = self._directory.present_addresses(update.registrations)
         changed = self._directory.merge(update.registrations, now)
         # A daemon that reports no back end matters only if one was registered there before.
         reported = [item for item in changed if item.instance or item.address in present]
