--- a/src/finchshed/admission/fairness.py
+++ b/src/finchshed/admission/fairness.py
@@ -62,7 +62,7 @@
         """Return the number of callers counted in this period, over the classes."""
         return sum(len(held.present.counts) for held in self._classes.values())
 
-    def place(self, caller: str, importance: Importance, root: str, now: float) -> int:
+    def assign_position(self, caller: str, importance: Importance, root: str, now: float) -> int:
         """Return the position of a root request; one without a caller is placed by its hash."""
         position = position_of(root)
         if not caller:
--- a/src/finchshed/admission/gate.py
+++ b/src/finchshed/admission/gate.py
@@ -19,7 +19,7 @@
 from finchshed.admission.demand import DemandThreshold
 from finchshed.admission.effects import GateEffect, Refuse, Start
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import NO_PATHS, PathThreshold
+from finchshed.admission.path_thresholds import NO_PATHS, PathThreshold
 from finchshed.admission.rank import rank_of, rank_once_admitted
 from finchshed.admission.threshold import AdmissionThreshold
 from finchshed.admission.threshold_rule import Threshold, ThresholdRule
--- a/src/finchshed/admission/load_report.py
+++ b/src/finchshed/admission/load_report.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from finchshed.admission.paths import PathThreshold
+from finchshed.admission.path_thresholds import PathThreshold
 
 
 class LoadReport(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -26,7 +26,7 @@
         Concurrency limit in force.
     paths
         Thresholds that requests meet further down, by the route's prefix. See
-        :mod:`finchshed.admission.paths`.
+        :mod:`finchshed.admission.path_thresholds`.
     """
 
     threshold: int = 0
--- a/src/finchshed/admission/rank.py
+++ b/src/finchshed/admission/rank.py
@@ -35,7 +35,7 @@
     return xxhash.xxh32_intdigest(root.encode()) & (POSITIONS - 1)
 
 
-def position_under(route: Importance, position: int) -> int:
+def position_within_class(route: Importance, position: int) -> int:
     """Return the position of a request whose class is its caller's and not its route's.
 
     Within the caller's class requests are shed by the importance of their routes, and of those
--- a/src/finchshed/control/daemons/quarantine_service.py
+++ b/src/finchshed/control/daemons/quarantine_service.py
@@ -13,7 +13,7 @@
 from finchshed.control.daemons.soft_state_updates import SoftStateUpdates
 from finchshed.distribution.messages import ControlToDaemon
 from finchshed.quarantine.messages import CrashNews, CrashRecord
-from finchshed.quarantine.register import FREE, Judgement, QuarantineRegister
+from finchshed.quarantine.register import FREE, Assessment, QuarantineRegister
 from finchshed.runtime import clock
 
 CONFIRM_SECONDS = 2.0
@@ -58,11 +58,11 @@
         records = self._register.records(clock.now())
         return (CrashNews(records),) if records else ()
 
-    def judged(self) -> tuple[tuple[CrashRecord, Judgement], ...]:
+    def judged(self) -> tuple[tuple[CrashRecord, Assessment], ...]:
         """Return what is held, and what may be done with each request."""
         now = clock.now()
         records = self._register.records(now)
-        judged = ((record, self._register.judge(record.signature, now)) for record in records)
+        judged = ((record, self._register.assess(record.signature, now)) for record in records)
         return tuple(item for item in judged if item[1] is not FREE)
 
     def lift(self, signature: str) -> bool:
--- a/src/finchshed/control/operators/answers.py
+++ b/src/finchshed/control/operators/answers.py
@@ -12,7 +12,7 @@
 from finchshed.distribution.status import DaemonState, DistributionStatus
 from finchshed.ledger.ledger import Ledger
 from finchshed.quarantine.messages import CrashRecord
-from finchshed.quarantine.register import Judgement
+from finchshed.quarantine.register import Assessment
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 
@@ -78,7 +78,7 @@
     )
 
 
-def quarantine_answer(judged: Iterable[tuple[CrashRecord, Judgement]]) -> pb.QuarantineResponse:
+def quarantine_answer(judged: Iterable[tuple[CrashRecord, Assessment]]) -> pb.QuarantineResponse:
     """Return which requests are held to crash back ends."""
     return pb.QuarantineResponse(
         requests=[
--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.outcomes import RefusalReason
 from finchshed.common.units import MILLISECONDS
 from finchshed.daemon.backend.health import BackendHealthMonitor
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
@@ -26,9 +26,9 @@
 from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.daemon.serving.ledger_port import fingerprint_of
 from finchshed.daemon.signatures import Signatures
-from finchshed.retry.budgets import RetryBudgets
+from finchshed.retry.buckets import RetryBuckets
 from finchshed.retry.policy import retry_after
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.table import RoutingTable
 from finchshed.runtime import clock
 
@@ -91,7 +91,7 @@
         self._paths = paths
         self._rng = rng
         self._catalogue = Catalogue()
-        self._retries = RetryBudgets(self._catalogue.policy)
+        self._retries = RetryBuckets(self._catalogue.policy)
         self._pins = SessionPins()
         self._joinable: dict[JoinKey, tuple[OutgoingCall, str]] = {}
         self.in_progress = 0
@@ -103,7 +103,7 @@
 
     def share_with(self, daemons: int) -> None:
         """Divide bounds by the number of daemons, this one included."""
-        self._retries.share_with(daemons)
+        self._retries.set_daemon_count(daemons)
 
     def expire_sessions(self) -> None:
         """Forget sessions that have been idle for long."""
@@ -183,9 +183,9 @@
             self._pin(request, call.endpoint)
         return call
 
-    def _logic_of(self, request: Request, signature: Signer) -> CallerLogic:
+    def _logic_of(self, request: Request, signature: Signer) -> CallStateMachine:
         """Return what decides where the call goes, and whether it is tried again."""
-        return CallerLogic(
+        return CallStateMachine(
             self._table,
             self._retries.bucket(request.service, clock.now()),
             request.service,
@@ -196,7 +196,7 @@
             route=request.route,
             target_seconds=request.target_seconds,
             signature=signature,
-            judge=partial(self._quarantine.judge, signature),
+            assess=partial(self._quarantine.judge, signature),
         )
 
     def _on_finished(
--- a/src/finchshed/daemon/calling/outgoing.py
+++ b/src/finchshed/daemon/calling/outgoing.py
@@ -29,13 +29,13 @@
 from finchshed.link.messages import Reply
 from finchshed.observability.decisions import AttemptRecord
 from finchshed.quarantine.messages import CrashRecord
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.caller_effects import (
     CallerEffect,
+    CancelAttempt,
     Finish,
     SendAttempt,
     SetTimer,
-    Withdraw,
 )
 from finchshed.runtime import clock
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         request: Request,
-        logic: CallerLogic,
+        logic: CallStateMachine,
         links: DaemonLinks,
         on_finish: Callable[["OutgoingCall", Outcome, int], None],
         retry_after: Callable[[], float],
@@ -128,7 +128,7 @@
                 self._set_timer(effect.at)
             elif isinstance(effect, Finish):
                 self._finish(effect)
-            elif isinstance(effect, Withdraw) and self._attempt is not None:
+            elif isinstance(effect, CancelAttempt) and self._attempt is not None:
                 self._links.withdraw(self._attempt)
 
     def _send(self, effect: SendAttempt) -> None:
@@ -138,12 +138,12 @@
             metrics.RETRIES.labels(self.request.service).inc()
         attempt = Attempt(
             request=self.request,
-            lent_attempts=effect.lent_attempts,
+            lent_attempts=effect.allocated_attempts,
             admitted_fraction=effect.admitted_fraction,
             deadline=self._deadline,
             on_reply=lambda reply: self._on_reply(number, reply),
             on_unsent=lambda reason, detail: self._on_unsent(
-                number, effect.lent_attempts, reason, detail
+                number, effect.allocated_attempts, reason, detail
             ),
         )
         self._attempt = attempt
--- a/src/finchshed/daemon/calling/platform_hints.py
+++ b/src/finchshed/daemon/calling/platform_hints.py
@@ -6,7 +6,7 @@
 """
 
 from finchshed.distribution.messages import Hints
-from finchshed.routing.endpoint import DrainSign
+from finchshed.routing.endpoint import DrainSource
 from finchshed.routing.table import RoutingTable
 
 NO_HINTS = Hints((), 0.0)
@@ -38,9 +38,9 @@
     def _apply(self, now: float) -> None:
         meant = {hint.endpoint for hint in self._hints.leaving if self._is_meant(hint.endpoint)}
         for endpoint in self._marked - meant:
-            self._table.set_drain_sign(endpoint, DrainSign.PLATFORM, False, now)
+            self._table.set_drain_source(endpoint, DrainSource.PLATFORM, False, now)
         for endpoint in meant:
-            self._table.set_drain_sign(endpoint, DrainSign.PLATFORM, True, now)
+            self._table.set_drain_source(endpoint, DrainSource.PLATFORM, True, now)
         self._marked = meant
 
     def _is_meant(self, endpoint: str) -> bool:
--- a/src/finchshed/daemon/ingress/host_access.py
+++ b/src/finchshed/daemon/ingress/host_access.py
@@ -13,7 +13,7 @@
 from finchshed.http.message import InboundRequest
 from finchshed.retry.policy import retry_after
 from finchshed.runtime import clock
-from finchshed.tenancy.gate import tenant_of
+from finchshed.tenancy.authentication import authenticate
 from finchshed.tenancy.keys import TenantKeys
 from finchshed.tenancy.lease import KeyLease
 
@@ -48,7 +48,7 @@
             return None
         keys = {value for name, value in request.headers if name == self._api_key and value}
         now = clock.now()
-        found = tenant_of(keys, self.tenants, self._lease, now, is_public=route.public)
+        found = authenticate(keys, self.tenants, self._lease, now, is_public=route.public)
         if found is RefusalReason.API_KEY_MISSING:
             return self._without_key(identity)
         if isinstance(found, RefusalReason):
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -22,7 +22,7 @@
 from finchshed.daemon.serving.accounts import ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.retry.policy import retry_after
-from finchshed.routing.weights import WeightedChoice
+from finchshed.routing.weighted_round_robin import WeightedRoundRobin
 from finchshed.runtime import clock
 from finchshed.tenancy.lease import KeyLease
 
@@ -62,7 +62,7 @@
         self._access = HostAccess(names, served, lease, rng)
         self._requests = HostRequests(names, own_service)
         self._identity = names.request.encode("ascii")
-        self._choices: dict[str, WeightedChoice] = {}
+        self._choices: dict[str, WeightedRoundRobin] = {}
         self._catalogue = Catalogue()
 
     def configure(self, catalogue: Catalogue) -> None:
@@ -171,8 +171,8 @@
         identity = request.header(self._identity)
         log_refusal(identity, route, refused, self._catalogue.revision, tenant)
 
-    def _choices_of(self, route: HostRoute) -> WeightedChoice:
+    def _choices_of(self, route: HostRoute) -> WeightedRoundRobin:
         held = self._choices.get(route.name)
         if held is not None and held.destinations == route.destinations:
             return held
-        return WeightedChoice(route.destinations, self._rng)
+        return WeightedRoundRobin(route.destinations, self._rng)
--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from finchshed.admission.rank import position_of, position_under
+from finchshed.admission.rank import position_of, position_within_class
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import Headers
 from finchshed.common.units import MILLISECONDS
@@ -140,5 +140,5 @@
         tenant.importance,
         remaining,
         spare,
-        position=position_under(route.importance, position_of(identity)),
+        position=position_within_class(route.importance, position_of(identity)),
     )
--- a/src/finchshed/daemon/ingress/lease_renewal.py
+++ b/src/finchshed/daemon/ingress/lease_renewal.py
@@ -35,7 +35,7 @@
     def configure(self, catalogue: Catalogue) -> None:
         """Act on a new configuration."""
         self.lease.seconds = catalogue.policy.key_trust_seconds
-        self.lease.on_in_force(catalogue.revision)
+        self.lease.on_revision_applied(catalogue.revision)
         if catalogue.tenants and self._timer is None:
             self._ask()
         elif not catalogue.tenants and self._timer is not None:
@@ -51,7 +51,7 @@
         # Not the loop's time, which stands still while a turn of the loop lasts.
         now = clock.now()
         self._log_change(now)
-        self._client.renew_lease(self.lease.next_question(now))
+        self._client.renew_lease(self.lease.start_renewal(now))
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(RENEW_SECONDS, self._ask)
 
--- a/src/finchshed/daemon/parts.py
+++ b/src/finchshed/daemon/parts.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass, field
 
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.daemon.backend.events import BackendEvents
 from finchshed.daemon.backend.health import BackendHealthMonitor
 from finchshed.daemon.backend.http_client import HttpBackend
--- a/src/finchshed/daemon/quarantine.py
+++ b/src/finchshed/daemon/quarantine.py
@@ -13,7 +13,7 @@
 from finchshed.daemon import metrics
 from finchshed.distribution.client import ControlClient
 from finchshed.quarantine.messages import CrashNews, CrashRecord
-from finchshed.quarantine.register import FREE, Judgement, QuarantineRegister, Suspicion
+from finchshed.quarantine.register import FREE, Assessment, QuarantineRegister, Suspicion
 from finchshed.runtime import clock
 
 Signer: TypeAlias = Callable[[], str]
@@ -52,11 +52,11 @@
         self._expire_due = 0.0
         client.on_crash_news = self._on_control_news
 
-    def judge(self, signature: Signer) -> Judgement:
+    def judge(self, signature: Signer) -> Assessment:
         """Return what may be done with a request; it costs nothing while none is held."""
         if not self._register:
             return FREE
-        return self._register.judge(signature(), clock.now())
+        return self._register.assess(signature(), clock.now())
 
     def record_of(self, signature: Signer) -> CrashRecord | None:
         """Return what is held of a request, to be sent with its answer."""
@@ -152,7 +152,7 @@
         refused = [
             record
             for record in changed
-            if self._register.judge(record.signature, now).suspicion is Suspicion.QUARANTINED
+            if self._register.assess(record.signature, now).suspicion is Suspicion.QUARANTINED
         ]
         self._log(refused, cause)
         if len(refused) < len(changed):
@@ -162,7 +162,7 @@
     def _log(self, changed: Sequence[CrashRecord], cause: str) -> None:
         """Log what is believed from now on, that of what is refused in any case."""
         now = clock.now()
-        judged = [(record, self._register.judge(record.signature, now)) for record in changed]
+        judged = [(record, self._register.assess(record.signature, now)) for record in changed]
         judged.sort(key=lambda item: item[1].suspicion is not Suspicion.QUARANTINED)
         for record, judgement in judged[:MAX_LOGGED]:
             logger.info(
--- a/src/finchshed/daemon/serving/backend_runs.py
+++ b/src/finchshed/daemon/serving/backend_runs.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -10,7 +10,7 @@
 
 from finchshed.admission.effects import GateEffect, Start
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon.backend.client import BackendClient
@@ -30,7 +30,7 @@
 from finchshed.daemon.serving.work_state import WorkState
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import Signatures
-from finchshed.limit.concurrency import slots_to_use
+from finchshed.limit.concurrency import usable_slots
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
 from finchshed.quarantine.register import Suspicion
@@ -135,7 +135,7 @@
         self._admission.service = service
         self._admission.instance = instance
         if slots:
-            self._gate.set_slots(slots_to_use(slots))
+            self._gate.set_slots(usable_slots(slots))
 
     def turn_away_waiting(self) -> None:
         """Send what waits for the back end elsewhere; it has not run."""
--- a/src/finchshed/daemon/serving/gate_runner.py
+++ b/src/finchshed/daemon/serving/gate_runner.py
@@ -11,7 +11,7 @@
 from finchshed.admission.effects import GateEffect
 from finchshed.admission.gate import Gate
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.admission.rank import with_admitted_fraction
 from finchshed.admission.threshold_rule import ThresholdRule
 from finchshed.common.results import CallResult
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -13,7 +13,7 @@
 from finchshed.admission.effects import GateEffect, Start
 from finchshed.admission.gate import Gate
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.context import HEADER_DOWNSTREAM
 from finchshed.common.outcomes import (
     Answered,
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -9,7 +9,7 @@
 from typing import Final, Protocol
 
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.configuration.resources import Endpoint, Policy
 from finchshed.control.state.machine import POLICY_KEY
@@ -29,7 +29,7 @@
 from finchshed.proof.history import RevisionInForce
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.policy import retry_after
-from finchshed.routing.endpoint import DrainSign
+from finchshed.routing.endpoint import DrainSource
 from finchshed.routing.table import RoutingTable
 
 REGION: Final = "region-1"
@@ -248,7 +248,7 @@
         """Take the platform's list of leaving machines."""
         listed = {hint.endpoint for hint in hints.leaving}
         for name in self._listed - listed:
-            self.table.set_drain_sign(name, DrainSign.PLATFORM, False, self.now)
+            self.table.set_drain_source(name, DrainSource.PLATFORM, False, self.now)
         self._listed = listed
         for hint in hints.leaving:
             if hint.endpoint == self.name:
@@ -257,7 +257,7 @@
                 continue
             linked_at = self._linked_at.get(hint.endpoint)
             if linked_at is not None and hints.applies_to(hint, self.now - linked_at):
-                self.table.set_drain_sign(hint.endpoint, DrainSign.PLATFORM, True, self.now)
+                self.table.set_drain_source(hint.endpoint, DrainSource.PLATFORM, True, self.now)
 
     @property
     def in_progress(self) -> int:
--- a/src/finchshed/emulator/daemons/incoming.py
+++ b/src/finchshed/emulator/daemons/incoming.py
@@ -21,7 +21,7 @@
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.retry.policy import retry_after
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.table import RoutingTable
 
 
@@ -88,7 +88,9 @@
             request.caller,
             request.session,
             request.key,
-            self._fair.place(request.caller, request.importance, request.root, self._process.now),
+            self._fair.assign_position(
+                request.caller, request.importance, request.root, self._process.now
+            ),
         )
 
         def finished(outcome: Outcome, _spare: int) -> None:
@@ -120,7 +122,7 @@
             answer(Refused(RefusalReason.CANCELLED, retry_after(0.0, self._process.random)))
             return nothing
         self._callee.call_on_began(request.account, request)
-        lent = self._accounts.lend(request.account)
+        lent = self._accounts.allocate(request.account)
         context = CallContext(
             request.root,
             request.importance,
@@ -135,7 +137,7 @@
 
         def finished(outcome: Outcome, spare: int) -> None:
             self.in_progress -= 1
-            self._accounts.give_back(request.account, lent, spare)
+            self._accounts.refund(request.account, lent, spare)
             if result_of(outcome) is not CallResult.OK:
                 self._accounts.on_call_failed(request.account, request.call)
             answer(outcome)
@@ -154,7 +156,7 @@
             bucket = self._buckets[service] = RetryBucket(
                 self._policy.retry_ratio, self._process.now
             )
-        logic = CallerLogic(
+        logic = CallStateMachine(
             self._table,
             bucket,
             service,
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -27,8 +27,14 @@
 )
 from finchshed.proof.history import Admission, AttemptSent
 from finchshed.retry.policy import retry_after
-from finchshed.routing.caller import CallerLogic
-from finchshed.routing.caller_effects import CallerEffect, Finish, SendAttempt, SetTimer, Withdraw
+from finchshed.routing.caller import CallStateMachine
+from finchshed.routing.caller_effects import (
+    CallerEffect,
+    CancelAttempt,
+    Finish,
+    SendAttempt,
+    SetTimer,
+)
 
 SHED_REASONS: Final = frozenset(
     {RefusalReason.OVERLOAD, RefusalReason.QUEUE_FULL, RefusalReason.DEADLINE}
@@ -60,7 +66,7 @@
     def __init__(
         self,
         daemon: CallingProcess,
-        logic: CallerLogic,
+        logic: CallStateMachine,
         request: SimulatedRequest,
         context: CallContext,
         on_finish: OnFinish,
@@ -91,7 +97,7 @@
                 self._send(effect)
             elif isinstance(effect, SetTimer):
                 self._set_timer(effect.at)
-            elif isinstance(effect, Withdraw):
+            elif isinstance(effect, CancelAttempt):
                 self._withdraw(effect)
             else:
                 self._finish(effect)
@@ -101,13 +107,13 @@
         self._was_sent = True
         self.endpoint = effect.endpoint.name
         remaining = self._deadline - self._process.now
-        context = self._context.for_attempt(remaining, effect.lent_attempts)
+        context = self._context.for_attempt(remaining, effect.allocated_attempts)
         attempt = SimulatedAttempt(
             self._request,
             context,
             self._deadline,
             lambda reply: self._replied(number, reply),
-            lambda reason: self._unsent(number, effect.lent_attempts, reason),
+            lambda reason: self._unsent(number, effect.allocated_attempts, reason),
         )
         self._recorder.note(
             AttemptSent(
@@ -118,7 +124,7 @@
         self._attempts[number] = (attempt, link)
         link.send(attempt)
 
-    def _withdraw(self, effect: Withdraw) -> None:
+    def _withdraw(self, effect: CancelAttempt) -> None:
         held = self._attempts.pop(effect.attempt, None)
         # An attempt that was not sent is told to the state machine a moment later.
         if held is not None:
--- a/src/finchshed/limit/concurrency.py
+++ b/src/finchshed/limit/concurrency.py
@@ -36,7 +36,7 @@
 """Slots from which some are left free: of fewer, one is too large a part. Chosen, not measured."""
 
 
-def slots_to_use(slots: int) -> int:
+def usable_slots(slots: int) -> int:
     """Return how many of ``slots`` are worth filling.
 
     Some back ends slow down when they are nearly full, by more than the last slots bring.
--- a/src/finchshed/quarantine/register.py
+++ b/src/finchshed/quarantine/register.py
@@ -13,7 +13,7 @@
 
 Inputs: signatures of requests, instances that ended with what they ran, runs to an end, records of
 other registers, and the time in seconds. Owns the records, in memory alone; its caller refuses by
-:meth:`QuarantineRegister.judge` and carries records on. Ways compared: docs/design/quarantine.md.
+:meth:`QuarantineRegister.assess` and carries records on. Ways compared: docs/design/quarantine.md.
 """
 
 import enum
@@ -71,7 +71,7 @@
     """It isn't run."""
 
 
-class Judgement(msgspec.Struct, frozen=True, gc=False):
+class Assessment(msgspec.Struct, frozen=True, gc=False):
     """What is held of a request.
 
     Attributes
@@ -87,7 +87,7 @@
     seconds: float = 0.0
 
 
-FREE = Judgement(Suspicion.FREE)
+FREE = Assessment(Suspicion.FREE)
 
 
 class _Held:
@@ -154,7 +154,7 @@
         """Return the number of requests held; while it is 0 every request is free."""
         return len(self._held)
 
-    def judge(self, signature: str, now: float) -> Judgement:
+    def assess(self, signature: str, now: float) -> Assessment:
         """Return what may be done with a request now."""
         held = self._held.get(signature)
         if held is None:
@@ -165,8 +165,8 @@
             return FREE
         left = held.held_seconds() - age
         if left > 0.0:
-            return Judgement(Suspicion.QUARANTINED, crashes, left)
-        return Judgement(Suspicion.SUSPECT, crashes)
+            return Assessment(Suspicion.QUARANTINED, crashes, left)
+        return Assessment(Suspicion.SUSPECT, crashes)
 
     def on_crash(
         self, instance: str, running: Sequence[str], now: float
@@ -232,7 +232,7 @@
     def _prior_crashes(self, signature: str, instance: str, now: float) -> int:
         """Return the crashes held against a request, but for that of ``instance``."""
         held = self._held.get(signature)
-        if held is None or self.judge(signature, now).suspicion is Suspicion.FREE:
+        if held is None or self.assess(signature, now).suspicion is Suspicion.FREE:
             return 0
         counted = held.crashes.keys() - held.refuted.keys()
         return len(counted - {instance})
--- a/src/finchshed/retry/account.py
+++ b/src/finchshed/retry/account.py
@@ -30,7 +30,7 @@
     failed: set[str] | None = None
 
 
-def lent_attempts(balance: int) -> int:
+def allocated_attempts(balance: int) -> int:
     """Return how many of ``balance`` spare attempts one call gets: half, rounded up.
 
     The other half stays for calls made at the same time, and for the hop itself should the
@@ -62,17 +62,17 @@
             self._accounts.popitem(last=False)
         self._accounts[account] = _Account(balance=spare_attempts)
 
-    def lend(self, account: str) -> int:
+    def allocate(self, account: str) -> int:
         """Lend part of the balance to one call; 0 for an account that is not open."""
         held = self._accounts.get(account)
         if held is None:
             return 0
-        lent = lent_attempts(held.balance)
+        lent = allocated_attempts(held.balance)
         held.balance -= lent
         held.lent += lent
         return lent
 
-    def give_back(self, account: str, lent: int, spare_attempts: int) -> None:
+    def refund(self, account: str, lent: int, spare_attempts: int) -> None:
         """Take back what a call did not spend of ``lent``.
 
         An answer that claims to return more than was lent returns only what was lent. An account
--- a/src/finchshed/retry/budgets.py
+++ b/src/finchshed/retry/buckets.py
@@ -7,7 +7,7 @@
 """Tokens: each daemon may make one retry after a quiet time, however many share the burst."""
 
 
-class RetryBudgets:
+class RetryBuckets:
     """Keeps one bucket for each service, in step with the policy in force.
 
     Parameters
@@ -28,7 +28,7 @@
         self._policy = policy
         self._bound_all()
 
-    def share_with(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Take the number of daemons that share the burst, this one included."""
         self._daemons = max(1, daemons)
         self._bound_all()
--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -26,8 +26,8 @@
 )
 from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Endpoint
-from finchshed.quarantine.register import FREE, LAST_OWN_RETRY_CRASHES, Judgement, Suspicion
-from finchshed.retry.account import lent_attempts
+from finchshed.quarantine.register import FREE, LAST_OWN_RETRY_CRASHES, Assessment, Suspicion
+from finchshed.retry.account import allocated_attempts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.retry.policy import (
     ERROR_RETRY_TIME_FACTOR,
@@ -36,7 +36,13 @@
     may_retry,
     retry_after,
 )
-from finchshed.routing.caller_effects import CallerEffect, Finish, SendAttempt, SetTimer, Withdraw
+from finchshed.routing.caller_effects import (
+    CallerEffect,
+    CancelAttempt,
+    Finish,
+    SendAttempt,
+    SetTimer,
+)
 from finchshed.routing.table import RoutingTable
 
 MAX_REDIRECTS = 2
@@ -48,12 +54,12 @@
 not measured."""
 
 
-def _always_free() -> Judgement:
+def _always_free() -> Assessment:
     """Stand in where no request is ever a suspect."""
     return FREE
 
 
-class CallerLogic:
+class CallStateMachine:
     """State machine of one call.
 
     Parameters
@@ -79,7 +85,7 @@
         Latency it is meant to be answered in; 0: none.
     signature
         Returns the request's signature; asked for only if it is a suspect.
-    judge
+    assess
         Returns what may be done with the request, by the ends of back ends under it.
     """
 
@@ -96,10 +102,10 @@
         route: str = "",
         target_seconds: float = 0.0,
         signature: Callable[[], str] = str,
-        judge: Callable[[], Judgement] = _always_free,
+        assess: Callable[[], Assessment] = _always_free,
     ) -> None:
         self._signature = signature
-        self._judge = judge
+        self._assess = assess
         self._table = table
         self._bucket = bucket
         self.service = service
@@ -200,7 +206,7 @@
         """Whether the outcome allows another attempt, and there is time for it."""
         if not may_retry(outcome, self._repeatable):
             return False
-        if isinstance(outcome, Failed) and self._judge().crashes > LAST_OWN_RETRY_CRASHES:
+        if isinstance(outcome, Failed) and self._assess().crashes > LAST_OWN_RETRY_CRASHES:
             return False
         if not isinstance(outcome, Answered):
             return True
@@ -213,7 +219,7 @@
         self._attempt += 1
         self._current = chosen
         self._tried.add(chosen.name)
-        self._lent = lent_attempts(self._spare)
+        self._lent = allocated_attempts(self._spare)
         self._spare -= self._lent
         self._sent_at = now
         report_age, in_flight = self._table.report_age_and_in_flight(chosen.name, now)
@@ -222,7 +228,7 @@
         send = SendAttempt(
             attempt=self._attempt,
             endpoint=chosen,
-            lent_attempts=self._lent,
+            allocated_attempts=self._lent,
             report_age=report_age,
             in_flight=in_flight,
             admitted_fraction=fraction,
@@ -230,7 +236,7 @@
         return [send, SetTimer(self._deadline)]
 
     def _choose(self, now: float) -> Endpoint | Refused:
-        judgement = self._judge()
+        judgement = self._assess()
         if judgement.suspicion is Suspicion.QUARANTINED:
             detail = f"{judgement.crashes} back ends ended under it"
             return Refused(RefusalReason.QUARANTINED, judgement.seconds, detail)
@@ -265,7 +271,7 @@
         self._table.on_reply(endpoint.name, None, result, now - self._sent_at, now)
         self._current = None
         self._lent = 0
-        return [Withdraw(self._attempt, endpoint)]
+        return [CancelAttempt(self._attempt, endpoint)]
 
     def _refused(self, reason: RefusalReason) -> Refused:
         return Refused(reason, retry_after(0.0, self._rng))
--- a/src/finchshed/routing/caller_effects.py
+++ b/src/finchshed/routing/caller_effects.py
@@ -13,7 +13,7 @@
 
     Attributes
     ----------
-    lent_attempts
+    allocated_attempts
         Spare attempts that it carries in its context.
     report_age, in_flight
         What the endpoint was chosen by, for the log: seconds since its load report (negative: none
@@ -24,13 +24,13 @@
 
     attempt: int
     endpoint: Endpoint
-    lent_attempts: int
+    allocated_attempts: int
     report_age: float = -1.0
     in_flight: int = 0
     admitted_fraction: float = 1.0
 
 
-class Withdraw(msgspec.Struct, frozen=True, gc=False):
+class CancelAttempt(msgspec.Struct, frozen=True, gc=False):
     """Cancel the attempt at its endpoint; its outcome is no longer wanted."""
 
     attempt: int
@@ -38,7 +38,7 @@
 
 
 class SetTimer(msgspec.Struct, frozen=True, gc=False):
-    """Call ``CallerLogic.on_timer`` at ``at`` (monotonic seconds); it replaces a timer set."""
+    """Call ``CallStateMachine.on_timer`` at ``at`` (monotonic seconds); it replaces a timer set."""
 
     at: float
 
@@ -50,4 +50,4 @@
     spare_returned: int
 
 
-CallerEffect: TypeAlias = SendAttempt | Withdraw | SetTimer | Finish
+CallerEffect: TypeAlias = SendAttempt | CancelAttempt | SetTimer | Finish
--- a/src/finchshed/routing/endpoint.py
+++ b/src/finchshed/routing/endpoint.py
@@ -10,7 +10,7 @@
 import math
 
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import NO_THRESHOLD, PathThreshold, freshness
+from finchshed.admission.path_thresholds import NO_THRESHOLD, PathThreshold, freshness
 from finchshed.admission.rank import RANKS
 from finchshed.common.moving_average import moving_average
 from finchshed.common.results import CallResult
@@ -44,7 +44,7 @@
 NO_REPORT = LoadReport()
 
 
-class DrainSign(enum.IntFlag):
+class DrainSource(enum.IntFlag):
     """Where it is known from that an endpoint drains; any one sign suffices."""
 
     NONE = 0
@@ -77,7 +77,7 @@
         "_report",
         "_report_at",
         "consecutive_failures",
-        "drain_signs",
+        "drain_sources",
         "ejected_until",
         "ejections",
         "endpoint",
@@ -99,7 +99,7 @@
         self.ejected_until = 0.0
         self.link_down_until = 0.0
         self.link_failures = 0
-        self.drain_signs = DrainSign.NONE
+        self.drain_sources = DrainSource.NONE
         self.incarnation = ""
         self.place = -1
         self.group: list[EndpointView] | None = None
@@ -114,20 +114,20 @@
     def declare(self, endpoint: Endpoint) -> None:
         """Act on a changed declaration."""
         self.endpoint = endpoint
-        self.set_sign(DrainSign.CONFIGURATION, endpoint.state is EndpointState.LEAVING)
+        self.set_drain_source(DrainSource.CONFIGURATION, endpoint.state is EndpointState.LEAVING)
 
-    def set_sign(self, sign: DrainSign, is_set: bool) -> None:
+    def set_drain_source(self, sign: DrainSource, is_set: bool) -> None:
         """Set or clear the sign of one source."""
-        self.drain_signs = self.drain_signs | sign if is_set else self.drain_signs & ~sign
+        self.drain_sources = self.drain_sources | sign if is_set else self.drain_sources & ~sign
 
     @property
     def is_draining(self) -> bool:
         """Whether any source says that it drains."""
-        return bool(self.drain_signs)
+        return bool(self.drain_sources)
 
     def is_available(self, now: float) -> bool:
         """Return whether new work may be sent."""
-        return not self.drain_signs and now >= self.available_at()
+        return not self.drain_sources and now >= self.available_at()
 
     def available_at(self) -> float:
         """Return when an endpoint that doesn't drain may be sent work again, seconds."""
@@ -203,7 +203,7 @@
         """Hold a report that came with an answer or a heartbeat."""
         self._report = load
         self._report_at = now
-        self.set_sign(DrainSign.REPORTED, load.draining)
+        self.set_drain_source(DrainSource.REPORTED, load.draining)
 
     def on_result(
         self, result: CallResult, latency: float, usual_latency: float, now: float
--- a/src/finchshed/routing/pool.py
+++ b/src/finchshed/routing/pool.py
@@ -14,7 +14,7 @@
 import msgspec
 import xxhash
 
-from finchshed.admission.paths import HOLD_MILLISECONDS, NO_THRESHOLD, PathThreshold
+from finchshed.admission.path_thresholds import HOLD_MILLISECONDS, NO_THRESHOLD, PathThreshold
 from finchshed.admission.rank import cut_of, rank_of_cut
 from finchshed.common.importance import Importance
 from finchshed.common.moving_average import moving_average
--- a/src/finchshed/routing/table.py
+++ b/src/finchshed/routing/table.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable
 
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import NO_THRESHOLD, PathThreshold
+from finchshed.admission.path_thresholds import NO_THRESHOLD, PathThreshold
 from finchshed.admission.rank import RANKS, admitted_fraction, rank_of
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import RefusalReason, Refused
@@ -19,7 +19,7 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.retry.policy import retry_after
 from finchshed.routing.ejection import eject_if_failing
-from finchshed.routing.endpoint import DrainSign, EndpointView
+from finchshed.routing.endpoint import DrainSource, EndpointView
 from finchshed.routing.link_hold import hold_back, release
 from finchshed.routing.placement import Wanted, place
 from finchshed.routing.pool import DEFAULT_SUBSET_SIZE, ServicePool
@@ -184,7 +184,7 @@
         if view is None:
             return
         # A process that drained is gone with its link; what comes up there next speaks for itself.
-        view.set_sign(DrainSign.REPORTED, False)
+        view.set_drain_source(DrainSource.REPORTED, False)
         hold_back(view, self._pool_of(view), now)
         view.link_failures += 1
 
@@ -200,13 +200,13 @@
 
     def mark_draining(self, name: str, now: float) -> None:
         """Send no new work to an endpoint that says it drains."""
-        self.set_drain_sign(name, DrainSign.REPORTED, True, now)
+        self.set_drain_source(name, DrainSource.REPORTED, True, now)
 
-    def set_drain_sign(self, name: str, sign: DrainSign, is_set: bool, now: float) -> None:
+    def set_drain_source(self, name: str, sign: DrainSource, is_set: bool, now: float) -> None:
         """Set or clear what one source says of an endpoint; new work goes to it if none is set."""
         view = self._views.get(name)
         if view is not None:
-            view.set_sign(sign, is_set)
+            view.set_drain_source(sign, is_set)
             self._refresh(view, now)
 
     def _declare(self, endpoint: Endpoint, now: float) -> None:
@@ -250,9 +250,9 @@
         return Refused(reason, retry_after(NO_ENDPOINT_OVERLOAD, self._rng))
 
     def _hold_report(self, view: EndpointView, load: LoadReport, now: float) -> None:
-        signs = view.drain_signs
+        signs = view.drain_sources
         view.on_report(load, now)
-        if view.drain_signs != signs:
+        if view.drain_sources != signs:
             self._refresh(view, now)
 
 
--- a/src/finchshed/routing/weights.py
+++ b/src/finchshed/routing/weighted_round_robin.py
@@ -16,7 +16,7 @@
 measured."""
 
 
-class WeightedChoice:
+class WeightedRoundRobin:
     """Draws the destination of each request of one route.
 
     Parameters
--- a/src/finchshed/tenancy/gate.py
+++ b/src/finchshed/tenancy/authentication.py
@@ -13,7 +13,7 @@
 from finchshed.tenancy.lease import KeyLease
 
 
-def tenant_of(
+def authenticate(
     keys: Collection[bytes],
     tenants: TenantKeys,
     lease: KeyLease,
--- a/src/finchshed/tenancy/lease.py
+++ b/src/finchshed/tenancy/lease.py
@@ -8,7 +8,7 @@
 that ends in time. An answer that lay in a silent connection, one of a node without a quorum, or one
 to an earlier question prolongs nothing that it shouldn't.
 
-The shell asks :meth:`KeyLease.next_question` now and then, sends the question, and hands in the
+The shell asks :meth:`KeyLease.start_renewal` now and then, sends the question, and hands in the
 answers. The moment of each use is given to :meth:`KeyLease.is_valid`, so a process that stood
 still finds its lease ended.
 """
@@ -48,7 +48,7 @@
         self._revision = 0
         self._renewed_at: float | None = None
 
-    def next_question(self, now: float) -> int:
+    def start_renewal(self, now: float) -> int:
         """Return the number of a question that is sent now."""
         self._last_question += 1
         self._asked_at[self._last_question] = now
@@ -66,7 +66,7 @@
         self._confirmed.append((revision, asked_at))
         return self._settle()
 
-    def on_in_force(self, revision: int) -> bool:
+    def on_revision_applied(self, revision: int) -> bool:
         """Note the revision in force here; return whether the lease is longer now."""
         self._revision = revision
         return self._settle()
--- a/tests/admission/test_paths.py
+++ b/tests/admission/test_paths.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from finchshed.admission.paths import (
+from finchshed.admission.path_thresholds import (
     NO_THRESHOLD,
     VALIDITY_SECONDS,
     PathThreshold,
--- a/tests/daemon/lone_callee.py
+++ b/tests/daemon/lone_callee.py
@@ -3,7 +3,7 @@
 import random
 from unittest.mock import Mock
 
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.daemon.backend.events import BackendEvents
 from finchshed.daemon.draining import DrainState
 from finchshed.daemon.header_names import HeaderNames
--- a/tests/daemon/test_admitted_share.py
+++ b/tests/daemon/test_admitted_share.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from finchshed.admission.paths import PathThreshold, PathThresholds
+from finchshed.admission.path_thresholds import PathThreshold, PathThresholds
 from finchshed.admission.rank import POSITIONS, lowest_rank_of
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
--- a/tests/daemon/test_host_front.py
+++ b/tests/daemon/test_host_front.py
@@ -37,7 +37,7 @@
 def confirmed_lease() -> KeyLease:
     """Return a lease that control has renewed at this moment."""
     lease = KeyLease()
-    lease.on_answer(lease.next_question(clock.now()), 0)
+    lease.on_answer(lease.start_renewal(clock.now()), 0)
     return lease
 
 
--- a/tests/daemon/test_platform_hints.py
+++ b/tests/daemon/test_platform_hints.py
@@ -5,7 +5,7 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.daemon.calling.platform_hints import OwnListing, PlatformHints
 from finchshed.distribution.messages import Hints, LeavingHint
-from finchshed.routing.endpoint import DrainSign
+from finchshed.routing.endpoint import DrainSource
 from finchshed.routing.table import RoutingTable
 from tests.daemon.deployment import deployment
 from tests.daemon.scripted_backend import echo
@@ -30,7 +30,7 @@
 def is_marked(table: RoutingTable, name: str) -> bool:
     view = table.view(name)
     assert view is not None
-    return bool(view.drain_signs & DrainSign.PLATFORM)
+    return bool(view.drain_sources & DrainSource.PLATFORM)
 
 
 def test_a_hint_counts_for_a_machine_linked_before_it_can_have_been_listed() -> None:
--- a/tests/daemon/test_unconfirmed_daemon.py
+++ b/tests/daemon/test_unconfirmed_daemon.py
@@ -7,7 +7,7 @@
 
 from unittest.mock import Mock
 
-from finchshed.admission.paths import NO_THRESHOLD, PathThresholds
+from finchshed.admission.path_thresholds import NO_THRESHOLD, PathThresholds
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.common.outcomes import RefusalReason, Refused
--- a/tests/limit/test_concurrency.py
+++ b/tests/limit/test_concurrency.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from finchshed.common.results import CallResult
-from finchshed.limit.concurrency import DECREASE_FACTOR, ConcurrencyLimit, slots_to_use
+from finchshed.limit.concurrency import DECREASE_FACTOR, ConcurrencyLimit, usable_slots
 
 
 def answered(limit: ConcurrencyLimit, count: int, now: float = 0.0) -> None:
@@ -63,7 +63,7 @@
 
 
 def test_a_twentieth_of_the_slots_is_left_free_where_there_are_enough() -> None:
-    used = {slots: slots_to_use(slots) for slots in (1, 4, 11, 12, 14, 20, 31, 92, 183)}
+    used = {slots: usable_slots(slots) for slots in (1, 4, 11, 12, 14, 20, 31, 92, 183)}
     assert used == {1: 1, 4: 4, 11: 11, 12: 11, 14: 13, 20: 19, 31: 29, 92: 87, 183: 173}
 
 
--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -25,7 +25,7 @@
 from finchshed.emulator.processes import SimulatedProcesses
 from finchshed.ledger.ledger import Ledger
 from finchshed.ledger.results import Granted
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.endpoint import EndpointView
 from finchshed.session.table import SessionTable
 
@@ -47,11 +47,11 @@
 def retries_are_not_paid(patch: pytest.MonkeyPatch) -> None:
     """Let each hop retry as often as its deadline allows, also where it was refused before."""
 
-    def pay(self: CallerLogic, outcome: Any, now: float) -> bool:
+    def pay(self: CallStateMachine, outcome: Any, now: float) -> bool:
         self._tried.clear()
         return True
 
-    patch.setattr(CallerLogic, "_pay_for_another", pay)
+    patch.setattr(CallStateMachine, "_pay_for_another", pay)
 
 
 def importance_is_ignored(patch: pytest.MonkeyPatch) -> None:
@@ -114,13 +114,13 @@
 
 def the_last_attempt_speaks_for_all(patch: pytest.MonkeyPatch) -> None:
     """Tell a caller what the last attempt came to, whatever an earlier one did."""
-    finish = CallerLogic._finish
+    finish = CallStateMachine._finish
 
-    def forget(self: CallerLogic, outcome: Any) -> Any:
+    def forget(self: CallStateMachine, outcome: Any) -> Any:
         self._failed = None
         return finish(self, outcome)
 
-    patch.setattr(CallerLogic, "_finish", forget)
+    patch.setattr(CallStateMachine, "_finish", forget)
 
 
 def the_ledger_grants_again(patch: pytest.MonkeyPatch) -> None:
@@ -149,7 +149,7 @@
 
 def leaving_is_not_heeded(patch: pytest.MonkeyPatch) -> None:
     """Go on sending to an endpoint that said it leaves, and go on taking its calls."""
-    patch.setattr(EndpointView, "set_sign", lambda self, sign, is_leaving: None)
+    patch.setattr(EndpointView, "set_drain_source", lambda self, sign, is_leaving: None)
     patch.setattr(SimulatedCallee, "drain", lambda self: None)
 
 
--- a/tests/quarantine/crash_world.py
+++ b/tests/quarantine/crash_world.py
@@ -17,7 +17,7 @@
 from finchshed.quarantine.register import (
     LAST_OWN_RETRY_CRASHES,
     QUARANTINE_CRASHES,
-    Judgement,
+    Assessment,
     QuarantineRegister,
     Suspicion,
 )
@@ -137,13 +137,13 @@
         self._end(self.random.choice(self.backends))
         self.at(self.now + self.random.expovariate(self._kills_per_second), self._kill)
 
-    def _judge(self, daemon: Backend, signature: str) -> Judgement:
+    def _judge(self, daemon: Backend, signature: str) -> Assessment:
         if self.way is Way.NOTHING:
-            return Judgement(Suspicion.FREE)
-        judged = daemon.register.judge(signature, self.now)
+            return Assessment(Suspicion.FREE)
+        judged = daemon.register.assess(signature, self.now)
         if self.way is Way.COUNT:
             refused = judged.crashes >= QUARANTINE_CRASHES
-            return Judgement(Suspicion.QUARANTINED if refused else Suspicion.FREE, judged.crashes)
+            return Assessment(Suspicion.QUARANTINED if refused else Suspicion.FREE, judged.crashes)
         return judged
 
     def _ask(self, signature: str, attempt: int) -> None:
--- a/tests/quarantine/test_register.py
+++ b/tests/quarantine/test_register.py
@@ -16,7 +16,7 @@
 
 
 def suspicion(register: QuarantineRegister, signature: str, now: float = 10.0) -> Suspicion:
-    return register.judge(signature, now).suspicion
+    return register.assess(signature, now).suspicion
 
 
 def test_three_crashes_refuse_a_request_once_one_of_them_had_no_other_suspect() -> None:
@@ -26,10 +26,10 @@
     register.on_crash("i-2", ["cause", "new"], 2.0)
     assert suspicion(register, "new") is Suspicion.FREE  # the suspect explains the crash
     register.on_crash("i-3", ["cause", "other"], 3.0)
-    judged = register.judge("cause", 10.0)
+    judged = register.assess("cause", 10.0)
     assert judged.suspicion is Suspicion.QUARANTINED
     assert (judged.crashes, judged.seconds) == (3, QUARANTINE_SECONDS - 7.0)
-    assert register.judge("other", 10.0).crashes == 1
+    assert register.assess("other", 10.0).crashes == 1
 
 
 def test_two_that_shared_three_crashes_are_told_apart_by_a_run_alone() -> None:
@@ -54,7 +54,7 @@
     elsewhere.merge(told, 3.1)
     assert suspicion(elsewhere, "popular") is Suspicion.FREE
     elsewhere.on_crash("i-2", ["popular"], 4.0)
-    assert elsewhere.judge("popular", 5.0).crashes == 1
+    assert elsewhere.assess("popular", 5.0).crashes == 1
 
 
 def test_connections_that_break_in_two_batches_are_one_crash() -> None:
@@ -117,5 +117,5 @@
         register = QuarantineRegister()
         for record in told:
             register.merge((record,), 1.0)
-        ends.append([register.judge(f"s-{number}", 2.0) for number in range(2)])
+        ends.append([register.assess(f"s-{number}", 2.0) for number in range(2)])
     assert ends[0] == ends[1] == ends[2]
--- a/tests/retry/test_account.py
+++ b/tests/retry/test_account.py
@@ -15,16 +15,16 @@
     lent: list[int] = []
     for lend, claimed in steps:
         if lend:
-            lent.append(accounts.lend("a"))
+            lent.append(accounts.allocate("a"))
         elif lent:
-            accounts.give_back("a", lent.pop(), claimed)
+            accounts.refund("a", lent.pop(), claimed)
     assert 0 <= accounts.close("a") + sum(lent) <= given_spare
 
 
 def test_what_is_lent_at_close_is_lost() -> None:
     accounts = RetryAccounts()
     accounts.open("a", 3)
-    share = accounts.lend("a")
+    share = accounts.allocate("a")
     assert accounts.close("a") == 3 - share
-    accounts.give_back("a", share, share)
+    accounts.refund("a", share, share)
     assert len(accounts) == 0
--- a/tests/routing/test_caller.py
+++ b/tests/routing/test_caller.py
@@ -13,7 +13,7 @@
 )
 from finchshed.configuration.resources import Endpoint
 from finchshed.retry.bucket import RetryBucket
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.caller_effects import Finish, SendAttempt, SetTimer
 from finchshed.routing.table import RoutingTable
 
@@ -29,13 +29,17 @@
     )
 
 
-def caller(endpoints: int, spare: int, repeatable: bool = True, pinned: str = "") -> CallerLogic:
+def caller(
+    endpoints: int, spare: int, repeatable: bool = True, pinned: str = ""
+) -> CallStateMachine:
     rng = random.Random(3)
     table = RoutingTable("z", "r", rng)
     table.replace([endpoint(number) for number in range(endpoints)])
     context = CallContext("root", Importance.NORMAL, 1.0, spare_attempts=spare)
     bucket = RetryBucket(0.1, 0.0)
-    return CallerLogic(table, bucket, "s", context, repeatable=repeatable, rng=rng, pinned=pinned)
+    return CallStateMachine(
+        table, bucket, "s", context, repeatable=repeatable, rng=rng, pinned=pinned
+    )
 
 
 def test_answer_returns_what_was_not_spent() -> None:
@@ -43,7 +47,7 @@
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
     answer = Answered(200, (), b"")
-    assert logic.on_outcome(send.attempt, answer, send.lent_attempts, None, 0.1) == [
+    assert logic.on_outcome(send.attempt, answer, send.allocated_attempts, None, 0.1) == [
         Finish(answer, 3)
     ]
 
@@ -55,7 +59,7 @@
         assert isinstance(first, SendAttempt)
         assert first.endpoint.name == "e1"
         refused = Refused(reason, 1.0)
-        timer = logic.on_outcome(first.attempt, refused, first.lent_attempts, None, 0.1)[0]
+        timer = logic.on_outcome(first.attempt, refused, first.allocated_attempts, None, 0.1)[0]
         assert isinstance(timer, SetTimer)
         second = logic.on_timer(timer.at)[0]
         assert isinstance(second, SendAttempt)
@@ -67,13 +71,13 @@
     first = logic.begin(0.0)[0]
     assert isinstance(first, SendAttempt)
     refused = Refused(RefusalReason.QUEUE_FULL, 1.0)
-    timer = logic.on_outcome(first.attempt, refused, first.lent_attempts, None, 0.1)[0]
+    timer = logic.on_outcome(first.attempt, refused, first.allocated_attempts, None, 0.1)[0]
     assert isinstance(timer, SetTimer)
     second = logic.on_timer(timer.at)[0]
     assert isinstance(second, SendAttempt)
     assert second.endpoint != first.endpoint
     answer = Answered(200, (), b"")
-    assert logic.on_outcome(second.attempt, answer, second.lent_attempts, None, 0.2) == [
+    assert logic.on_outcome(second.attempt, answer, second.allocated_attempts, None, 0.2) == [
         Finish(answer, 2)
     ]
 
@@ -84,7 +88,7 @@
     assert isinstance(send, SendAttempt)
     failed = Failed(FailureReason.OUTCOME_UNKNOWN, 1.0)
     finish = logic.on_outcome(send.attempt, failed, 0, None, 0.1)
-    assert finish == [Finish(failed, 3 - send.lent_attempts)]
+    assert finish == [Finish(failed, 3 - send.allocated_attempts)]
 
 
 def test_request_that_may_have_run_is_not_repeated_unless_declared() -> None:
@@ -115,17 +119,17 @@
     second = logic.on_timer(timer.at)[0]
     assert isinstance(second, SendAttempt)
     refused = Refused(RefusalReason.OVERLOAD, 1.0)
-    finish = logic.on_outcome(second.attempt, refused, second.lent_attempts, None, 0.99)[-1]
+    finish = logic.on_outcome(second.attempt, refused, second.allocated_attempts, None, 0.99)[-1]
     assert isinstance(finish, Finish)
     assert isinstance(finish.outcome, Failed)
     assert finish.outcome.retry_after == 1.0
 
 
-def retried(logic: CallerLogic, first: Answered, now: float) -> SendAttempt:
+def retried(logic: CallStateMachine, first: Answered, now: float) -> SendAttempt:
     """Begin a call whose first attempt is answered by ``first``; return the second sending."""
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
-    timer = logic.on_outcome(send.attempt, first, send.lent_attempts, None, now)[0]
+    timer = logic.on_outcome(send.attempt, first, send.allocated_attempts, None, now)[0]
     assert isinstance(timer, SetTimer)
     second = logic.on_timer(timer.at)[0]
     assert isinstance(second, SendAttempt)
@@ -140,7 +144,7 @@
     logic = caller(2, 3)
     second = retried(logic, ERROR, 0.05)
     answer = Answered(200, (), b"")
-    assert logic.on_outcome(second.attempt, answer, second.lent_attempts, None, 0.2) == [
+    assert logic.on_outcome(second.attempt, answer, second.allocated_attempts, None, 0.2) == [
         Finish(answer, 2)
     ]
 
@@ -170,6 +174,6 @@
     for logic, answer, now in cases:
         send = logic.begin(0.0)[0]
         assert isinstance(send, SendAttempt)
-        effect = logic.on_outcome(send.attempt, answer, send.lent_attempts, None, now)[0]
+        effect = logic.on_outcome(send.attempt, answer, send.allocated_attempts, None, now)[0]
         assert isinstance(effect, Finish)
         assert effect.outcome == answer
--- a/tests/routing/test_service_floor.py
+++ b/tests/routing/test_service_floor.py
@@ -5,7 +5,7 @@
 import pytest
 
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import HOLD_SECONDS, VALIDITY_SECONDS, PathThreshold
+from finchshed.admission.path_thresholds import HOLD_SECONDS, VALIDITY_SECONDS, PathThreshold
 from finchshed.admission.rank import POSITIONS, admitted_fraction, faded_threshold, lowest_rank_of
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -12,7 +12,7 @@
 from finchshed.common.results import CallResult
 from finchshed.configuration.resources import WARM_UP_SECONDS, Endpoint, EndpointState
 from finchshed.routing.ejection import EJECT_AFTER_FAILURES
-from finchshed.routing.endpoint import LATENCY_MEMORY_SECONDS, DrainSign
+from finchshed.routing.endpoint import LATENCY_MEMORY_SECONDS, DrainSource
 from finchshed.routing.link_hold import LINK_RETRY_MAX_SECONDS
 from finchshed.routing.table import RoutingTable
 
@@ -73,7 +73,7 @@
 
 
 def drain_by_platform(table: RoutingTable, now: float) -> None:
-    table.set_drain_sign("e0", DrainSign.PLATFORM, True, now)
+    table.set_drain_source("e0", DrainSource.PLATFORM, True, now)
 
 
 def silence(table: RoutingTable, now: float) -> None:
@@ -93,9 +93,9 @@
 
 def test_one_sign_taken_back_does_not_undo_another() -> None:
     table = table_of(endpoint(0), endpoint(1))
-    table.set_drain_sign("e0", DrainSign.PLATFORM, True, 0.0)
+    table.set_drain_source("e0", DrainSource.PLATFORM, True, 0.0)
     table.mark_draining("e0", 0.0)
-    table.set_drain_sign("e0", DrainSign.PLATFORM, False, 1.0)
+    table.set_drain_source("e0", DrainSource.PLATFORM, False, 1.0)
     assert not choices(table, 1.0)["e0"]
     table.on_report("e0", LoadReport(), 2.0)
     assert choices(table, 2.0)["e0"]
@@ -232,7 +232,7 @@
     assert len(after) == 10
     assert after - before != set()
     assert before - after == {gone}
-    table.set_drain_sign(gone, DrainSign.REPORTED, False, 2.0)
+    table.set_drain_source(gone, DrainSource.REPORTED, False, 2.0)
     assert used(table, 2.0) == before
 
 
--- a/tests/routing/test_weights.py
+++ b/tests/routing/test_weights.py
@@ -6,12 +6,12 @@
 import pytest
 
 from finchshed.configuration.resources import Destination
-from finchshed.routing.weights import WeightedChoice
+from finchshed.routing.weighted_round_robin import WeightedRoundRobin
 
 
-def choice(seed: int = 1, **weights: float) -> WeightedChoice:
+def choice(seed: int = 1, **weights: float) -> WeightedRoundRobin:
     destinations = [Destination(name, weight) for name, weight in weights.items()]
-    return WeightedChoice(destinations, random.Random(seed))
+    return WeightedRoundRobin(destinations, random.Random(seed))
 
 
 @pytest.mark.parametrize("draws", [10, 33, 200])
--- a/tests/simulation/system.py
+++ b/tests/simulation/system.py
@@ -17,13 +17,13 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.caller_effects import (
     CallerEffect,
+    CancelAttempt,
     Finish,
     SendAttempt,
     SetTimer,
-    Withdraw,
 )
 from finchshed.routing.table import RoutingTable
 
@@ -115,7 +115,7 @@
         bucket = self.buckets.get(service)
         if bucket is None:
             bucket = self.buckets[service] = RetryBucket(0.1, self.system.env.now)
-        logic = CallerLogic(
+        logic = CallStateMachine(
             self.table, bucket, service, context, repeatable=repeatable, rng=self.rng
         )
         outgoing = OutgoingCall(self, logic, context, done)
@@ -127,7 +127,7 @@
     """Carries out the effects of one call."""
 
     def __init__(
-        self, caller: Caller, logic: CallerLogic, context: CallContext, done: CallDone
+        self, caller: Caller, logic: CallStateMachine, context: CallContext, done: CallDone
     ) -> None:
         self.caller = caller
         self.logic = logic
@@ -148,7 +148,7 @@
                 armed = self.timer
                 delay = max(0.0, effect.at - system.env.now)
                 system.after(delay, lambda armed=armed: self.fire(armed))  # type: ignore[misc]
-            elif isinstance(effect, Withdraw):
+            elif isinstance(effect, CancelAttempt):
                 daemon = system.daemons[effect.endpoint.name]
                 token = self.tokens[effect.attempt]
                 system.after(LINK_SECONDS, lambda d=daemon, t=token: d.cancel(t))  # type: ignore[misc]
@@ -167,7 +167,7 @@
             root=self.context.root,
             importance=self.context.importance,
             remaining_seconds=self.context.remaining_seconds - elapsed,
-            spare_attempts=effect.lent_attempts,
+            spare_attempts=effect.allocated_attempts,
             depth=self.context.depth + 1,
             caller=self.context.caller,
             session=self.context.session,
@@ -286,7 +286,7 @@
         account = str(job.token)
 
         def begin(service: str, repeats: int) -> None:
-            share = self.accounts.lend(account)
+            share = self.accounts.allocate(account)
             if self.accounts.is_repeat(account, service):
                 if share < 1:
                     self.end(job, Failed(FailureReason.BACKEND_BROKEN, 0.1))
@@ -305,7 +305,7 @@
             )
 
             def done(outcome: Outcome, spare: int) -> None:
-                self.accounts.give_back(account, share, spare)
+                self.accounts.refund(account, share, spare)
                 if job.over:
                     return
                 if result_of(outcome) is not CallResult.OK:
--- a/tests/tenancy/lease_world.py
+++ b/tests/tenancy/lease_world.py
@@ -14,7 +14,7 @@
 from finchshed.distribution.hub_effects import HubEffect, RequestConfirmation, SendLine
 from finchshed.distribution.messages import ControlToDaemon, Delta, LeaseRenewed, Subscribe
 from finchshed.distribution.snapshot import Configuration, apply_delta, is_applicable
-from finchshed.tenancy.gate import tenant_of
+from finchshed.tenancy.authentication import authenticate
 from finchshed.tenancy.keys import TenantKeys, digest_of_key
 from finchshed.tenancy.lease import RENEW_SECONDS, KeyLease
 from tests.event_clock import Clock
@@ -177,12 +177,12 @@
         held = self.configuration.revision
         if delta.revision > held and is_applicable(delta, held):
             self.configuration = apply_delta(self.configuration, delta)
-            self.lease.on_in_force(delta.revision)
+            self.lease.on_revision_applied(delta.revision)
 
     def ask(self) -> None:
         """Send a question for the lease."""
         if self.clock.now >= self.frozen_until and self.link is not None:
-            link, question = self.link, self.lease.next_question(self.clock.now)
+            link, question = self.link, self.lease.start_renewal(self.clock.now)
 
             def arrive() -> None:
                 link.node.perform(link.node.hub.on_question(link.number, question, self.clock.now))
@@ -202,7 +202,7 @@
 
     def _use(self, key: bytes, tenants: TenantKeys) -> None:
         now = self.clock.now
-        found = tenant_of({key}, tenants, self.lease, now, is_public=False)
+        found = authenticate({key}, tenants, self.lease, now, is_public=False)
         if not isinstance(found, Tenant):
             self.held_back += 1
             return
--- a/tests/tenancy/test_lease_in_a_failing_world.py
+++ b/tests/tenancy/test_lease_in_a_failing_world.py
@@ -32,10 +32,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The world has teeth: a lease counted from another moment lets a key live on."""
-    original = lease.KeyLease.next_question
+    original = lease.KeyLease.start_renewal
 
     def asked_later(self: lease.KeyLease, now: float) -> int:
         return original(self, now + 1.5)
 
-    monkeypatch.setattr(lease.KeyLease, "next_question", asked_later)
+    monkeypatch.setattr(lease.KeyLease, "start_renewal", asked_later)
     assert any(World(seed).run(30.0) for seed in range(100))
