--- a/src/finchshed/admission/__init__.py
+++ b/src/finchshed/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission beside a back end: rank, bounded priority queue, threshold that callers refuse by."""
+"""Admission control beside a back end: ranks, bounded priority queue, admission threshold."""
--- a/src/finchshed/admission/effects.py
+++ b/src/finchshed/admission/effects.py
@@ -1,4 +1,4 @@
-"""What a gate asks its caller to do. Carried out by ``daemon/serving/callee.py``."""
+"""Effects returned by the gate, carried out by ``daemon/serving/callee.py``."""
 
 from typing import TypeAlias
 
@@ -14,7 +14,7 @@
 
 
 class Refuse(msgspec.Struct, frozen=True, gc=False):
-    """Refuse the request: it has not run. ``retry_after`` is in seconds."""
+    """Refuse the request, which has not run. ``retry_after`` is in seconds."""
 
     token: int
     reason: RefusalReason
--- a/src/finchshed/admission/fairness.py
+++ b/src/finchshed/admission/fairness.py
@@ -1,14 +1,10 @@
-"""Positions of root requests within their class, so that no caller crowds out the others.
+"""Assigns root requests positions within their class so that no caller starves the others.
 
-The position is drawn where a root request enters and travels with it, so every hop decides alike.
-What a caller sends of a class up to the mean over the callers of the last second falls in the upper
-half of the positions; what exceeds it once in the next quarter, and so on; within its part a
-request falls by the hash of the root. A caller that sends many times more than the others, or
-repeats hard, finds the excess at the bottom, whatever the threshold is. The mean is that of one
-edge; a caller that spreads over several edges has it at each.
-
-Inputs: identity of the caller, importance, root and the time in seconds. Owns the counts of the
-last two periods. Used where requests name the service (``daemon/ingress/service_handler.py``).
+The position is assigned at the edge and travels with the request, so every hop makes the same
+decision. Requests up to the mean rate per caller get positions in the upper half, the next as many
+in the quarter below it, and so on; within such a range the position is the hash of the root. A
+caller that sends many times more than the others has its excess shed first, whatever the threshold.
+Rates are counted per edge, so a caller that uses several edges gets a share at each.
 """
 
 import msgspec
@@ -17,36 +13,35 @@
 from finchshed.common.importance import Importance
 
 PERIOD_SECONDS = 1.0
-"""Seconds over which a caller's requests are counted. Chosen, not measured."""
+"""Length of a counting period."""
 
 MAX_CALLERS = 65_536
-"""Callers counted at a time in a class; one not counted is treated as new. Some 84 bytes each
-(docs/design/routing.md); the bound is chosen, not measured."""
+"""Maximum number of callers counted per class; callers beyond it are treated as new."""
 
 
-class _Period(msgspec.Struct):
-    """Requests of one period, by caller."""
+class _PeriodCounts(msgspec.Struct):
+    """Number of requests in one period, by caller."""
 
     counts: dict[str, int] = msgspec.field(default_factory=dict)
     total: int = 0
 
     def mean(self) -> float:
-        """Return the mean over the callers, at least 1."""
+        """Return the mean number of requests per caller, at least 1."""
         return self.total / len(self.counts) if self.counts else 1.0
 
 
-class _Class(msgspec.Struct):
-    """Requests of one importance class: of this period and the one before."""
+class _ClassCounts(msgspec.Struct):
+    """Request counts of one importance class, for the current and the previous period."""
 
-    present: _Period = msgspec.field(default_factory=_Period)
-    last: _Period = msgspec.field(default_factory=_Period)
+    current: _PeriodCounts = msgspec.field(default_factory=_PeriodCounts)
+    previous: _PeriodCounts = msgspec.field(default_factory=_PeriodCounts)
 
 
 class FairPositions:
-    """Counts the recent requests of each caller and places its next one.
+    """Counts the recent requests of each caller and assigns positions to new ones.
 
-    A caller's recent requests are those of this period and the part of the last one that a sliding
-    period still covers.
+    Counts use a sliding window: the current period plus the part of the previous one that the
+    window still covers.
 
     Parameters
     ----------
@@ -56,40 +51,44 @@
 
     def __init__(self, now: float) -> None:
         self._period_start = now
-        self._classes = {importance: _Class() for importance in Importance}
+        self._classes = {importance: _ClassCounts() for importance in Importance}
 
     def __len__(self) -> int:
-        """Return the number of callers counted in this period, over the classes."""
-        return sum(len(held.present.counts) for held in self._classes.values())
+        """Return the number of callers counted in the current period, summed over the classes."""
+        return sum(len(held.current.counts) for held in self._classes.values())
 
     def assign_position(self, caller: str, importance: Importance, root: str, now: float) -> int:
-        """Return the position of a root request; one without a caller is placed by its hash."""
+        """Return the position of a root request; without a caller it is the hash of the root."""
         position = position_of(root)
         if not caller:
             return position
-        self._turn(now)
-        held = self._classes[importance]
-        halvings = int(self._count(held, caller, now) / held.last.mean())
+        self._rotate(now)
+        class_counts = self._classes[importance]
+        halvings = int(
+            self._count_request(class_counts, caller, now) / class_counts.previous.mean()
+        )
         if halvings >= POSITION_BITS:
             return 0
         upper = 1 << (POSITION_BITS - halvings - 1)
         return upper + (position >> (halvings + 1))
 
-    def _turn(self, now: float) -> None:
+    def _rotate(self, now: float) -> None:
         elapsed = now - self._period_start
         if elapsed < PERIOD_SECONDS:
             return
-        for held in self._classes.values():
-            held.last = held.present if elapsed < 2.0 * PERIOD_SECONDS else _Period()
-            held.present = _Period()
+        for class_counts in self._classes.values():
+            class_counts.previous = (
+                class_counts.current if elapsed < 2.0 * PERIOD_SECONDS else _PeriodCounts()
+            )
+            class_counts.current = _PeriodCounts()
         self._period_start = now
 
-    def _count(self, held: _Class, caller: str, now: float) -> float:
-        """Return the caller's recent requests, and count one more."""
+    def _count_request(self, class_counts: _ClassCounts, caller: str, now: float) -> float:
+        """Return the number of the caller's recent requests, and count one more."""
         covered = 1.0 - (now - self._period_start) / PERIOD_SECONDS
-        counts = held.present.counts
-        present = counts.get(caller, 0)
-        if present or len(counts) < MAX_CALLERS:
-            counts[caller] = present + 1
-            held.present.total += 1
-        return present + held.last.counts.get(caller, 0) * covered
+        counts = class_counts.current.counts
+        current = counts.get(caller, 0)
+        if current or len(counts) < MAX_CALLERS:
+            counts[caller] = current + 1
+            class_counts.current.total += 1
+        return current + class_counts.previous.counts.get(caller, 0) * covered
--- a/src/finchshed/admission/gate.py
+++ b/src/finchshed/admission/gate.py
@@ -1,14 +1,11 @@
-"""The gate beside one back end: what starts, what waits, what is refused.
+"""Admission control for one back end: starts, queues or refuses each request.
 
-Inputs: rank and seconds left of each request, the path threshold of its route (rank), the learnt
-concurrency limit (requests) and mean time at the back end (seconds), and a threshold by one of two
-rules. A request whose predicted finish lies past its deadline is refused at once, as is the lowest
-rank when the queue is full. No slot is left idle while a request waits, whatever the threshold
-says. Reasons given: ``overload``, ``queue_full``, ``deadline``.
+A request whose predicted finish lies past its deadline is refused immediately, and so is the lowest
+rank when the queue is full. While a slot is free, queued requests are started whatever the
+threshold. Refusal reasons: ``overload``, ``queue_full``, ``deadline``.
 
-Owns the requests that wait and run. Relies on its caller to pass the time as ``now``, monotonic
-seconds, to carry out the returned effects in order, and to call :meth:`Gate.tick` while anything
-waits.
+The caller passes the time as ``now`` in monotonic seconds, carries out the returned effects in
+order, and calls :meth:`Gate.tick` periodically while requests are queued.
 """
 
 import random
@@ -16,14 +13,14 @@
 
 import msgspec
 
-from finchshed.admission.demand import DemandThreshold
+from finchshed.admission.demand_threshold import DemandThreshold
 from finchshed.admission.effects import GateEffect, Refuse, Start
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.path_thresholds import NO_PATHS, PathThreshold
-from finchshed.admission.rank import rank_of, rank_once_admitted
-from finchshed.admission.threshold import AdmissionThreshold
+from finchshed.admission.path_thresholds import NO_PATH_THRESHOLDS, PathThreshold
+from finchshed.admission.queue_threshold import QueueThreshold
+from finchshed.admission.rank import rank_of, session_rank
+from finchshed.admission.request_queue import QueuedRequest, RequestQueue
 from finchshed.admission.threshold_rule import Threshold, ThresholdRule
-from finchshed.admission.waiting import Waiting, WaitingQueue
 from finchshed.common.context import CallContext
 from finchshed.common.moving_average import moving_average
 from finchshed.common.outcomes import RefusalReason
@@ -32,24 +29,21 @@
 from finchshed.retry.policy import retry_after
 
 QUEUE_PER_SLOT = 8
-"""Longest queue, requests for each declared slot. Chosen, not measured; a tick takes 0.08 us for
-each request that waits (docs/design/routing.md)."""
+"""Maximum queue length per declared slot."""
 
 RESERVE_DIVISOR = 4
-"""What waits below the threshold is kept up to the limit over this, so that no slot runs idle.
-Chosen, not measured alone; part of "queue shed" in docs/design/admission.md."""
+"""At least the concurrency limit divided by this stays queued when requests below the threshold are
+shed, so that no slot runs idle."""
 
-REFUSED_WEIGHT = 0.02
-"""Weight of one decision in the measured fraction of refusals: about the last 50 decisions.
-Chosen, not measured."""
+REFUSAL_WEIGHT = 0.02
+"""Weight of one decision in the measured fraction of refusals."""
 
-RETRY_AFTER_ADMITTED_LEAST = 0.02
-"""Admitted fraction that the time to come back is computed with at least: the overload told is 49
-at most. Chosen, not measured; it keeps a division by 0 away."""
+MIN_ADMITTED_FRACTION = 0.02
+"""Lower bound of the admitted fraction in the retry-after computation, to avoid division by 0."""
 
 
 class _Running(msgspec.Struct, gc=False):
-    """A started request. ``running`` counts those that ran then, itself included."""
+    """A started request. ``running`` is the concurrency at its start, itself included."""
 
     started: float
     rank: int
@@ -62,9 +56,9 @@
     Parameters
     ----------
     slots
-        Declared number of requests the back end runs at a time.
+        Declared number of requests the back end runs concurrently.
     rng
-        Spreads the times at which refused callers are to come back.
+        Source of the jitter in retry-after times.
     now
         Time of creation, seconds.
     threshold_rule
@@ -83,80 +77,84 @@
         self._rng = rng
         self._concurrency = ConcurrencyLimit(slots)
         self._rule = threshold_rule
-        self._threshold = _threshold_by(threshold_rule, now)
-        self._queue = WaitingQueue()
+        self._threshold = _create_threshold(threshold_rule, now)
+        self._queue = RequestQueue()
         self._running: dict[int, _Running] = {}
         self._order = 0
         self._refused_fraction = 0.0
 
     @property
     def running(self) -> int:
-        """Requests at the back end."""
+        """Number of requests at the back end."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Requests waiting."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def set_slots(self, slots: int) -> None:
-        """Act on a changed declaration."""
+        """Apply a changed number of declared slots."""
         self._slots = slots
         self._concurrency.set_slots(slots)
 
     def arrive(
         self, token: int, context: CallContext, now: float, path_threshold: float = 0.0
     ) -> list[GateEffect]:
-        """Admit, queue or refuse a new request. ``token`` is unique among those not finished.
+        """Start, queue or refuse a new request.
 
         Parameters
         ----------
+        token
+            Identifier of the request, unique among those that have not finished.
         path_threshold
-            Rank below which calls that the request makes would be refused.
+            Rank below which the downstream calls of the request would be refused.
         """
         rank = rank_of(context)
         if rank < path_threshold and not context.is_admitted:
-            return [self._count_refusal(token, RefusalReason.OVERLOAD)]
+            return [self._refuse(token, RefusalReason.OVERLOAD)]
         self._threshold.on_arrival(rank, context.admitted_fraction, context.announced_calls)
         if not self._queue and len(self._running) < self._concurrency.limit:
-            self._begin(token, rank, now)
+            self._record_start(token, rank, now)
             return [Start(token)]
         if rank < self._threshold.value and not context.is_admitted:
-            # A running session was admitted as a whole; its requests wait by their rank.
-            return [self._count_refusal(token, RefusalReason.OVERLOAD)]
-        return self._enqueue(self._waiting_for(token, rank, context, now), now)
+            # Requests of an admitted session are queued regardless of the threshold.
+            return [self._refuse(token, RefusalReason.OVERLOAD)]
+        return self._enqueue(self._queued_request(token, rank, context, now), now)
 
     def finish(self, token: int, result: CallResult, now: float) -> list[GateEffect]:
-        """Count the end of a started request and start what waits."""
+        """Record the end of a started request and start queued ones."""
         running = self._running.pop(token, None)
         if running is not None:
             seconds = now - running.started
             self._concurrency.on_result(result, seconds, now, running.running)
             if result is not CallResult.REFUSED:
                 self._threshold.on_finish(running.rank, seconds)
-        return self._fill(now)
+        return self._start_queued(now)
 
     def cancel(self, token: int, now: float) -> list[GateEffect]:
-        """Drop a request the caller gave up: one that waits is forgotten and gets no effect.
+        """Drop a request that its caller cancelled; a queued one gets no effect.
 
-        One that was started stays counted until :meth:`finish` says that the back end ended it.
+        A started one keeps its slot until :meth:`finish` reports that the back end ended it.
         """
         if self._queue.remove(token):
             self._threshold.on_queue(len(self._queue))
-        return self._fill(now)
+        return self._start_queued(now)
 
     def tick(self, now: float) -> list[GateEffect]:
-        """Refuse what can no longer finish in time, and update the threshold."""
-        effects = self._expire(now)
-        effects.extend(self._fill(now))
+        """Refuse requests that can no longer finish in time, and update the threshold."""
+        effects = self._refuse_late(now)
+        effects.extend(self._start_queued(now))
         self._update_threshold(now)
-        effects.extend(self._shed())
+        effects.extend(self._shed_below_threshold())
         return effects
 
-    def load_report(self, now: float, paths: Mapping[str, PathThreshold] = NO_PATHS) -> LoadReport:
-        """Update the threshold and return the load as callers are told it.
+    def load_report(
+        self, now: float, paths: Mapping[str, PathThreshold] = NO_PATH_THRESHOLDS
+    ) -> LoadReport:
+        """Update the threshold and return the load report for callers.
 
-        ``paths`` are the thresholds met further down, by route.
+        ``paths`` holds the thresholds of downstream calls, by route.
         """
         self._update_threshold(now)
         queued = len(self._queue)
@@ -168,73 +166,74 @@
             paths=paths,
         )
 
-    def _begin(self, token: int, rank: int, now: float) -> None:
-        self._refused_fraction = moving_average(self._refused_fraction, 0.0, REFUSED_WEIGHT)
+    def _record_start(self, token: int, rank: int, now: float) -> None:
+        self._refused_fraction = moving_average(self._refused_fraction, 0.0, REFUSAL_WEIGHT)
         self._running[token] = _Running(now, rank, len(self._running) + 1)
 
-    def _waiting_for(self, token: int, rank: int, context: CallContext, now: float) -> Waiting:
-        """Return the place in the queue of a request that the threshold admits.
+    def _queued_request(
+        self, token: int, rank: int, context: CallContext, now: float
+    ) -> QueuedRequest:
+        """Return the queue entry of an admitted request.
 
-        With a threshold by demand it admits the same part of each kind of request, so what it let
-        through waits alike: a request that comes here first isn't put behind the calls of its
-        class, which the threshold let through further up.
+        With the demand rule, root requests and calls of one class have passed the same threshold,
+        so root requests aren't queued behind calls.
         """
         self._order += 1
         is_by_demand = self._rule is ThresholdRule.BY_DEMAND
-        return Waiting(
-            rank=rank_once_admitted(rank) if is_by_demand else rank,
+        return QueuedRequest(
+            rank=session_rank(rank) if is_by_demand else rank,
             admission_rank=rank,
             order=self._order,
             token=token,
             deadline=now + context.remaining_seconds,
-            may_be_shed=not context.is_admitted,
+            is_sheddable=not context.is_admitted,
         )
 
-    def _enqueue(self, waiting: Waiting, now: float) -> list[GateEffect]:
-        wait = (self._queue.count_ahead(waiting) + 1) * self._seconds_per_finish()
-        if now + wait + self._concurrency.mean_latency > waiting.deadline:
-            return [self._count_refusal(waiting.token, RefusalReason.DEADLINE)]
+    def _enqueue(self, request: QueuedRequest, now: float) -> list[GateEffect]:
+        wait = (self._queue.count_ahead(request) + 1) * self._seconds_per_finish()
+        if now + wait + self._concurrency.mean_latency > request.deadline:
+            return [self._refuse(request.token, RefusalReason.DEADLINE)]
         effects: list[GateEffect] = []
         if len(self._queue) >= self._slots * QUEUE_PER_SLOT:
-            dropped = self._queue.make_room_for(waiting)
+            dropped = self._queue.evict_for(request)
             if dropped is None:
-                return [self._count_refusal(waiting.token, RefusalReason.QUEUE_FULL)]
-            effects.append(self._count_refusal(dropped.token, RefusalReason.QUEUE_FULL))
-        self._queue.add(waiting)
-        effects.extend(self._fill(now))
+                return [self._refuse(request.token, RefusalReason.QUEUE_FULL)]
+            effects.append(self._refuse(dropped.token, RefusalReason.QUEUE_FULL))
+        self._queue.add(request)
+        effects.extend(self._start_queued(now))
         return effects
 
-    def _fill(self, now: float) -> list[GateEffect]:
-        """Start what waits while a slot is free."""
+    def _start_queued(self, now: float) -> list[GateEffect]:
+        """Start queued requests while a slot is free."""
         effects: list[GateEffect] = []
         limit = self._concurrency.limit
         while self._queue and len(self._running) < limit:
-            waiting = self._queue.pop_highest()
-            if now + self._concurrency.mean_latency > waiting.deadline:
-                effects.append(self._count_refusal(waiting.token, RefusalReason.DEADLINE))
+            request = self._queue.pop_highest()
+            if now + self._concurrency.mean_latency > request.deadline:
+                effects.append(self._refuse(request.token, RefusalReason.DEADLINE))
                 continue
-            self._begin(waiting.token, waiting.rank, now)
-            effects.append(Start(waiting.token))
+            self._record_start(request.token, request.rank, now)
+            effects.append(Start(request.token))
         self._threshold.on_queue(len(self._queue))
         return effects
 
-    def _expire(self, now: float) -> list[GateEffect]:
-        """Refuse what can't finish in time, by the number of requests ahead of it."""
+    def _refuse_late(self, now: float) -> list[GateEffect]:
+        """Refuse requests that can't finish in time, given the number ahead of them."""
         finish = now + self._concurrency.mean_latency
-        late = self._queue.take_out_late(finish, self._seconds_per_finish())
+        late = self._queue.remove_late(finish, self._seconds_per_finish())
         if late:
             self._threshold.on_queue(len(self._queue))
-        return [self._count_refusal(item.token, RefusalReason.DEADLINE) for item in late]
+        return [self._refuse(item.token, RefusalReason.DEADLINE) for item in late]
 
-    def _shed(self) -> list[GateEffect]:
-        """Refuse what waits below the threshold, but keep enough to fill the slots."""
-        may_drop = len(self._queue) - max(1, self._concurrency.limit // RESERVE_DIVISOR)
+    def _shed_below_threshold(self) -> list[GateEffect]:
+        """Refuse queued requests below the threshold, but keep enough to fill the slots."""
+        droppable = len(self._queue) - max(1, self._concurrency.limit // RESERVE_DIVISOR)
         threshold = self._threshold.value
-        if may_drop <= 0 or not threshold:
+        if droppable <= 0 or not threshold:
             return []
-        below = self._queue.take_out_below(threshold, may_drop)
+        below = self._queue.remove_below(threshold, droppable)
         self._threshold.on_queue(len(self._queue))
-        return [self._count_refusal(item.token, RefusalReason.OVERLOAD) for item in below]
+        return [self._refuse(item.token, RefusalReason.OVERLOAD) for item in below]
 
     def _seconds_per_finish(self) -> float:
         return self._concurrency.mean_latency / self._concurrency.limit
@@ -250,15 +249,15 @@
             mean_seconds=self._concurrency.mean_latency,
         )
 
-    def _count_refusal(self, token: int, reason: RefusalReason) -> Refuse:
-        """Count a refusal, and return it with the time to come back by the overload since."""
-        self._refused_fraction = moving_average(self._refused_fraction, 1.0, REFUSED_WEIGHT)
-        admitted = max(RETRY_AFTER_ADMITTED_LEAST, 1.0 - self._refused_fraction)
+    def _refuse(self, token: int, reason: RefusalReason) -> Refuse:
+        """Record a refusal and return it, with a retry-after time that grows with the overload."""
+        self._refused_fraction = moving_average(self._refused_fraction, 1.0, REFUSAL_WEIGHT)
+        admitted = max(MIN_ADMITTED_FRACTION, 1.0 - self._refused_fraction)
         overload = self._refused_fraction / admitted
         return Refuse(token, reason, retry_after(overload, self._rng))
 
 
-def _threshold_by(rule: ThresholdRule, now: float) -> Threshold:
+def _create_threshold(rule: ThresholdRule, now: float) -> Threshold:
     if rule is ThresholdRule.BY_DEMAND:
         return DemandThreshold(now)
-    return AdmissionThreshold(now)
+    return QueueThreshold(now)
--- a/src/finchshed/admission/load_report.py
+++ b/src/finchshed/admission/load_report.py
@@ -1,6 +1,6 @@
-"""What the daemon beside a back end tells its callers of its load: what they choose and refuse by.
+"""Load report that a daemon sends to its callers with each answer and each heartbeat.
 
-Owned by the gate, which makes it; sent on links with each answer and each heartbeat.
+Callers use it to choose an endpoint and to refuse requests early.
 """
 
 from collections.abc import Mapping
@@ -11,21 +11,23 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the daemon beside a back end tells its callers on each answer.
+    """Load of one back end, as reported to callers.
 
     Attributes
     ----------
     threshold
-        Admission threshold: requests of a lower admission rank are refused at present. See
-        :mod:`finchshed.admission`.
+        Admission threshold: requests of a lower rank are currently refused. See
+        :mod:`finchshed.admission.gate`.
     queue_delay
         Recent queueing delay, seconds.
     in_flight
-        Requests running or queued.
+        Number of requests running or queued.
     limit
-        Concurrency limit in force.
+        Current concurrency limit.
+    draining
+        Whether the back end accepts no new work.
     paths
-        Thresholds that requests meet further down, by the route's prefix. See
+        Thresholds of downstream calls, by route prefix. See
         :mod:`finchshed.admission.path_thresholds`.
     """
 
--- a/src/finchshed/admission/rank.py
+++ b/src/finchshed/admission/rank.py
@@ -1,12 +1,12 @@
-"""Admission rank of a request: one integer that orders requests by how late they are shed.
+"""Admission rank of a request: an integer; requests of a lower rank are shed first.
 
 The rank holds, from its highest bits down, the importance class, whether the request belongs to a
 running session, and a position that is the same on every hop of one root request. The position
-follows DAGOR (Zhou et al., *Overload Control for Scaling WeChat Microservices*, SoCC 2018), where
-a hash keeps the hops of one request from deciding differently.
+is a hash, as in DAGOR (Zhou et al., *Overload Control for Scaling WeChat Microservices*, SoCC
+2018), so that all hops of a request make the same decision.
 
-Pure functions of the call's context; thresholds are ranks too. What is refused by a rank is decided
-in :mod:`finchshed.admission.gate` and :mod:`finchshed.routing.table`.
+Thresholds are ranks too. They are applied in :mod:`finchshed.admission.gate` and
+:mod:`finchshed.routing.table`.
 """
 
 import msgspec
@@ -16,13 +16,13 @@
 from finchshed.common.importance import Importance
 
 POSITION_BITS = 16
-"""Bits of the position within a class. Chosen, not measured."""
+"""Bits of the position within a class."""
 
 POSITIONS = 1 << POSITION_BITS
 """Number of positions within a class."""
 
 RANKS = len(Importance) * 2 * POSITIONS
-"""Number of ranks; a threshold of ``RANKS`` would admit nothing."""
+"""Number of ranks; a threshold of this value would admit nothing."""
 
 _CLASSES = tuple(Importance)
 _HIGHEST = max(Importance)
@@ -31,15 +31,15 @@
 
 
 def position_of(root: str) -> int:
-    """Return the position of a root request among ``POSITIONS``, from its identity."""
+    """Return the position of a root request, 0 to ``POSITIONS - 1``, by hashing its identity."""
     return xxhash.xxh32_intdigest(root.encode()) & (POSITIONS - 1)
 
 
 def position_within_class(route: Importance, position: int) -> int:
-    """Return the position of a request whose class is its caller's and not its route's.
+    """Return the position of a request that takes its class from its caller.
 
-    Within the caller's class requests are shed by the importance of their routes, and of those
-    equal in that by their own position.
+    Within that class, requests are shed by the importance of their routes first and by their own
+    position second.
     """
     return (int(route) * POSITIONS + position) // len(Importance)
 
@@ -53,8 +53,8 @@
     return rank | _SESSION_BIT if context.is_admitted else rank
 
 
-def rank_once_admitted(rank: int) -> int:
-    """Return the rank among what was admitted as a whole, at the same position."""
+def session_rank(rank: int) -> int:
+    """Return the rank that a request of an admitted session has at the same position."""
     return rank | _SESSION_BIT
 
 
@@ -68,25 +68,25 @@
     return _CLASSES[min(rank >> _IMPORTANCE_SHIFT, _HIGHEST)]
 
 
-def cut_of(rank: float) -> float:
-    """Return where a threshold cuts the classes: its class, and the fraction of that below it."""
+def cutoff_of(rank: float) -> float:
+    """Return a threshold as a class number plus the fraction of that class below it."""
     importance = min(int(rank) >> _IMPORTANCE_SHIFT, _HIGHEST)
     position = rank - (importance << _IMPORTANCE_SHIFT)
     return importance + min(1.0, position / POSITIONS)
 
 
-def rank_of_cut(cut: float) -> int:
-    """Return the threshold for a cut between 0 and the number of classes."""
-    importance = min(int(cut), _HIGHEST)
-    position = min(POSITIONS - 1, int((cut - importance) * POSITIONS))
+def rank_of_cutoff(cutoff: float) -> int:
+    """Return the threshold for a cutoff, 0 to the number of classes; see :func:`cutoff_of`."""
+    importance = min(int(cutoff), _HIGHEST)
+    position = min(POSITIONS - 1, int((cutoff - importance) * POSITIONS))
     return (importance << _IMPORTANCE_SHIFT) | position
 
 
-def faded_threshold(threshold: int, kept_fraction: float) -> float:
-    """Return what is left of a threshold of which ``kept_fraction`` still counts; nothing at 0.
+def decayed_threshold(threshold: int, kept_fraction: float) -> float:
+    """Return a threshold scaled down to ``kept_fraction`` within its class, or 0 at fraction 0.
 
-    It fades within its class. Faded as a number it would sink below the class at once, and let all
-    of the class through while most of the threshold still counts.
+    Scaling the plain number would move the threshold below its class immediately and admit the
+    whole class while most of the threshold still applies.
     """
     if kept_fraction <= 0.0:
         return 0.0
@@ -95,15 +95,15 @@
 
 
 def admitted_fraction(importance: Importance, threshold: float) -> float:
-    """Return the fraction of a class whose ranks are not below ``threshold``."""
-    return min(1.0, max(0.0, importance + 1.0 - cut_of(threshold)))
+    """Return the fraction of a class that ``threshold`` admits."""
+    return min(1.0, max(0.0, importance + 1.0 - cutoff_of(threshold)))
 
 
 def with_admitted_fraction(context: CallContext, threshold: float) -> CallContext:
-    """Return the context of a request that was let through at ``threshold``.
+    """Return the context of a request that was admitted at ``threshold``.
 
-    Where several daemons on the way refuse by thresholds of different age, the highest one decided
-    which fraction of the class came through: calls further down are weighed by it.
+    If several daemons on the path refuse by thresholds of different age, the highest one determines
+    the admitted fraction, by which downstream calls are weighted.
     """
     if context.is_admitted:
         return context
--- /dev/null
+++ b/src/finchshed/admission/request_queue.py
@@ -0,0 +1,137 @@
+"""Priority queue of the requests that wait for a slot at one back end.
+
+Requests of equal rank are ordered by arrival. The queue selects which requests to remove; the gate
+decides when, and refuses the removed ones.
+"""
+
+from bisect import bisect_left, insort
+
+import msgspec
+
+
+class QueuedRequest(msgspec.Struct, gc=False):
+    """A request in the queue.
+
+    Attributes
+    ----------
+    rank
+        Rank by which the queue is ordered.
+    admission_rank
+        Rank that is compared with the admission threshold.
+    order
+        Sequence number of the arrival.
+    deadline
+        Monotonic seconds.
+    is_sheddable
+        False for requests of a session or call tree that was already admitted.
+    """
+
+    rank: int
+    admission_rank: int
+    order: int
+    token: int
+    deadline: float
+    is_sheddable: bool
+
+
+class RequestQueue:
+    """Queued requests, highest rank first."""
+
+    def __init__(self) -> None:
+        self._entries: list[tuple[int, int, QueuedRequest]] = []
+        self._by_token: dict[int, QueuedRequest] = {}
+
+    def __len__(self) -> int:
+        """Return the number of queued requests."""
+        return len(self._entries)
+
+    def count_ahead(self, request: QueuedRequest) -> int:
+        """Return the number of requests that would start before ``request``."""
+        return len(self._entries) - bisect_left(self._entries, _entry_of(request))
+
+    def add(self, request: QueuedRequest) -> None:
+        """Insert a request."""
+        insort(self._entries, _entry_of(request))
+        self._by_token[request.token] = request
+
+    def pop_highest(self) -> QueuedRequest:
+        """Remove and return the request to start next."""
+        request = self._entries.pop()[2]
+        del self._by_token[request.token]
+        return request
+
+    def remove(self, token: int) -> bool:
+        """Remove one request; return whether it was queued."""
+        request = self._by_token.pop(token, None)
+        if request is None:
+            return False
+        self._entries.pop(bisect_left(self._entries, (request.rank, -request.order)))
+        return True
+
+    def evict_for(self, arrived: QueuedRequest) -> QueuedRequest | None:
+        """Remove and return the request that a full queue drops in favour of ``arrived``.
+
+        The victim is the sheddable request of the lowest rank; any request that isn't sheddable
+        displaces it. If none is sheddable, the victim is the lowest rank. Returns None if
+        ``arrived`` itself has to be dropped.
+        """
+        index = self._eviction_index(arrived)
+        if index is None:
+            return None
+        request = self._entries.pop(index)[2]
+        del self._by_token[request.token]
+        return request
+
+    def remove_late(self, finish: float, per_finish: float) -> list[QueuedRequest]:
+        """Remove the requests that can't finish before their deadline, highest rank first.
+
+        Parameters
+        ----------
+        finish
+            When a request started now would finish, monotonic seconds.
+        per_finish
+            Mean seconds between two finishes; each request that stays ahead adds one of them.
+        """
+        kept: list[tuple[int, int, QueuedRequest]] = []
+        late: list[QueuedRequest] = []
+        for entry in reversed(self._entries):
+            if finish + (len(kept) + 1) * per_finish > entry[2].deadline:
+                late.append(entry[2])
+            else:
+                kept.append(entry)
+        kept.reverse()
+        self._replace_entries(kept, late)
+        return late
+
+    def remove_below(self, threshold: int, at_most: int) -> list[QueuedRequest]:
+        """Remove sheddable requests below ``threshold``, lowest rank first."""
+        kept: list[tuple[int, int, QueuedRequest]] = []
+        below: list[QueuedRequest] = []
+        for entry in self._entries:
+            request = entry[2]
+            is_shed = request.is_sheddable and request.admission_rank < threshold
+            if len(below) < at_most and is_shed:
+                below.append(request)
+            else:
+                kept.append(entry)
+        self._replace_entries(kept, below)
+        return below
+
+    def _eviction_index(self, arrived: QueuedRequest) -> int | None:
+        for index, entry in enumerate(self._entries):
+            if entry[2].is_sheddable:
+                is_evicted = not arrived.is_sheddable or entry[0] < arrived.rank
+                return index if is_evicted else None
+        return 0 if self._entries[0][0] < arrived.rank else None
+
+    def _replace_entries(
+        self, kept: list[tuple[int, int, QueuedRequest]], removed: list[QueuedRequest]
+    ) -> None:
+        if removed:
+            self._entries = kept
+        for request in removed:
+            del self._by_token[request.token]
+
+
+def _entry_of(request: QueuedRequest) -> tuple[int, int, QueuedRequest]:
+    return request.rank, -request.order, request
--- a/src/finchshed/admission/threshold_rule.py
+++ b/src/finchshed/admission/threshold_rule.py
@@ -1,6 +1,7 @@
-"""What a gate needs of a rule that sets its threshold, and the names of the two rules.
+"""Interface of the rules that compute the admission threshold of a gate.
 
-The rules themselves are :mod:`finchshed.admission.demand` and :mod:`finchshed.admission.threshold`.
+Implemented by :mod:`finchshed.admission.demand_threshold` and
+:mod:`finchshed.admission.queue_threshold`.
 """
 
 import enum
@@ -8,21 +9,21 @@
 
 
 class ThresholdRule(enum.Enum):
-    """What sets the threshold of a gate."""
+    """Rule by which a gate computes its threshold."""
 
     BY_QUEUE = "by_queue"
-    """The standing queue and the ranks that arrive (:mod:`finchshed.admission.threshold`)."""
+    """By the standing queue and the arriving ranks (:mod:`finchshed.admission.queue_threshold`)."""
 
     BY_DEMAND = "by_demand"
-    """The estimated demand of each class (:mod:`finchshed.admission.demand`)."""
+    """By the estimated demand of each class (:mod:`finchshed.admission.demand_threshold`)."""
 
 
 class Threshold(Protocol):
-    """What a gate refuses by; it is notified of what passes through the gate."""
+    """Admission threshold of a gate, updated by the events of the gate."""
 
     @property
     def value(self) -> int:
-        """Ranks below this one are refused at present."""
+        """Requests of a lower rank are currently refused."""
 
     def on_arrival(self, rank: int, admitted_fraction: float, calls: float) -> None:
         """Count a request that reached the gate.
@@ -32,24 +33,24 @@
         admitted_fraction
             Fraction of its class that was admitted when its root request was.
         calls
-            Calls that it stands for (``announced_calls`` of its context).
+            Number of calls it stands for (``announced_calls`` of its context).
         """
 
     def on_finish(self, rank: int, seconds: float) -> None:
-        """Count the time that one request took at the back end."""
+        """Record the time one request took at the back end."""
 
     def on_queue(self, queued: int) -> None:
-        """Note the length of the queue after a change."""
+        """Record the length of the queue after a change."""
 
     def step(
         self, now: float, *, running: int, queued: int, limit: int, mean_seconds: float
     ) -> None:
-        """Compute the threshold anew, if a step is due.
+        """Recompute the threshold, if a step is due.
 
         Parameters
         ----------
         limit
-            Requests that the back end runs at a time.
+            Number of requests the back end runs concurrently.
         mean_seconds
             Mean time of a request at the back end, above 0.
         """
--- a/src/finchshed/limit/__init__.py
+++ b/src/finchshed/limit/__init__.py
@@ -1,1 +1,1 @@
-"""Concurrency limit learnt from measured latency."""
+"""Concurrency limit derived from refusals and measured latency."""
--- a/src/finchshed/routing/endpoint.py
+++ b/src/finchshed/routing/endpoint.py
@@ -10,7 +10,7 @@
 import math
 
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.path_thresholds import NO_THRESHOLD, PathThreshold, freshness
+from finchshed.admission.path_thresholds import NO_THRESHOLD, PathThreshold, remaining_weight
 from finchshed.admission.rank import RANKS
 from finchshed.common.moving_average import moving_average
 from finchshed.common.results import CallResult
@@ -232,7 +232,7 @@
         return min(self._report.limit or slots, slots) * self.weight(now)
 
     def _freshness(self, now: float) -> float:
-        return freshness(now - self._report_at)
+        return remaining_weight(now - self._report_at)
 
     def _penalty_now(self, now: float) -> float:
         if self._penalty == 0.0:
--- a/src/finchshed/routing/pool.py
+++ b/src/finchshed/routing/pool.py
@@ -14,8 +14,12 @@
 import msgspec
 import xxhash
 
-from finchshed.admission.path_thresholds import HOLD_MILLISECONDS, NO_THRESHOLD, PathThreshold
-from finchshed.admission.rank import cut_of, rank_of_cut
+from finchshed.admission.path_thresholds import (
+    DECAY_START_MILLISECONDS,
+    NO_THRESHOLD,
+    PathThreshold,
+)
+from finchshed.admission.rank import cutoff_of, rank_of_cutoff
 from finchshed.common.importance import Importance
 from finchshed.common.moving_average import moving_average
 from finchshed.common.results import CallResult
@@ -192,7 +196,7 @@
                 continue
             reported += 1
             threshold = view.path_threshold(route, now)
-            cut = cut_of(threshold.value)
+            cut = cutoff_of(threshold.value)
             if cut > least:
                 cutting += 1
                 ages += threshold.age_ms
@@ -200,8 +204,8 @@
         if not cutting or reported < views * REPORTED_FRACTION_LEAST:
             return NO_THRESHOLD
         # What has faded here already must not fade once more for its age on the way.
-        age_ms = min(ages // cutting, HOLD_MILLISECONDS)
-        return PathThreshold(rank_of_cut(cuts / reported), age_ms)
+        age_ms = min(ages // cutting, DECAY_START_MILLISECONDS)
+        return PathThreshold(rank_of_cutoff(cuts / reported), age_ms)
 
     def ejected(self, now: float) -> int:
         """Return the number of endpoints ejected at present."""
--- a/tests/admission/test_demand.py
+++ b/tests/admission/test_demand.py
@@ -1,10 +1,10 @@
-"""The admission threshold from estimated demand, against a back end that feels it late."""
+"""Demand-based admission threshold, with a delay between admission and arrival."""
 
 import heapq
 import random
 from dataclasses import dataclass, field
 
-from finchshed.admission.demand import DemandThreshold
+from finchshed.admission.demand_threshold import DemandThreshold
 from finchshed.admission.rank import POSITIONS, admitted_fraction, lowest_rank_of
 from finchshed.common.importance import Importance
 
@@ -15,8 +15,8 @@
 
 
 @dataclass
-class LateBackend:
-    """Calls reach it ``delay`` seconds after their requests were admitted by its threshold."""
+class DelayedBackend:
+    """A back end that calls reach ``delay`` seconds after its threshold admitted their requests."""
 
     delay: float
     threshold: DemandThreshold = field(default_factory=lambda: DemandThreshold(0.0))
@@ -24,7 +24,7 @@
     admitted: dict[Importance, int] = field(default_factory=dict)
     longest_queue: int = 0
     _rng: random.Random = field(default_factory=lambda: random.Random(5))
-    _under_way: list[tuple[float, int, float]] = field(default_factory=list)
+    _in_transit: list[tuple[float, int, float]] = field(default_factory=list)
     _running: list[tuple[float, int]] = field(default_factory=list)
     _queue: list[int] = field(default_factory=list)
 
@@ -43,13 +43,13 @@
             rank = lowest_rank_of(importance) + self._rng.randrange(POSITIONS)
             if rank >= self.threshold.value:
                 self.admitted[importance] += 1
-                share = admitted_fraction(importance, self.threshold.value)
-                heapq.heappush(self._under_way, (self.now + self.delay, rank, share))
+                fraction = admitted_fraction(importance, self.threshold.value)
+                heapq.heappush(self._in_transit, (self.now + self.delay, rank, fraction))
 
     def _serve(self) -> None:
-        while self._under_way and self._under_way[0][0] <= self.now:
-            _, rank, share = heapq.heappop(self._under_way)
-            self.threshold.on_arrival(rank, share)
+        while self._in_transit and self._in_transit[0][0] <= self.now:
+            _, rank, fraction = heapq.heappop(self._in_transit)
+            self.threshold.on_arrival(rank, fraction)
             self._queue.append(rank)
         while self._running and self._running[0][0] <= self.now + STEP_SECONDS / 2:
             self.threshold.on_finish(heapq.heappop(self._running)[1], WORK_SECONDS)
@@ -66,15 +66,15 @@
         )
 
 
-def test_without_overload_nothing_is_refused() -> None:
-    backend = LateBackend(delay=0.3)
+def test_nothing_is_refused_without_overload() -> None:
+    backend = DelayedBackend(delay=0.3)
     backend.run(20.0, {Importance.NORMAL: 0.75 * CAPACITY})
     assert backend.threshold.value == 0
 
 
-def test_the_slots_stay_full_and_the_queue_short_though_the_threshold_is_felt_late() -> None:
+def test_delay_neither_leaves_slots_idle_nor_grows_the_queue() -> None:
     for delay in (0.0, 0.3, 0.6):
-        backend = LateBackend(delay)
+        backend = DelayedBackend(delay)
         backend.run(8.0, {Importance.NORMAL: 2.0 * CAPACITY})
         backend.run(10.0, {Importance.NORMAL: 2.0 * CAPACITY})
         served = backend.admitted[Importance.NORMAL] / 10.0
@@ -82,31 +82,31 @@
         assert backend.longest_queue < 0.4 * CAPACITY, delay
 
 
-def test_the_least_important_class_gives_way() -> None:
+def test_least_important_class_is_shed_first() -> None:
     load = {
         Importance.CRITICAL: 0.3 * CAPACITY,
         Importance.HIGH: 0.3 * CAPACITY,
         Importance.NORMAL: 1.2 * CAPACITY,
     }
-    backend = LateBackend(delay=0.3)
+    backend = DelayedBackend(delay=0.3)
     backend.run(4.0, load)
     backend.run(10.0, load)
     assert backend.admitted[Importance.CRITICAL] >= 0.999 * 3.0 * CAPACITY
     assert backend.admitted[Importance.HIGH] >= 0.97 * 3.0 * CAPACITY
-    share = backend.admitted[Importance.NORMAL] / (12.0 * CAPACITY)
-    assert 0.15 < share < 0.35
+    fraction = backend.admitted[Importance.NORMAL] / (12.0 * CAPACITY)
+    assert 0.15 < fraction < 0.35
 
 
-def test_all_is_admitted_again_within_seconds_of_the_end_of_a_surge() -> None:
-    backend = LateBackend(delay=0.3)
+def test_everything_is_admitted_within_seconds_after_a_surge() -> None:
+    backend = DelayedBackend(delay=0.3)
     backend.run(10.0, {Importance.NORMAL: 2.0 * CAPACITY})
     backend.run(3.0, {Importance.NORMAL: 0.6 * CAPACITY})
     backend.run(2.0, {Importance.NORMAL: 0.6 * CAPACITY})
     assert backend.admitted[Importance.NORMAL] >= 0.95 * 1.2 * CAPACITY
 
 
-def test_the_demand_of_a_class_is_told_whatever_part_of_it_is_admitted() -> None:
-    backend = LateBackend(delay=0.3)
+def test_demand_estimate_does_not_depend_on_the_admitted_fraction() -> None:
+    backend = DelayedBackend(delay=0.3)
     backend.run(12.0, {Importance.NORMAL: 2.0 * CAPACITY})
     demand = backend.threshold.demand_of(Importance.NORMAL)
     assert 1.6 * SLOTS < demand < 2.4 * SLOTS
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -1,4 +1,4 @@
-"""Fair shares for the callers of one class."""
+"""Fair distribution of capacity among the callers of one class."""
 
 import heapq
 import random
@@ -27,7 +27,7 @@
         assert 0 <= fair.assign_position(caller, Importance.NORMAL, f"r{number}", now) < POSITIONS
 
 
-def test_what_exceeds_the_usual_share_stands_below_the_rest() -> None:
+def test_excess_of_a_caller_gets_lower_positions() -> None:
     fair = FairPositions(0.0)
     for number in range(40):
         fair.assign_position(f"c{number % 20}", Importance.NORMAL, f"r{number}", 0.02 * number)
@@ -45,18 +45,18 @@
     assert fair.assign_position("greedy", Importance.NORMAL, "after a pause", 4.0) >= POSITIONS // 2
 
 
-def test_number_of_callers_counted_is_bounded() -> None:
+def test_number_of_tracked_callers_is_bounded() -> None:
     fair = FairPositions(0.0)
     for number in range(MAX_CALLERS + 10):
         fair.assign_position(f"c{number}", Importance.NORMAL, "r", 0.0)
     assert len(fair) == MAX_CALLERS
 
 
-def answered_shares(*, fair: bool) -> tuple[float, float]:
-    """Return the share served of one greedy caller's requests and of twenty modest callers'.
+def served_fractions(*, fair: bool) -> tuple[float, float]:
+    """Return the served fractions of one greedy caller's requests and of twenty modest callers'.
 
-    The greedy one sends fifty requests for each that a modest one sends; all together send twice
-    what the back end carries.
+    The greedy caller sends fifty times as much as a modest one; the total load is twice the
+    capacity of the back end.
     """
     rng = random.Random(7)
     gate = Gate(4, rng, 0.0)
@@ -66,7 +66,7 @@
     is_greedy: dict[int, bool] = {}
     running: list[tuple[float, int]] = []
 
-    def take(effects: list[GateEffect], now: float) -> None:
+    def apply(effects: list[GateEffect], now: float) -> None:
         for effect in effects:
             if isinstance(effect, Start):
                 served[is_greedy[effect.token]] += 1
@@ -76,9 +76,9 @@
     for token in range(2000):
         now += rng.expovariate(80.0)
         while running and running[0][0] <= now:
-            at, ended = heapq.heappop(running)
-            take(gate.finish(ended, CallResult.OK, at), at)
-        take(gate.tick(now), now)
+            at, finished = heapq.heappop(running)
+            apply(gate.finish(finished, CallResult.OK, at), at)
+        apply(gate.tick(now), now)
         is_greedy[token] = rng.random() < 50 / 70
         caller = "greedy" if is_greedy[token] else f"modest-{rng.randrange(20)}"
         position = (
@@ -86,13 +86,13 @@
         )
         context = CallContext(f"r{token}", Importance.NORMAL, 1.0, caller=caller, position=position)
         sent[is_greedy[token]] += 1
-        take(gate.arrive(token, context, now), now)
+        apply(gate.arrive(token, context, now), now)
     return served[True] / sent[True], served[False] / sent[False]
 
 
 def test_greedy_caller_does_not_starve_the_others_of_its_class() -> None:
-    greedy, modest = answered_shares(fair=True)
+    greedy, modest = served_fractions(fair=True)
     assert modest > 0.9
     assert 0.2 < greedy < 0.5
-    _, modest_by_hash = answered_shares(fair=False)
+    _, modest_by_hash = served_fractions(fair=False)
     assert modest_by_hash < 0.7
--- a/tests/admission/test_paths.py
+++ b/tests/admission/test_paths.py
@@ -1,24 +1,24 @@
-"""Thresholds met further down a path."""
+"""Admission thresholds of downstream services."""
 
 import pytest
 
 from finchshed.admission.path_thresholds import (
+    DECAY_END_SECONDS,
     NO_THRESHOLD,
-    VALIDITY_SECONDS,
     PathThreshold,
     PathThresholds,
-    freshness,
+    remaining_weight,
 )
 
 
-class Below:
-    """Thresholds of the services below, by service and route."""
+class DownstreamThresholds:
+    """Thresholds of downstream services, by service and route."""
 
     def __init__(self) -> None:
-        self.floors: dict[tuple[str, str], PathThreshold] = {}
+        self.thresholds: dict[tuple[str, str], PathThreshold] = {}
 
-    def floor(self, service: str, route: str, _now: float) -> PathThreshold:
-        return self.floors.get((service, route), NO_THRESHOLD)
+    def lookup(self, service: str, route: str, _now: float) -> PathThreshold:
+        return self.thresholds.get((service, route), NO_THRESHOLD)
 
 
 def serve(
@@ -30,71 +30,71 @@
     paths.on_end("request", answered=answered)
 
 
-def test_threshold_of_a_call_made_by_every_request_holds_for_the_route() -> None:
-    below = Below()
-    below.floors["rules", "/"] = PathThreshold(500, 20)
-    paths = PathThresholds(below.floor)
+def test_threshold_of_a_call_made_by_every_request_applies_to_the_route() -> None:
+    downstream = DownstreamThresholds()
+    downstream.thresholds["rules", "/"] = PathThreshold(500, 20)
+    paths = PathThresholds(downstream.lookup)
     serve(paths, "/page", [("rules", "/")])
     assert paths.threshold("/page", 1.0) == 500
     assert paths.threshold("/download", 1.0) == 0
     assert paths.report(1.0) == {"/page": PathThreshold(500, 20)}
 
 
-def test_first_call_of_a_request_stands_for_all_that_are_expected() -> None:
-    paths = PathThresholds(Below().floor)
+def test_first_call_has_the_weight_of_all_expected_calls() -> None:
+    paths = PathThresholds(DownstreamThresholds().lookup)
     for _ in range(3):
         serve(paths, "/page", [("rules", "/")] * 4)
     paths.on_start("request", "/page")
     assert [paths.on_call("request", "rules", "/") for _ in range(4)] == [4.0, 0.0, 0.0, 0.0]
 
 
-def test_calls_beyond_those_expected_stand_for_themselves() -> None:
-    paths = PathThresholds(Below().floor)
+def test_calls_beyond_the_expected_number_weigh_one() -> None:
+    paths = PathThresholds(DownstreamThresholds().lookup)
     serve(paths, "/page", [("rules", "/")] * 2)
     paths.on_start("request", "/page")
     assert [paths.on_call("request", "rules", "/") for _ in range(4)] == [2.0, 0.0, 1.0, 1.0]
 
 
-def test_calls_of_a_request_that_is_not_known_stand_for_themselves() -> None:
-    paths = PathThresholds(Below().floor)
+def test_calls_of_an_unknown_request_weigh_one() -> None:
+    paths = PathThresholds(DownstreamThresholds().lookup)
     assert paths.on_call("request", "rules", "/") == 1.0
     paths.on_start("request", "/page")
     assert [paths.on_call("request", "rules", "/") for _ in range(2)] == [1.0, 1.0]
 
 
-def test_call_that_few_requests_make_sheds_nothing() -> None:
-    below = Below()
-    below.floors["rules", "/"] = PathThreshold(500, 0)
-    paths = PathThresholds(below.floor)
+def test_threshold_of_an_infrequent_call_is_ignored() -> None:
+    downstream = DownstreamThresholds()
+    downstream.thresholds["rules", "/"] = PathThreshold(500, 0)
+    paths = PathThresholds(downstream.lookup)
     for number in range(40):
         serve(paths, "/page", [("rules", "/")] if number % 2 else [])
     assert paths.threshold("/page", 1.0) == 0
 
 
-def test_request_that_was_not_answered_teaches_nothing() -> None:
-    below = Below()
-    below.floors["second", "/"] = PathThreshold(500, 0)
-    paths = PathThresholds(below.floor)
+def test_unanswered_requests_do_not_change_the_profile() -> None:
+    downstream = DownstreamThresholds()
+    downstream.thresholds["second", "/"] = PathThreshold(500, 0)
+    paths = PathThresholds(downstream.lookup)
     serve(paths, "/page", [("first", "/"), ("second", "/")])
     for _ in range(40):
         serve(paths, "/page", [("first", "/")], answered=False)
     assert paths.threshold("/page", 1.0) == 500
 
 
-def test_highest_threshold_of_several_calls_holds() -> None:
-    below = Below()
-    below.floors["first", "/"] = PathThreshold(500, 0)
-    below.floors["second", "/"] = PathThreshold(900, 0)
-    paths = PathThresholds(below.floor)
+def test_highest_threshold_of_several_calls_applies() -> None:
+    downstream = DownstreamThresholds()
+    downstream.thresholds["first", "/"] = PathThreshold(500, 0)
+    downstream.thresholds["second", "/"] = PathThreshold(900, 0)
+    paths = PathThresholds(downstream.lookup)
     serve(paths, "/page", [("first", "/"), ("second", "/")])
     assert paths.threshold("/page", 1.0) == 900
 
 
-def test_threshold_fades_from_its_measurement_however_often_it_is_told() -> None:
-    """Hop by hop the age is kept, so the last hop forgets it when the first does."""
-    told = PathThreshold(1000, 0)
+def test_threshold_decays_with_its_total_age_over_all_hops() -> None:
+    """Guards against hops that reset the age and keep an expired threshold alive."""
+    reported = PathThreshold(1000, 0)
     for _ in range(25):
-        told = told.aged(VALIDITY_SECONDS / 25)
-    assert told.value == 0.0
-    assert freshness(0.0) == 1.0
-    assert told.aged(0.0).age_ms == pytest.approx(VALIDITY_SECONDS * 1000)
+        reported = reported.aged(DECAY_END_SECONDS / 25)
+    assert reported.value == 0.0
+    assert remaining_weight(0.0) == 1.0
+    assert reported.aged(0.0).age_ms == pytest.approx(DECAY_END_SECONDS * 1000)
--- a/tests/admission/test_rank_passed.py
+++ b/tests/admission/test_rank_passed.py
@@ -1,4 +1,4 @@
-"""The fraction of its class that a request stands for, after the thresholds it passed."""
+"""Admitted fraction in a request's context after it passed several thresholds."""
 
 import pytest
 
@@ -10,16 +10,16 @@
 NORMAL = CallContext("r1", Importance.NORMAL, 1.0)
 
 
-def test_a_request_stands_for_the_share_that_the_highest_threshold_let_through() -> None:
+def test_admitted_fraction_is_that_of_the_highest_threshold() -> None:
     assert with_admitted_fraction(NORMAL, HALF).admitted_fraction == pytest.approx(0.5)
-    told_less = CallContext("r1", Importance.NORMAL, 1.0, admitted_fraction=0.2)
-    assert with_admitted_fraction(told_less, HALF).admitted_fraction == 0.2
+    already_lower = CallContext("r1", Importance.NORMAL, 1.0, admitted_fraction=0.2)
+    assert with_admitted_fraction(already_lower, HALF).admitted_fraction == 0.2
 
 
-def test_no_threshold_changes_nothing() -> None:
+def test_context_is_unchanged_without_a_threshold() -> None:
     assert with_admitted_fraction(NORMAL, 0.0) is NORMAL
 
 
-def test_what_was_admitted_as_a_whole_is_not_weighed_again() -> None:
+def test_admitted_fraction_of_a_call_is_unchanged() -> None:
     call = CallContext("r1", Importance.NORMAL, 1.0, is_call=True, admitted_fraction=0.8)
     assert with_admitted_fraction(call, HALF) is call
--- a/tests/admission/test_threshold.py
+++ b/tests/admission/test_threshold.py
@@ -1,64 +1,64 @@
-"""The admission threshold over its windows."""
+"""Queue-based admission threshold."""
 
+from finchshed.admission.queue_threshold import BUCKET_BITS, WINDOW_SECONDS, QueueThreshold
 from finchshed.admission.rank import RANKS
-from finchshed.admission.threshold import BUCKET_BITS, WINDOW_SECONDS, AdmissionThreshold
 
-STEP = WINDOW_SECONDS * 1.01
+STEP_SECONDS = WINDOW_SECONDS * 1.01
 RATE = 100.0
-TARGET = 2.0
+TARGET_QUEUE = 2.0
 
 
-def overloaded(windows: int, arrivals: int = 20) -> tuple[AdmissionThreshold, float]:
-    """Let ranks arrive evenly, at four times the rate, with a queue that stands."""
-    threshold = AdmissionThreshold(0.0)
+def overloaded(windows: int, arrivals: int = 20) -> tuple[QueueThreshold, float]:
+    """Return a threshold, and the time, after evenly spread arrivals with a standing queue."""
+    threshold = QueueThreshold(0.0)
     now = 0.0
-    threshold.update(STEP, 20, RATE, TARGET)
-    now = STEP
+    threshold.update(STEP_SECONDS, 20, RATE, TARGET_QUEUE)
+    now = STEP_SECONDS
     for _ in range(windows):
         for number in range(arrivals):
             threshold.on_arrival(int((number + 0.5) / arrivals * RANKS))
         threshold.on_queue(20)
-        now += STEP
-        threshold.update(now, 20, RATE, TARGET)
+        now += STEP_SECONDS
+        threshold.update(now, 20, RATE, TARGET_QUEUE)
     return threshold, now
 
 
-def test_threshold_lets_through_what_the_back_end_finishes() -> None:
+def test_threshold_admits_what_the_back_end_finishes() -> None:
     threshold, _ = overloaded(20)
     assert 0.6 * RANKS < threshold.value < 0.85 * RANKS
 
 
-def test_threshold_does_not_fall_while_the_queue_stands() -> None:
-    """Callers shed what lies below it, so nothing arrives there and the room seems large."""
+def test_threshold_does_not_fall_while_the_queue_is_standing() -> None:
+    """Callers shed below it, so the missing arrivals must not be taken for free capacity."""
     threshold, now = overloaded(20)
-    held = threshold.value
+    before = threshold.value
     for _ in range(20):
-        now += STEP
+        now += STEP_SECONDS
         threshold.on_arrival(RANKS - 1)
         threshold.on_queue(20)
-        threshold.update(now, 20, RATE, TARGET)
-        assert threshold.value >= held
+        threshold.update(now, 20, RATE, TARGET_QUEUE)
+        assert threshold.value >= before
 
 
-def test_threshold_falls_to_nothing_soon_after_the_queue_has_emptied() -> None:
+def test_threshold_falls_to_zero_soon_after_the_queue_empties() -> None:
     threshold, now = overloaded(20)
     windows = 0
     while threshold.value:
-        now += STEP
+        now += STEP_SECONDS
         threshold.on_queue(0)
-        threshold.update(now, 0, RATE, TARGET)
+        threshold.update(now, 0, RATE, TARGET_QUEUE)
         windows += 1
     assert windows * WINDOW_SECONDS <= 0.5
 
 
-def test_short_queue_changes_nothing() -> None:
+def test_short_queue_leaves_the_threshold_unchanged() -> None:
     threshold, now = overloaded(20)
     threshold.on_queue(1)
-    threshold.update(now + STEP, 1, RATE, TARGET)
-    held = threshold.value
+    threshold.update(now + STEP_SECONDS, 1, RATE, TARGET_QUEUE)
+    before = threshold.value
     threshold.on_queue(1)
-    threshold.update(now + 2 * STEP, 1, RATE, TARGET)
-    assert threshold.value == held
+    threshold.update(now + 2 * STEP_SECONDS, 1, RATE, TARGET_QUEUE)
+    assert threshold.value == before
 
 
 def test_threshold_never_refuses_everything() -> None:
--- a/tests/admission/test_trees_of_calls.py
+++ b/tests/admission/test_trees_of_calls.py
@@ -1,5 +1,4 @@
-"""Requests that make calls, admitted at an edge by an old threshold and beside their back end by a
-fresh one; the calls meet a real gate, late."""
+"""Call trees against a real gate, with outdated thresholds at the edge and delayed calls."""
 
 import heapq
 import itertools
@@ -31,11 +30,12 @@
 
 
 @dataclass(frozen=True)
-class Shape:
-    """What requests ask of the back end, and how many slots that has.
+class CallTree:
+    """Calls of each request, and the capacity of the back end.
 
-    ``calls`` are made one group after the other; the request fails with the first that fails.
-    ``delay_seconds`` lie between a request's admission and its first call, on the mean.
+    ``calls`` are the sizes of the groups of parallel calls, made one after the other; a request
+    fails with its first failed call. ``delay_seconds`` is the mean time from admission to the first
+    call.
     """
 
     slots: int
@@ -44,61 +44,63 @@
 
     @property
     def capacity(self) -> float:
-        """Calls a second."""
+        """Calls per second."""
         return self.slots / WORK_SECONDS
 
 
-WIDE = Shape(slots=87, calls=(5, 5), delay_seconds=0.25)
-CHAIN = Shape(slots=18, calls=(1, 1, 1, 1), delay_seconds=0.25)
-LATE_CHAIN = Shape(slots=18, calls=(1, 1, 1, 1), delay_seconds=0.6)
+FAN_OUT = CallTree(slots=87, calls=(5, 5), delay_seconds=0.25)
+CHAIN = CallTree(slots=18, calls=(1, 1, 1, 1), delay_seconds=0.25)
+LATE_CHAIN = CallTree(slots=18, calls=(1, 1, 1, 1), delay_seconds=0.6)
 
 
 @dataclass
-class Root:
-    """An admitted request. ``announced`` are the calls it has not announced yet."""
+class RootRequest:
+    """An admitted request. ``unannounced`` is the number of calls it has not announced yet."""
 
     context: CallContext
     groups: list[int]
-    announced: int = 0
-    waits_for: int = 0
-    is_over: bool = False
+    unannounced: int = 0
+    pending_calls: int = 0
+    has_failed: bool = False
 
 
-class Trees:
-    """Runs requests against one gate in simulated time."""
+class CallTreeSimulation:
+    """Runs call trees against one gate in simulated time."""
 
-    def __init__(self, seed: int, shape: Shape = WIDE) -> None:
-        self._shape = shape
+    def __init__(self, seed: int, tree: CallTree = FAN_OUT) -> None:
+        self._tree = tree
         self.counts: Counter[str] = Counter()
         self._rng = random.Random(seed)
-        self._gate = Gate(shape.slots, self._rng, 0.0, threshold_rule=ThresholdRule.BY_DEMAND)
+        self._gate = Gate(tree.slots, self._rng, 0.0, threshold_rule=ThresholdRule.BY_DEMAND)
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._order = itertools.count()
         self._tokens = itertools.count(1)
-        self._calls: dict[int, Root] = {}
+        self._calls: dict[int, RootRequest] = {}
         self._threshold = 0
         self._after(0.0, self._tick)
         self._after(0.0, self._report)
 
     def run(self, seconds: float, load: float, critical_load: float = 0.0) -> None:
-        """Offer ``load`` times the capacity for ``seconds``, and critical requests besides.
+        """Offer ``load`` times the capacity for ``seconds``, plus critical requests.
 
-        Critical ones are counted as "critical answered" and "critical failed".
+        Critical requests are counted as "critical answered" and "critical failed".
         """
         end = self._now + seconds
-        whole = self._shape.capacity / sum(self._shape.calls)
-        self._after(0.0, self._offer, Importance.NORMAL, load * whole, end)
+        roots_per_second = self._tree.capacity / sum(self._tree.calls)
+        self._after(0.0, self._offer, Importance.NORMAL, load * roots_per_second, end)
         if critical_load:
-            self._after(0.0, self._offer, Importance.CRITICAL, critical_load * whole, end)
+            self._after(
+                0.0, self._offer, Importance.CRITICAL, critical_load * roots_per_second, end
+            )
         while self._events[0][0] < end:
-            self._now, _, act, arguments = heapq.heappop(self._events)
-            act(*arguments)
+            self._now, _, action, arguments = heapq.heappop(self._events)
+            action(*arguments)
 
-    def _after(self, seconds: float, act: Callable[..., None], *arguments: Any) -> None:
-        heapq.heappush(self._events, (self._now + seconds, next(self._order), act, arguments))
+    def _after(self, seconds: float, action: Callable[..., None], *arguments: Any) -> None:
+        heapq.heappush(self._events, (self._now + seconds, next(self._order), action, arguments))
 
-    def _varied(self, seconds: float) -> float:
+    def _with_jitter(self, seconds: float) -> float:
         return seconds * self._rng.uniform(0.5, 1.5)
 
     def _tick(self) -> None:
@@ -106,36 +108,42 @@
         self._after(TICK_SECONDS, self._tick)
 
     def _report(self) -> None:
-        self._after(REPORT_SECONDS, self._learn, self._gate.load_report(self._now).threshold)
+        self._after(
+            REPORT_SECONDS, self._receive_report, self._gate.load_report(self._now).threshold
+        )
         self._after(0.01, self._report)
 
-    def _learn(self, threshold: int) -> None:
+    def _receive_report(self, threshold: int) -> None:
         self._threshold = threshold
 
     def _offer(self, importance: Importance, rate: float, end: float) -> None:
-        floor = lowest_rank_of(importance)
-        above = max(0, self._threshold - floor)
-        # What an edge has last heard may have faded in part or whole.
-        old = floor + above * self._rng.choice((0.0, 0.5, 1.0))
+        lowest = lowest_rank_of(importance)
+        above = max(0, self._threshold - lowest)
+        # The last report at the edge may have decayed in part or completely.
+        decayed = lowest + above * self._rng.choice((0.0, 0.5, 1.0))
         position = self._rng.randrange(POSITIONS)
-        if floor + position < max(old, self._threshold):
+        if lowest + position < max(decayed, self._threshold):
             self.counts["refused"] += 1
         else:
-            share = admitted_fraction(importance, old)
-            told = CallContext("r", importance, 1.0, position=position, admitted_fraction=share)
-            calls = self._shape.calls
-            root = Root(with_admitted_fraction(told, self._threshold), list(calls), sum(calls))
-            self._after(self._varied(self._shape.delay_seconds), self._go_on, root)
+            fraction = admitted_fraction(importance, decayed)
+            context = CallContext(
+                "r", importance, 1.0, position=position, admitted_fraction=fraction
+            )
+            calls = self._tree.calls
+            root = RootRequest(
+                with_admitted_fraction(context, self._threshold), list(calls), sum(calls)
+            )
+            self._after(self._with_jitter(self._tree.delay_seconds), self._next_group, root)
         pause = self._rng.expovariate(rate)
         if self._now + pause < end:
             self._after(pause, self._offer, importance, rate, end)
 
-    def _go_on(self, root: Root) -> None:
+    def _next_group(self, root: RootRequest) -> None:
         if not root.groups:
             self._count(root, "answered")
             return
-        root.waits_for = root.groups.pop(0)
-        for _ in range(root.waits_for):
+        root.pending_calls = root.groups.pop(0)
+        for _ in range(root.pending_calls):
             token = next(self._tokens)
             self._calls[token] = root
             context = CallContext(
@@ -145,70 +153,72 @@
                 position=root.context.position,
                 is_call=True,
                 admitted_fraction=root.context.admitted_fraction,
-                announced_calls=root.announced,
+                announced_calls=root.unannounced,
             )
-            root.announced = 0
+            root.unannounced = 0
             self._apply(self._gate.arrive(token, context, self._now))
 
     def _apply(self, effects: list[GateEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Start):
-                self._after(self._varied(WORK_SECONDS), self._finish, effect.token)
+                self._after(self._with_jitter(WORK_SECONDS), self._finish, effect.token)
                 continue
             root = self._calls.pop(effect.token)
-            if not root.is_over:
+            if not root.has_failed:
                 self._count(root, "failed")
-            root.is_over = True
+            root.has_failed = True
 
-    def _count(self, root: Root, end: str) -> None:
+    def _count(self, root: RootRequest, outcome: str) -> None:
         is_critical = root.context.importance is Importance.CRITICAL
-        self.counts[f"critical {end}" if is_critical else end] += 1
+        self.counts[f"critical {outcome}" if is_critical else outcome] += 1
 
     def _finish(self, token: int) -> None:
         root = self._calls.pop(token)
         self._apply(self._gate.finish(token, CallResult.OK, self._now))
-        root.waits_for -= 1
-        if root.waits_for == 0 and not root.is_over:
-            self._after(self._varied(0.4 * self._shape.delay_seconds), self._go_on, root)
+        root.pending_calls -= 1
+        if root.pending_calls == 0 and not root.has_failed:
+            self._after(self._with_jitter(0.4 * self._tree.delay_seconds), self._next_group, root)
 
 
 @pytest.mark.parametrize("load", [1.5, 2.0, 3.0])
-def test_what_was_admitted_is_rarely_failed_on_its_way(load: float) -> None:
-    trees = Trees(seed=3)
-    trees.run(3.0, load)
-    trees.counts.clear()
-    trees.run(12.0, load)
-    admitted = trees.counts["answered"] + trees.counts["failed"]
-    assert trees.counts["failed"] < 0.04 * admitted
-    assert trees.counts["answered"] * sum(WIDE.calls) > 0.9 * 12.0 * WIDE.capacity
+def test_admitted_requests_rarely_fail(load: float) -> None:
+    simulation = CallTreeSimulation(seed=3)
+    simulation.run(3.0, load)
+    simulation.counts.clear()
+    simulation.run(12.0, load)
+    admitted = simulation.counts["answered"] + simulation.counts["failed"]
+    assert simulation.counts["failed"] < 0.04 * admitted
+    assert simulation.counts["answered"] * sum(FAN_OUT.calls) > 0.9 * 12.0 * FAN_OUT.capacity
 
 
 @pytest.mark.parametrize("load", [1.3, 2.0, 3.0])
-@pytest.mark.parametrize("shape", [CHAIN, LATE_CHAIN], ids=["chain", "late chain"])
-def test_chains_of_calls_that_break_off_hide_no_demand(shape: Shape, load: float) -> None:
-    trees = Trees(seed=3, shape=shape)
-    trees.run(3.0, load)
-    trees.counts.clear()
-    trees.run(16.0, load)
-    admitted = trees.counts["answered"] + trees.counts["failed"]
-    assert trees.counts["failed"] < 0.05 * admitted
-    assert trees.counts["answered"] * sum(shape.calls) > 0.9 * 16.0 * shape.capacity
-
-
-def test_nothing_is_refused_below_the_capacity() -> None:
-    trees = Trees(seed=4)
-    trees.run(10.0, 0.75)
-    assert trees.counts["refused"] == 0
-    assert trees.counts["failed"] == 0
-
-
-@pytest.mark.parametrize("shape", [CHAIN, LATE_CHAIN], ids=["chain", "late chain"])
-def test_critical_requests_are_served_whole_beside_an_overload_of_others(shape: Shape) -> None:
-    trees = Trees(seed=3, shape=shape)
-    trees.run(4.0, load=1.3, critical_load=0.5)
-    trees.counts.clear()
-    trees.run(12.0, load=1.3, critical_load=0.5)
-    assert trees.counts["critical answered"] > 0
-    assert trees.counts["critical failed"] == 0
-    answered = trees.counts["answered"] + trees.counts["critical answered"]
-    assert answered * sum(shape.calls) > 0.9 * 12.0 * shape.capacity
+@pytest.mark.parametrize("tree", [CHAIN, LATE_CHAIN], ids=["chain", "late chain"])
+def test_aborted_call_chains_do_not_hide_demand(tree: CallTree, load: float) -> None:
+    simulation = CallTreeSimulation(seed=3, tree=tree)
+    simulation.run(3.0, load)
+    simulation.counts.clear()
+    simulation.run(16.0, load)
+    admitted = simulation.counts["answered"] + simulation.counts["failed"]
+    assert simulation.counts["failed"] < 0.05 * admitted
+    assert simulation.counts["answered"] * sum(tree.calls) > 0.9 * 16.0 * tree.capacity
+
+
+def test_nothing_is_refused_below_capacity() -> None:
+    simulation = CallTreeSimulation(seed=4)
+    simulation.run(10.0, 0.75)
+    assert simulation.counts["refused"] == 0
+    assert simulation.counts["failed"] == 0
+
+
+@pytest.mark.parametrize("tree", [CHAIN, LATE_CHAIN], ids=["chain", "late chain"])
+def test_critical_requests_are_not_affected_by_overload_of_others(
+    tree: CallTree,
+) -> None:
+    simulation = CallTreeSimulation(seed=3, tree=tree)
+    simulation.run(4.0, load=1.3, critical_load=0.5)
+    simulation.counts.clear()
+    simulation.run(12.0, load=1.3, critical_load=0.5)
+    assert simulation.counts["critical answered"] > 0
+    assert simulation.counts["critical failed"] == 0
+    answered = simulation.counts["answered"] + simulation.counts["critical answered"]
+    assert answered * sum(tree.calls) > 0.9 * 12.0 * tree.capacity
--- a/tests/limit/test_concurrency.py
+++ b/tests/limit/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The concurrency limit."""
+"""Concurrency limit of a back end."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 from finchshed.limit.concurrency import DECREASE_FACTOR, ConcurrencyLimit, usable_slots
 
 
-def answered(limit: ConcurrencyLimit, count: int, now: float = 0.0) -> None:
+def record_answers(limit: ConcurrencyLimit, count: int, now: float = 0.0) -> None:
     for _ in range(count):
         limit.on_result(CallResult.OK, 0.1, now)
 
@@ -27,9 +27,9 @@
         assert 1 <= limit.limit <= slots
 
 
-def test_refusals_of_one_overload_lower_the_limit_once() -> None:
+def test_refusals_within_one_latency_lower_the_limit_once() -> None:
     limit = ConcurrencyLimit(20)
-    answered(limit, 10)
+    record_answers(limit, 10)
     for _ in range(10):
         limit.on_result(CallResult.REFUSED, 0.0, 1.0)
     assert limit.limit == int(20 * DECREASE_FACTOR)
@@ -37,37 +37,37 @@
     assert limit.limit == int(20 * DECREASE_FACTOR * DECREASE_FACTOR)
 
 
-def test_limit_climbs_again_with_answers() -> None:
+def test_limit_recovers_with_answers() -> None:
     limit = ConcurrencyLimit(20)
-    answered(limit, 10)
+    record_answers(limit, 10)
     limit.on_result(CallResult.REFUSED, 0.0, 1.0)
     lowered = limit.limit
-    answered(limit, lowered)
+    record_answers(limit, lowered)
     assert limit.limit == lowered + 1 or limit.limit == lowered
-    answered(limit, 200)
+    record_answers(limit, 200)
     assert limit.limit == 20
 
 
-def test_cancelled_and_failed_requests_say_nothing_of_the_latency() -> None:
+def test_only_answered_requests_update_the_latency() -> None:
     limit = ConcurrencyLimit(4)
-    answered(limit, 1)
+    record_answers(limit, 1)
     for result in (CallResult.CANCELLED, CallResult.FAILED, CallResult.REFUSED):
         limit.on_result(result, 9.0, 0.0)
     assert limit.mean_latency == 0.1
 
 
-def test_changed_declaration_takes_effect() -> None:
+def test_changed_slots_take_effect() -> None:
     limit = ConcurrencyLimit(4)
     limit.set_slots(9)
     assert limit.limit == 9
 
 
-def test_a_twentieth_of_the_slots_is_left_free_where_there_are_enough() -> None:
+def test_one_slot_in_twenty_is_left_unused_on_large_back_ends() -> None:
     used = {slots: usable_slots(slots) for slots in (1, 4, 11, 12, 14, 20, 31, 92, 183)}
     assert used == {1: 1, 4: 4, 11: 11, 12: 11, 14: 13, 20: 19, 31: 29, 92: 87, 183: 173}
 
 
-def test_refusals_that_do_not_depend_on_the_load_leave_the_limit_alone() -> None:
+def test_refusals_independent_of_load_do_not_lower_the_limit() -> None:
     limit = ConcurrencyLimit(40)
     for step in range(600):
         result = CallResult.OK if step % 20 < 9 else CallResult.REFUSED
@@ -75,7 +75,7 @@
     assert limit.limit >= 36
 
 
-def test_a_back_end_that_takes_less_than_it_says_is_given_less() -> None:
+def test_limit_adapts_to_a_back_end_that_declares_too_many_slots() -> None:
     limit = ConcurrencyLimit(40)
     now = 0.0
     for _ in range(2000):
@@ -86,7 +86,7 @@
     assert limit.limit <= 12
 
 
-def test_what_a_back_end_took_long_ago_does_not_hold_the_limit_up() -> None:
+def test_old_peak_concurrency_does_not_keep_the_limit_up() -> None:
     limit = ConcurrencyLimit(40)
     limit.on_result(CallResult.OK, 0.1, 0.0, running=40)
     for step in range(60):
--- a/tests/routing/test_service_floor.py
+++ b/tests/routing/test_service_floor.py
@@ -5,8 +5,12 @@
 import pytest
 
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.path_thresholds import HOLD_SECONDS, VALIDITY_SECONDS, PathThreshold
-from finchshed.admission.rank import POSITIONS, admitted_fraction, faded_threshold, lowest_rank_of
+from finchshed.admission.path_thresholds import (
+    DECAY_END_SECONDS,
+    DECAY_START_SECONDS,
+    PathThreshold,
+)
+from finchshed.admission.rank import POSITIONS, admitted_fraction, decayed_threshold, lowest_rank_of
 from finchshed.common.context import CallContext
 from finchshed.common.importance import Importance
 from finchshed.configuration.resources import Endpoint
@@ -51,13 +55,13 @@
 
 
 def test_a_threshold_fades_within_its_class() -> None:
-    middle = (HOLD_SECONDS + VALIDITY_SECONDS) / 2
+    middle = (DECAY_START_SECONDS + DECAY_END_SECONDS) / 2
     old = PathThreshold(HALF_OF_NORMAL, int(middle * 1000))
     assert admitted_fraction(Importance.NORMAL, old.value) == pytest.approx(0.75, abs=0.01)
-    assert PathThreshold(HALF_OF_NORMAL, int(VALIDITY_SECONDS * 1000)).value == 0.0
+    assert PathThreshold(HALF_OF_NORMAL, int(DECAY_END_SECONDS * 1000)).value == 0.0
 
 
 @pytest.mark.parametrize("share", [1.0, 0.5, 0.01])
 def test_less_important_classes_stay_refused_until_the_threshold_is_forgotten(share: float) -> None:
-    assert faded_threshold(HALF_OF_NORMAL, share) >= NORMAL_FLOOR
-    assert faded_threshold(HALF_OF_NORMAL, 0.0) == 0.0
+    assert decayed_threshold(HALF_OF_NORMAL, share) >= NORMAL_FLOOR
+    assert decayed_threshold(HALF_OF_NORMAL, 0.0) == 0.0
