--- a/src/finchshed/routing/__init__.py
+++ b/src/finchshed/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a back end, and one call at the caller's side."""
+"""Endpoint selection and the caller's side of a call."""
--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -1,14 +1,11 @@
-"""One call at the caller's side: choice, retries within the budget, and the final outcome.
+"""State machine of one outgoing call: endpoint choice, retries within the budget, final outcome.
 
-Inputs: the call's context (seconds left, spare attempts), outcomes of its attempts, what is held
-against the request (crashes) and the time. Owns the state of the call; the table chooses endpoints,
-:mod:`finchshed.retry.policy` says what may be tried again and the bucket bounds it. Reasons given:
-``deadline``, ``cancelled`` and ``quarantined`` as refusals, ``deadline`` and ``aborted`` as
-failures; others are passed on.
+The routing table chooses endpoints, :mod:`finchshed.retry.policy` decides which outcomes may be
+retried, and the token bucket bounds the retries. Refusal reasons set here: ``deadline``,
+``cancelled``, ``quarantined``; failure reasons: ``deadline``, ``aborted``. Others are passed on.
 
-Its runner sends what the effects ask for and reports outcomes by attempt number. The last effect of
-a call is always one :class:`~finchshed.routing.caller_effects.Finish`, at once when the call is
-given up on.
+The runner carries out the effects and reports outcomes by attempt number. The last effect of a call
+is always one :class:`~finchshed.routing.caller_effects.Finish`.
 """
 
 import random
@@ -46,16 +43,14 @@
 from finchshed.routing.table import RoutingTable
 
 MAX_REDIRECTS = 2
-"""Times a call is sent elsewhere, free of the budget, because an endpoint took no work at all.
-Chosen, not measured."""
+"""How often a call may move to another endpoint without using its retry budget."""
 
 DEADLINE_OVERLOAD = 1.0
-"""Overload that the time to come back is computed with after a deadline: 0.5 s in the mean. Chosen,
-not measured."""
+"""Overload used for the retry-after time after a missed deadline; a mean of 0.5 s."""
 
 
-def _always_free() -> Assessment:
-    """Stand in where no request is ever a suspect."""
+def _assess_as_free() -> Assessment:
+    """Default assessment, for callers without a quarantine register."""
     return FREE
 
 
@@ -71,22 +66,22 @@
     service
         Service that is called.
     context
-        Context of the call; its ``spare_attempts`` are what the call was lent.
+        Context of the call, with the spare attempts allocated to it.
     repeatable
-        Whether the request may run more than once.
+        Whether the request may be executed more than once.
     rng
         Source of jitter.
     pinned
-        Name of the endpoint that serves the request's session, or empty. Another one is taken
-        only if this one is lost or sends the session away, never because it is busy.
+        Name of the endpoint that serves the request's session, or empty. Another endpoint is used
+        only if this one is lost or doesn't have the session, never because it is busy.
     route
-        Route of the service that the request falls under.
+        Route of the service that the request belongs to.
     target_seconds
-        Latency it is meant to be answered in; 0: none.
+        Target latency of the call; 0 if it has none.
     signature
-        Returns the request's signature; asked for only if it is a suspect.
+        Returns the request's signature; called only if the request is a suspect.
     assess
-        Returns what may be done with the request, by the ends of back ends under it.
+        Returns the quarantine assessment of the request.
     """
 
     def __init__(
@@ -102,7 +97,7 @@
         route: str = "",
         target_seconds: float = 0.0,
         signature: Callable[[], str] = str,
-        assess: Callable[[], Assessment] = _always_free,
+        assess: Callable[[], Assessment] = _assess_as_free,
     ) -> None:
         self._signature = signature
         self._assess = assess
@@ -120,11 +115,11 @@
         self._deadline = 0.0
         self._attempt = 0
         self._redirects = 0
-        self._lent = 0
+        self._allocated = 0
         self._sent_at = 0.0
         self._current: Endpoint | None = None
         self._tried: set[str] = set()
-        self._last: Outcome | None = None
+        self._last_outcome: Outcome | None = None
         self._failed: Failed | None = None
         self._answer: Answered | None = None
         self.finished = False
@@ -144,30 +139,30 @@
         load: LoadReport | None,
         now: float,
     ) -> list[CallerEffect]:
-        """Act on the outcome of an attempt.
+        """Handle the outcome of an attempt.
 
         Parameters
         ----------
         spare_returned
-            Spare attempts the answer returns; 0 where no answer came.
+            Unused spare attempts returned with the answer; 0 if there was no answer.
         load
-            Report that came with the answer, or None.
+            Load report received with the answer, or None.
         """
         if self.finished or attempt != self._attempt or self._current is None:
             return []
         result = result_of(outcome)
         self._table.on_reply(self._current.name, load, result, now - self._sent_at, now)
         self._current = None
-        self._spare += max(0, min(spare_returned, self._lent))
-        self._lent = 0
-        self._last = outcome
+        self._spare += max(0, min(spare_returned, self._allocated))
+        self._allocated = 0
+        self._last_outcome = outcome
         if isinstance(outcome, Failed):
             self._failed = outcome
         if isinstance(outcome, Failed) or _lacks_session(outcome):
             self._is_pinned = False
         if isinstance(outcome, Answered):
             self._answer = outcome
-        if not self._is_worth_another(outcome, now) or not self._pay_for_another(outcome, now):
+        if not self._allows_retry(outcome, now) or not self._pay_for_another(outcome, now):
             return self._finish(outcome)
         if is_redirect(outcome):
             return self._send(now)
@@ -177,33 +172,33 @@
         return [SetTimer(now + wait)]
 
     def on_timer(self, now: float) -> list[CallerEffect]:
-        """Act on the timer: time for a retry, or the deadline."""
+        """Handle the timer: a retry is due, or the deadline has passed."""
         if self.finished:
             return []
         if now < self._deadline:
             return [] if self._current is not None else self._send(now)
         if self._current is None:
-            return self._finish(self._last or self._refused(RefusalReason.DEADLINE))
-        effects = self._withdraw(CallResult.FAILED, now)
+            return self._finish(self._last_outcome or self._refused(RefusalReason.DEADLINE))
+        effects = self._cancel_attempt(CallResult.FAILED, now)
         failed = Failed(FailureReason.DEADLINE, retry_after(DEADLINE_OVERLOAD, self._rng))
         return effects + self._finish(failed)
 
     def cancel(self, now: float) -> list[CallerEffect]:
-        """Give up on behalf of the caller."""
+        """Cancel the call on behalf of its caller."""
         if self.finished:
             return []
         effects: list[CallerEffect] = []
         outcome: Outcome
-        if self._current is None and isinstance(self._last, Refused | None):
+        if self._current is None and isinstance(self._last_outcome, Refused | None):
             outcome = self._refused(RefusalReason.CANCELLED)
         else:
             outcome = Failed(FailureReason.ABORTED, retry_after(0.0, self._rng))
         if self._current is not None:
-            effects = self._withdraw(CallResult.CANCELLED, now)
+            effects = self._cancel_attempt(CallResult.CANCELLED, now)
         return effects + self._finish(outcome)
 
-    def _is_worth_another(self, outcome: Outcome, now: float) -> bool:
-        """Whether the outcome allows another attempt, and there is time for it."""
+    def _allows_retry(self, outcome: Outcome, now: float) -> bool:
+        """Return whether the outcome allows another attempt and enough time is left for it."""
         if not may_retry(outcome, self._repeatable):
             return False
         if isinstance(outcome, Failed) and self._assess().crashes > LAST_OWN_RETRY_CRASHES:
@@ -215,12 +210,12 @@
     def _send(self, now: float) -> list[CallerEffect]:
         chosen = self._choose(now)
         if isinstance(chosen, Refused):
-            return self._finish(self._last or chosen)
+            return self._finish(self._last_outcome or chosen)
         self._attempt += 1
         self._current = chosen
         self._tried.add(chosen.name)
-        self._lent = allocated_attempts(self._spare)
-        self._spare -= self._lent
+        self._allocated = allocated_attempts(self._spare)
+        self._spare -= self._allocated
         self._sent_at = now
         report_age, in_flight = self._table.report_age_and_in_flight(chosen.name, now)
         self._table.on_sent(chosen.name, now)
@@ -228,7 +223,7 @@
         send = SendAttempt(
             attempt=self._attempt,
             endpoint=chosen,
-            allocated_attempts=self._lent,
+            allocated_attempts=self._allocated,
             report_age=report_age,
             in_flight=in_flight,
             admitted_fraction=fraction,
@@ -236,11 +231,11 @@
         return [send, SetTimer(self._deadline)]
 
     def _choose(self, now: float) -> Endpoint | Refused:
-        judgement = self._assess()
-        if judgement.suspicion is Suspicion.QUARANTINED:
-            detail = f"{judgement.crashes} back ends ended under it"
-            return Refused(RefusalReason.QUARANTINED, judgement.seconds, detail)
-        if judgement.suspicion is Suspicion.SUSPECT:
+        assessment = self._assess()
+        if assessment.suspicion is Suspicion.QUARANTINED:
+            detail = f"request has crashed {assessment.crashes} back ends"
+            return Refused(RefusalReason.QUARANTINED, assessment.seconds, detail)
+        if assessment.suspicion is Suspicion.SUSPECT:
             return self._table.choose_designated(self.service, self._signature(), now)
         if self._is_pinned:
             chosen = self._table.choose_pinned(self._pinned, (), now)
@@ -265,12 +260,12 @@
         self._spare -= 1
         return True
 
-    def _withdraw(self, result: CallResult, now: float) -> list[CallerEffect]:
+    def _cancel_attempt(self, result: CallResult, now: float) -> list[CallerEffect]:
         endpoint = self._current
         assert endpoint is not None
         self._table.on_reply(endpoint.name, None, result, now - self._sent_at, now)
         self._current = None
-        self._lent = 0
+        self._allocated = 0
         return [CancelAttempt(self._attempt, endpoint)]
 
     def _refused(self, reason: RefusalReason) -> Refused:
@@ -280,9 +275,11 @@
         return self._finish(self._refused(reason))
 
     def _finish(self, outcome: Outcome) -> list[CallerEffect]:
-        """End the call. A refusal of its last attempt doesn't mean that no earlier one ran.
+        """End the call.
 
-        An error answer that waited for another attempt is the outcome if that gave no answer.
+        If an earlier attempt failed, a refused last attempt doesn't mean that the request did not
+        run, so the outcome is the failure. An error answer is the outcome if its retry wasn't
+        answered.
         """
         if self._answer is not None:
             outcome = self._answer
@@ -294,9 +291,9 @@
 
 
 def _lacks_session(outcome: Outcome) -> bool:
-    """Return whether the pinned endpoint said that it doesn't have the session.
+    """Return whether the pinned endpoint no longer has the session.
 
-    It counts a running session as admitted, and never refuses it for the bound on sessions.
+    An endpoint applies its session limit only to sessions that it doesn't have.
     """
     if is_redirect(outcome):
         return True
--- a/src/finchshed/routing/caller_effects.py
+++ b/src/finchshed/routing/caller_effects.py
@@ -1,4 +1,4 @@
-"""What the state machine of a call asks its runner to do."""
+"""Effects returned by the state machine of a call, carried out by its runner."""
 
 from typing import TypeAlias
 
@@ -14,12 +14,12 @@
     Attributes
     ----------
     allocated_attempts
-        Spare attempts that it carries in its context.
+        Spare attempts passed on in its context.
     report_age, in_flight
-        What the endpoint was chosen by, for the log: seconds since its load report (negative: none
-        came), and the calls under way there.
+        State of the endpoint when it was chosen, for the log: seconds since its load report
+        (negative: no report), and calls in flight.
     admitted_fraction
-        Fraction of the request's class admitted with it.
+        Fraction of the request's class that the endpoint admits.
     """
 
     attempt: int
@@ -31,20 +31,20 @@
 
 
 class CancelAttempt(msgspec.Struct, frozen=True, gc=False):
-    """Cancel the attempt at its endpoint; its outcome is no longer wanted."""
+    """Cancel an attempt; its outcome will be ignored."""
 
     attempt: int
     endpoint: Endpoint
 
 
 class SetTimer(msgspec.Struct, frozen=True, gc=False):
-    """Call ``CallStateMachine.on_timer`` at ``at`` (monotonic seconds); it replaces a timer set."""
+    """Call ``CallStateMachine.on_timer`` at ``at`` (monotonic seconds); replaces other timers."""
 
     at: float
 
 
 class Finish(msgspec.Struct, frozen=True, gc=False):
-    """The call is over. ``spare_returned`` attempts of what the call was lent are left."""
+    """End the call. ``spare_returned`` of its allocated attempts are unused."""
 
     outcome: Outcome
     spare_returned: int
--- a/src/finchshed/routing/ejection.py
+++ b/src/finchshed/routing/ejection.py
@@ -1,8 +1,6 @@
-"""When an endpoint that fails is left out, and for how long.
+"""Outlier ejection: temporarily excludes an endpoint after consecutive failures.
 
-Inputs: failures in a row of the own attempts (server errors of its own and ends without an answer),
-ejections so far, endpoints of the service and how many of them are ejected. No refusal comes of it
-while another endpoint takes the call; else the table refuses, ``no_backend``.
+Failures are server errors of the endpoint itself and attempts that ended without an answer.
 """
 
 from finchshed.common.backoff import Backoff
@@ -10,28 +8,27 @@
 from finchshed.routing.pool import ServicePool
 
 EJECT_AFTER_FAILURES = 5
-"""Failures in a row after which an endpoint is ejected. Chosen, not measured."""
+"""Consecutive failures after which an endpoint is ejected."""
 
 EJECTION_SECONDS = 1.0
-"""First ejection; it doubles with each further one. Chosen, not measured."""
+"""Duration of the first ejection; it doubles with each further one."""
 
 EJECTION_MAX_SECONDS = 30.0
-"""Longest ejection. Chosen, not measured."""
+"""Maximum duration of an ejection."""
 
 EJECTION_BACKOFF = Backoff(EJECTION_SECONDS, EJECTION_MAX_SECONDS)
 
-EJECTED_FRACTION_MAX = 0.34
-"""Largest fraction of a service's endpoints that may be ejected at a time, so that failures that
-come of something else don't close the service. Chosen, not measured; of nine endpoints that fail
-six stay in use (tests/routing/test_table.py)."""
+MAX_EJECTED_FRACTION = 0.34
+"""Maximum fraction of a service's endpoints ejected at a time, so that failures with a common cause
+don't make the whole service unavailable."""
 
 
 def eject_if_failing(view: EndpointView, pool: ServicePool, now: float) -> None:
-    """Leave an endpoint out of ``pool`` for a time if it has failed often enough."""
+    """Eject an endpoint from ``pool`` if it has reached the number of consecutive failures."""
     if view.consecutive_failures < EJECT_AFTER_FAILURES:
         return
     view.consecutive_failures = 0
-    allowed = max(1, int(len(pool) * EJECTED_FRACTION_MAX)) if len(pool) > 1 else 0
+    allowed = max(1, int(len(pool) * MAX_EJECTED_FRACTION)) if len(pool) > 1 else 0
     if pool.ejected(now) >= allowed:
         return
     duration = EJECTION_BACKOFF.bound(view.ejections)
--- a/src/finchshed/routing/endpoint.py
+++ b/src/finchshed/routing/endpoint.py
@@ -1,8 +1,7 @@
-"""What a caller's daemon knows of one endpoint, and what it expects of it.
+"""State of one endpoint as seen by a calling daemon, and the cost of sending it a request.
 
-Inputs: load reports (threshold as a rank, queueing delay in seconds, limit in requests) with their
-age, results and latencies of the own attempts, and signs that it drains. Owns nothing else; the
-table hands the inputs in, and compares endpoints by :meth:`EndpointView.cost` and
+Derived from load reports and their age, results and latencies of this daemon's own attempts, and
+notices that the endpoint is draining. Endpoints are compared by :meth:`EndpointView.cost` and
 :meth:`EndpointView.expected_seconds`.
 """
 
@@ -17,45 +16,41 @@
 from finchshed.configuration.resources import Endpoint, EndpointState
 
 ENDPOINT_LATENCY_WEIGHT = 0.1
-"""Weight of one answer in the endpoint's mean latency: about the last 10. Chosen, not measured."""
+"""Weight of one answer in the endpoint's mean latency."""
 
 FAILURE_PENALTY_SECONDS = 1.0
-"""A fast failure weighs like a call in flight, fading with this time constant. Chosen, not
-measured; an endpoint that fails each call gets under 5% of 2,000 (tests/routing/test_table.py)."""
+"""Time constant with which the penalty of a failure decays; it starts as one call in flight."""
 
 FAILING_PENALTY = 1.0
-"""Penalty, failures, from which an endpoint counts as failing: one just now. Chosen, not
-measured."""
+"""Penalty from which an endpoint counts as failing: that of one failure just now."""
 
 SLOW_START_WEIGHT = 0.1
-"""Fraction of full load that a new back end starts with. Chosen, not measured; it gets at most 10
-of its first 100 calls among five (tests/routing/test_table.py)."""
+"""Fraction of full load with which a new back end starts."""
 
-LATENCY_MEMORY_SECONDS = 1.0
-"""What an endpoint's mean latency differs from its service's fades with this time constant.
+LATENCY_DECAY_SECONDS = 1.0
+"""Time constant with which an endpoint's mean latency returns to the mean of its service.
 
-Else an endpoint whose first answer was slow is never drawn again, and never shows that it is fast:
-one of ten whose first answer took 20 s got 4 of the last 1,000 calls (docs/design/routing.md).
+Otherwise, an endpoint whose first answer was slow would never be chosen again.
 """
 
 MIN_LATENCY_SECONDS = 0.001
-"""Latencies below this are not told apart when endpoints are compared. Chosen, not measured."""
+"""Latencies below this are treated as equal when endpoints are compared."""
 
 NO_REPORT = LoadReport()
 
 
 class DrainSource(enum.IntFlag):
-    """Where it is known from that an endpoint drains; any one sign suffices."""
+    """Sources that can mark an endpoint as draining; any one of them suffices."""
 
     NONE = 0
     REPORTED = 1
-    """Its own daemon or back end says so."""
+    """Its own daemon or back end."""
 
     CONFIGURATION = 2
-    """An operator declared it."""
+    """The configuration, changed by an operator."""
 
     PLATFORM = 4
-    """The platform's list of machines says so."""
+    """The platform's list of machines."""
 
 
 class EndpointView:
@@ -64,9 +59,9 @@
     Parameters
     ----------
     endpoint
-        Its declaration.
+        Its resource in the configuration.
     cold_since
-        When it was first seen as new, seconds; None for one that was there from the start.
+        When it was first seen, seconds; None if it was in the first configuration.
     """
 
     __slots__ = (
@@ -81,13 +76,13 @@
         "ejected_until",
         "ejections",
         "endpoint",
-        "group",
+        "endpoint_list",
         "in_flight",
         "incarnation",
         "link_down_until",
         "link_failures",
         "mean_latency",
-        "place",
+        "pool_index",
     )
 
     def __init__(self, endpoint: Endpoint, cold_since: float | None) -> None:
@@ -101,8 +96,8 @@
         self.link_failures = 0
         self.drain_sources = DrainSource.NONE
         self.incarnation = ""
-        self.place = -1
-        self.group: list[EndpointView] | None = None
+        self.pool_index = -1
+        self.endpoint_list: list[EndpointView] | None = None
         self._answered_at = float("-inf")
         self._cold_since = cold_since
         self._report = NO_REPORT
@@ -112,17 +107,17 @@
         self.declare(endpoint)
 
     def declare(self, endpoint: Endpoint) -> None:
-        """Act on a changed declaration."""
+        """Apply a changed configuration of the endpoint."""
         self.endpoint = endpoint
         self.set_drain_source(DrainSource.CONFIGURATION, endpoint.state is EndpointState.LEAVING)
 
-    def set_drain_source(self, sign: DrainSource, is_set: bool) -> None:
-        """Set or clear the sign of one source."""
-        self.drain_sources = self.drain_sources | sign if is_set else self.drain_sources & ~sign
+    def set_drain_source(self, source: DrainSource, is_set: bool) -> None:
+        """Set or clear the draining state reported by one source."""
+        self.drain_sources = self.drain_sources | source if is_set else self.drain_sources & ~source
 
     @property
     def is_draining(self) -> bool:
-        """Whether any source says that it drains."""
+        """Whether any source reports that it is draining."""
         return bool(self.drain_sources)
 
     def is_available(self, now: float) -> bool:
@@ -130,11 +125,11 @@
         return not self.drain_sources and now >= self.available_at()
 
     def available_at(self) -> float:
-        """Return when an endpoint that doesn't drain may be sent work again, seconds."""
+        """Return when new work may be sent again unless the endpoint is draining, seconds."""
         return max(self.ejected_until, self.link_down_until)
 
     def weight(self, now: float) -> float:
-        """Return the fraction of full load the endpoint is given; below 1 while it warms up."""
+        """Return the fraction of full load to send; below 1 while the endpoint warms up."""
         if self._cold_since is None:
             return 1.0
         age = now - self._cold_since
@@ -145,73 +140,73 @@
         return SLOW_START_WEIGHT + (1.0 - SLOW_START_WEIGHT) * age / warm_up
 
     def path_threshold(self, route: str, now: float) -> PathThreshold:
-        """Return the threshold that requests of a route meet here or further down."""
+        """Return the higher of the endpoint's own threshold and that of its downstream calls."""
         if not self._report.threshold and not self._report.paths:
             return NO_THRESHOLD
         age = now - self._report_at
         own = NO_THRESHOLD
         if self._report.threshold:
             own = PathThreshold(self._report.threshold, 0).aged(age)
-        below = self._report.paths.get(route)
-        if below is None:
+        downstream = self._report.paths.get(route)
+        if downstream is None:
             return own
-        below = below.aged(age)
-        return below if below.value > own.value else own
+        downstream = downstream.aged(age)
+        return downstream if downstream.value > own.value else own
 
     def has_recent_report(self, now: float) -> bool:
-        """Return whether a report has come lately."""
-        return self._freshness(now) > 0.0
+        """Return whether a report was received recently."""
+        return self._report_weight(now) > 0.0
 
     def report_age(self, now: float) -> float:
-        """Return the seconds since the last report; negative where none came."""
+        """Return the seconds since the last report; negative if there was none."""
         return now - self._report_at if self._report_at > 0.0 else -1.0
 
     def admits(self, rank: int, route: str, now: float) -> bool:
-        """Return whether a request of ``rank`` is worth sending."""
+        """Return whether the endpoint would admit a request of ``rank``."""
         return rank >= RANKS or rank >= self.path_threshold(route, now).value
 
     def is_full(self, now: float) -> bool:
-        """Return whether the endpoint has no free slot by its own report and our own count."""
+        """Return whether no slot is free, by its report and this daemon's own calls in flight."""
         if self.in_flight >= self._limit(now):
             return True
-        return self._report.queue_delay * self._freshness(now) > self.mean_latency > 0.0
+        return self._report.queue_delay * self._report_weight(now) > self.mean_latency > 0.0
 
-    def cost(self, usual_latency: float, now: float) -> float:
-        """Return the expected wait of one more request, seconds; lower is better.
+    def cost(self, service_latency: float, now: float) -> float:
+        """Return the expected wait of one more request, seconds.
 
         Parameters
         ----------
-        usual_latency
-            Mean latency over the service, for an endpoint that has not answered yet.
+        service_latency
+            Mean latency of the service, towards which that of the endpoint decays.
         """
-        latency = self._latency(usual_latency, now)
+        latency = self._expected_latency(service_latency, now)
         queued = self.in_flight + 1 + self._penalty_now(now)
-        ours = queued * max(latency, MIN_LATENCY_SECONDS) / self._limit(now)
-        return ours + self._report.queue_delay * self._freshness(now)
+        own_wait = queued * max(latency, MIN_LATENCY_SECONDS) / self._limit(now)
+        return own_wait + self._report.queue_delay * self._report_weight(now)
 
-    def expected_seconds(self, usual_latency: float, now: float) -> float:
-        """Return how long an answer should take; lately failed attempts make it longer."""
-        latency = self._latency(usual_latency, now)
-        queued = self._report.queue_delay * self._freshness(now)
+    def expected_seconds(self, service_latency: float, now: float) -> float:
+        """Return the expected time to an answer; recent failures increase it."""
+        latency = self._expected_latency(service_latency, now)
+        queued = self._report.queue_delay * self._report_weight(now)
         return latency * (1.0 + self._penalty_now(now)) + queued
 
     def is_failing(self, now: float) -> bool:
-        """Return whether attempts failed lately."""
+        """Return whether attempts failed recently."""
         return self._penalty_now(now) >= FAILING_PENALTY
 
     def on_report(self, load: LoadReport, now: float) -> None:
-        """Hold a report that came with an answer or a heartbeat."""
+        """Store a report received with an answer or a heartbeat."""
         self._report = load
         self._report_at = now
         self.set_drain_source(DrainSource.REPORTED, load.draining)
 
     def on_result(
-        self, result: CallResult, latency: float, usual_latency: float, now: float
+        self, result: CallResult, latency: float, service_latency: float, now: float
     ) -> None:
-        """Count the end of one attempt; latencies in seconds, ``usual_latency`` the service's."""
+        """Record the result of one attempt; latencies are in seconds."""
         if result is CallResult.OK:
             self.consecutive_failures = 0
-            mean = self._latency(usual_latency, now) if self.mean_latency else latency
+            mean = self._expected_latency(service_latency, now) if self.mean_latency else latency
             self.mean_latency = moving_average(mean, latency, ENDPOINT_LATENCY_WEIGHT)
             self._answered_at = now
         elif result is CallResult.ERROR or result is CallResult.FAILED:
@@ -219,19 +214,19 @@
             self._penalty = self._penalty_now(now) + 1.0
             self._penalty_at = now
 
-    def _latency(self, usual: float, now: float) -> float:
-        """Return the latency to expect: the mean, faded to the usual one with its age."""
+    def _expected_latency(self, service_latency: float, now: float) -> float:
+        """Return the mean latency, decayed towards that of the service with its age."""
         if self.mean_latency == 0.0:
-            return usual
-        kept = math.exp((self._answered_at - now) / LATENCY_MEMORY_SECONDS)
-        return usual + kept * (self.mean_latency - usual)
+            return service_latency
+        kept = math.exp((self._answered_at - now) / LATENCY_DECAY_SECONDS)
+        return service_latency + kept * (self.mean_latency - service_latency)
 
     def _limit(self, now: float) -> float:
-        """Return the work it takes: what is declared bounds what it reports."""
+        """Return the concurrency limit: the reported one, bounded by the declared slots."""
         slots = self.endpoint.slots
         return min(self._report.limit or slots, slots) * self.weight(now)
 
-    def _freshness(self, now: float) -> float:
+    def _report_weight(self, now: float) -> float:
         return remaining_weight(now - self._report_at)
 
     def _penalty_now(self, now: float) -> float:
--- a/src/finchshed/routing/pool.py
+++ b/src/finchshed/routing/pool.py
@@ -1,9 +1,8 @@
-"""The endpoints of one service as one caller's daemon sees them, ready to be drawn from.
+"""Endpoints of one service, as seen by one daemon that calls it.
 
-Those that take work stand in one list for each tier of distance, so that a draw costs the same
-however many there are. The others are parked until their time is over. Owns which endpoints are
-open, which of them are in the caller's subset, and the service's mean latency (seconds); relies on
-the table to call :meth:`ServicePool.refresh` after each change of an endpoint's availability.
+Available endpoints are kept in one list per distance tier, so that the cost of a choice does not
+depend on their number. Unavailable ones are kept aside until they may be used again. The routing
+table calls :meth:`ServicePool.refresh` after each change of an endpoint's availability.
 """
 
 import heapq
@@ -26,34 +25,32 @@
 from finchshed.routing.endpoint import EndpointView
 
 TIERS = 3
-"""Tiers of distance: the caller's zone, its region, anywhere."""
+"""Number of distance tiers: the caller's zone, its region, anywhere."""
 
 DEFAULT_SUBSET_SIZE = 20
-"""Endpoints of a tier that one caller uses, unless none of them can be used. Chosen, not measured;
-a setting (``subset_size``)."""
+"""Number of endpoints per tier that one caller uses; configurable as ``subset_size``."""
 
 MAX_DRAWS = 8
-"""Endpoints of a tier that are looked at for one call. Chosen, not measured; with it a choice takes
-3.3 to 5.3 us from 10 to 1,100 endpoints (docs/design/routing.md)."""
+"""Maximum number of endpoints of a tier that are examined for one call."""
 
-CLEARLY_BETTER_FRACTION = 0.9
-"""The second endpoint drawn is taken if its cost is below this fraction of the first one's: costs
-are estimates, and always taking the lower one sends all calls one way at low load. Chosen, not
-measured."""
+SWITCH_COST_FRACTION = 0.9
+"""The second endpoint drawn is chosen if its cost is below this fraction of the first one's.
+
+Costs are estimates; always choosing the lower one would send all calls to one endpoint at low load.
+"""
 
 SERVICE_LATENCY_WEIGHT = 0.02
-"""Weight of one answer in the service's mean latency: about the last 50. Chosen, not measured."""
+"""Weight of one answer in the service's mean latency."""
 
-REPORTED_FRACTION_LEAST = 1 / 3
-"""Fraction of the open endpoints that must have reported lately for a path threshold to be given.
-Chosen, not measured."""
+MIN_REPORTED_FRACTION = 1 / 3
+"""Fraction of the available endpoints that must have reported recently for a path threshold."""
 
 
-class Drawn(msgspec.Struct, frozen=True, gc=False):
-    """The endpoint drawn from a tier, if any, and whether one was passed over as overloaded."""
+class DrawResult(msgspec.Struct, frozen=True, gc=False):
+    """The endpoint drawn from a tier, if any, and whether one was skipped as overloaded."""
 
     view: EndpointView | None
-    has_shed: bool
+    skipped_overloaded: bool
 
 
 class ServicePool:
@@ -64,10 +61,10 @@
     rng
         Source of the random choices.
     owner
-        Identity of the caller; it settles which endpoints are in its subset.
+        Identity of the calling daemon; it determines which endpoints are in its subset.
     subset_size
-        Endpoints of a tier that the caller uses, at least 2. The others are used only while none of
-        those can be, so the links of a caller stay bounded however many endpoints there are.
+        Number of endpoints per tier in the subset, at least 2. Others are used only while none in
+        the subset is available, which bounds the number of links per caller.
     """
 
     def __init__(
@@ -76,16 +73,16 @@
         self._rng = rng
         self._owner = owner
         self._subset_size = subset_size
-        self._members: tuple[dict[str, int], ...] = tuple({} for _ in range(TIERS))
+        self._scores: tuple[dict[str, int], ...] = tuple({} for _ in range(TIERS))
         self._subsets: list[set[str]] = [set() for _ in range(TIERS)]
-        self._lowest = [-1] * TIERS
+        self._lowest_scores = [-1] * TIERS
         self._tiers: tuple[list[EndpointView], ...] = tuple([] for _ in range(TIERS))
-        self._others: tuple[list[EndpointView], ...] = tuple([] for _ in range(TIERS))
+        self._outside_subset: tuple[list[EndpointView], ...] = tuple([] for _ in range(TIERS))
         self._tier_of: dict[str, int] = {}
         self._views: dict[str, EndpointView] = {}
-        self._parked: list[tuple[float, int, EndpointView]] = []
+        self._unavailable: list[tuple[float, int, EndpointView]] = []
         self._order = itertools.count()
-        self._least_importance = max(Importance)
+        self._lowest_importance = max(Importance)
         self.mean_latency = 0.0
 
     def __len__(self) -> int:
@@ -93,7 +90,7 @@
         return len(self._views)
 
     def put(self, view: EndpointView, tier: int, now: float) -> None:
-        """Add an endpoint, in place of one of the same name."""
+        """Add an endpoint, replacing one of the same name."""
         name = view.endpoint.name
         self.remove(name)
         self._views[name] = view
@@ -101,28 +98,28 @@
         self.refresh(view, now)
 
     def remove(self, name: str) -> None:
-        """Forget an endpoint."""
+        """Remove an endpoint."""
         view = self._views.pop(name, None)
         if view is not None:
-            self._close(view)
+            self._remove_from_list(view)
             tier = self._tier_of.pop(name)
-            self._drop_member(name, tier)
+            self._drop_from_subset(name, tier)
 
     def refresh(self, view: EndpointView, now: float) -> None:
-        """Sort an endpoint anew after its availability changed."""
-        self._update_membership(view)
+        """Update the lists after an endpoint's availability changed."""
+        self._update_subset(view)
         if view.is_available(now):
-            self._open(view)
+            self._add_to_list(view)
             return
-        self._close(view)
+        self._remove_from_list(view)
         if not view.is_draining:
-            heapq.heappush(self._parked, (view.available_at(), next(self._order), view))
+            heapq.heappush(self._unavailable, (view.available_at(), next(self._order), view))
 
-    def designated(self, signature: str, now: float) -> EndpointView | None:
-        """Return the endpoint that alone may run a suspect, the same for every caller.
+    def designated_endpoint(self, signature: str, now: float) -> EndpointView | None:
+        """Return the only endpoint that may run a suspect request, the same for every caller.
 
-        By rendezvous hashing, over those that don't drain and whose link isn't down: what each
-        caller finds out for itself, as who is ejected, doesn't move a suspect elsewhere.
+        Uses rendezvous hashing over the endpoints that aren't draining and whose link is up.
+        Ejections are ignored, because they are local to each caller.
         """
         usable = (
             view
@@ -135,23 +132,23 @@
             default=None,
         )
 
-    def note_importance(self, importance: Importance) -> None:
-        """Note that requests of this class are sent to the service."""
-        self._least_importance = min(self._least_importance, importance)
+    def record_importance(self, importance: Importance) -> None:
+        """Record that requests of this class are sent to the service."""
+        self._lowest_importance = min(self._lowest_importance, importance)
 
     def draw(
         self, tier: int, rank: int, route: str, excluded: Collection[str], now: float
-    ) -> Drawn:
-        """Draw two endpoints of a tier that take a request, and return the better one.
+    ) -> DrawResult:
+        """Draw two endpoints of a tier that admit a request, and return the one of lower cost.
 
-        Two random choices: Mitzenmacher, *The Power of Two Choices in Randomized Load Balancing*,
+        Power of two choices: Mitzenmacher, *The Power of Two Choices in Randomized Load Balancing*,
         2001.
         """
-        self._unpark(now)
+        self._restore_available(now)
         drawn = self._draw_from(self._tiers[tier], rank, route, excluded, now)
-        if drawn.view is not None or drawn.has_shed:
+        if drawn.view is not None or drawn.skipped_overloaded:
             return drawn
-        return self._draw_from(self._others[tier], rank, route, excluded, now)
+        return self._draw_from(self._outside_subset[tier], rank, route, excluded, now)
 
     def _draw_from(
         self,
@@ -160,59 +157,61 @@
         route: str,
         excluded: Collection[str],
         now: float,
-    ) -> Drawn:
-        has_shed = False
+    ) -> DrawResult:
+        skipped_overloaded = False
         for first in self._sample(views):
             if first.endpoint.name in excluded:
                 continue
             if not first.admits(rank, route, now):
-                has_shed = True
+                skipped_overloaded = True
                 continue
-            # With replacement, so that none of a few endpoints is left out for good.
+            # Drawn with replacement, so that the costlier of two endpoints is chosen too.
             second = views[int(self._rng.random() * len(views))]
             if second.endpoint.name in excluded or not second.admits(rank, route, now):
-                return Drawn(first, has_shed)
-            usual = self.mean_latency
-            is_better = second.cost(usual, now) < CLEARLY_BETTER_FRACTION * first.cost(usual, now)
-            return Drawn(second if is_better else first, has_shed)
-        return Drawn(None, has_shed)
+                return DrawResult(first, skipped_overloaded)
+            service_latency = self.mean_latency
+            is_better = second.cost(service_latency, now) < SWITCH_COST_FRACTION * first.cost(
+                service_latency, now
+            )
+            return DrawResult(second if is_better else first, skipped_overloaded)
+        return DrawResult(None, skipped_overloaded)
 
     def path_threshold(self, route: str, now: float) -> PathThreshold:
-        """Return the threshold that requests of a route meet, over the endpoints that reported.
+        """Return the threshold for requests of a route, averaged over the endpoints that reported.
 
-        It cuts the classes where the endpoints' thresholds do on the mean: a call goes to any of
-        them, and what one can't take another may. An endpoint without a threshold takes all that is
-        sent here, which begins at the least important class seen, and as many calls as the others.
+        The mean is taken over the cutoffs, because a call may go to any of the endpoints. One
+        without a threshold admits everything, so it counts as a cutoff at the least important class
+        sent to the service.
         """
-        least = float(self._least_importance)
-        cuts = 0.0
+        lowest = float(self._lowest_importance)
+        cutoffs = 0.0
         ages = 0
-        cutting = 0
+        limiting = 0
         reported = 0
         views = 0
-        for view in self._open_views():
+        for view in self._available_views():
             views += 1
             if not view.has_recent_report(now):
                 continue
             reported += 1
             threshold = view.path_threshold(route, now)
-            cut = cutoff_of(threshold.value)
-            if cut > least:
-                cutting += 1
+            cutoff = cutoff_of(threshold.value)
+            if cutoff > lowest:
+                limiting += 1
                 ages += threshold.age_ms
-            cuts += max(cut, least)
-        if not cutting or reported < views * REPORTED_FRACTION_LEAST:
+            cutoffs += max(cutoff, lowest)
+        if not limiting or reported < views * MIN_REPORTED_FRACTION:
             return NO_THRESHOLD
-        # What has faded here already must not fade once more for its age on the way.
-        age_ms = min(ages // cutting, DECAY_START_MILLISECONDS)
-        return PathThreshold(rank_of_cutoff(cuts / reported), age_ms)
+        # The mean has already decayed; a higher age would make the receiver decay it again.
+        age_ms = min(ages // limiting, DECAY_START_MILLISECONDS)
+        return PathThreshold(rank_of_cutoff(cutoffs / reported), age_ms)
 
     def ejected(self, now: float) -> int:
-        """Return the number of endpoints ejected at present."""
+        """Return the number of currently ejected endpoints."""
         return sum(1 for view in self._views.values() if view.ejected_until > now)
 
     def on_result(self, result: CallResult, latency: float) -> None:
-        """Count the end of an attempt at any endpoint; ``latency`` in seconds."""
+        """Record the result of an attempt at any endpoint; ``latency`` is in seconds."""
         if result is not CallResult.OK:
             return
         if self.mean_latency == 0.0:
@@ -230,68 +229,69 @@
             taken.append(index)
             yield views[index]
 
-    def _open_views(self) -> Iterator[EndpointView]:
+    def _available_views(self) -> Iterator[EndpointView]:
         return itertools.chain.from_iterable(self._tiers)
 
-    def _unpark(self, now: float) -> None:
-        parked = self._parked
-        while parked and parked[0][0] <= now:
-            view = heapq.heappop(parked)[2]
+    def _restore_available(self, now: float) -> None:
+        unavailable = self._unavailable
+        while unavailable and unavailable[0][0] <= now:
+            view = heapq.heappop(unavailable)[2]
             if self._views.get(view.endpoint.name) is view and view.is_available(now):
-                self._open(view)
+                self._add_to_list(view)
 
-    def _open(self, view: EndpointView) -> None:
-        if view.place >= 0:
+    def _add_to_list(self, view: EndpointView) -> None:
+        if view.pool_index >= 0:
             return
         name = view.endpoint.name
         tier = self._tier_of[name]
-        group = (self._tiers if name in self._subsets[tier] else self._others)[tier]
-        view.group = group
-        view.place = len(group)
-        group.append(view)
+        endpoints = (self._tiers if name in self._subsets[tier] else self._outside_subset)[tier]
+        view.endpoint_list = endpoints
+        view.pool_index = len(endpoints)
+        endpoints.append(view)
 
-    def _close(self, view: EndpointView) -> None:
-        if view.place < 0 or view.group is None:
+    def _remove_from_list(self, view: EndpointView) -> None:
+        if view.pool_index < 0 or view.endpoint_list is None:
             return
-        last = view.group.pop()
+        last = view.endpoint_list.pop()
         if last is not view:
-            view.group[view.place] = last
-            last.place = view.place
-        view.place = -1
-        view.group = None
+            view.endpoint_list[view.pool_index] = last
+            last.pool_index = view.pool_index
+        view.pool_index = -1
+        view.endpoint_list = None
 
-    def _update_membership(self, view: EndpointView) -> None:
-        """Let another endpoint take the place in the subset of one that drains, and back."""
+    def _update_subset(self, view: EndpointView) -> None:
+        """Replace a draining endpoint in the subset, and restore one that stopped draining."""
         name = view.endpoint.name
         tier = self._tier_of[name]
         if view.is_draining:
-            self._drop_member(name, tier)
-        elif name not in self._members[tier]:
+            self._drop_from_subset(name, tier)
+        elif name not in self._scores[tier]:
             score = self._score(name)
-            self._members[tier][name] = score
-            if score > self._lowest[tier]:
+            self._scores[tier][name] = score
+            if score > self._lowest_scores[tier]:
                 self._choose_subset(tier)
 
-    def _drop_member(self, name: str, tier: int) -> None:
-        if self._members[tier].pop(name, None) is not None and name in self._subsets[tier]:
+    def _drop_from_subset(self, name: str, tier: int) -> None:
+        if self._scores[tier].pop(name, None) is not None and name in self._subsets[tier]:
             self._choose_subset(tier)
 
     def _choose_subset(self, tier: int) -> None:
-        """Choose the members of the highest scores (rendezvous hashing, Thaler, Ravishankar, 1998).
+        """Select the endpoints of the highest scores.
 
-        A member that comes or goes changes at most one other's place.
+        Uses rendezvous hashing (Thaler, Ravishankar, 1998), so that adding or removing an endpoint
+        changes at most one other member of the subset.
         """
-        members = self._members[tier]
-        chosen = heapq.nlargest(self._subset_size, members, key=members.__getitem__)
-        is_whole = len(chosen) < self._subset_size
-        self._lowest[tier] = -1 if is_whole else members[chosen[-1]]
+        scores = self._scores[tier]
+        chosen = heapq.nlargest(self._subset_size, scores, key=scores.__getitem__)
+        has_room = len(chosen) < self._subset_size
+        self._lowest_scores[tier] = -1 if has_room else scores[chosen[-1]]
         before = self._subsets[tier]
         self._subsets[tier] = set(chosen)
         for name in before.symmetric_difference(chosen):
             view = self._views.get(name)
-            if view is not None and view.place >= 0:
-                self._close(view)
-                self._open(view)
+            if view is not None and view.pool_index >= 0:
+                self._remove_from_list(view)
+                self._add_to_list(view)
 
     def _score(self, name: str) -> int:
         return xxhash.xxh3_64_intdigest(f"{self._owner}/{name}".encode())
--- a/src/finchshed/routing/table.py
+++ b/src/finchshed/routing/table.py
@@ -1,10 +1,9 @@
-"""The endpoints of all services as one caller's daemon sees them, and which of them a call goes to.
+"""Routing table of one daemon: the endpoints of all services, and the choice among them.
 
-Owns what is held of each endpoint: signs that it drains, the state of its link, ejections, its
-latest load report. Inputs: the configuration and registrations, load reports, results of attempts
-(latency in seconds), links that come up or break. :mod:`finchshed.routing.placement` chooses among
-the endpoints of a service. Reasons given: ``no_backend``, and ``overload`` where every endpoint
-drawn would refuse the request's rank.
+Updated by the configuration, registrations, load reports, results of attempts, and links that come
+up or break. :mod:`finchshed.routing.endpoint_selection` selects among the endpoints of a service.
+Refusal reasons: ``no_backend``, and ``overload`` if every endpoint examined would refuse the
+request's rank.
 """
 
 import random
@@ -20,28 +19,27 @@
 from finchshed.retry.policy import retry_after
 from finchshed.routing.ejection import eject_if_failing
 from finchshed.routing.endpoint import DrainSource, EndpointView
-from finchshed.routing.link_hold import hold_back, release
-from finchshed.routing.placement import Wanted, place
+from finchshed.routing.endpoint_selection import SelectionCriteria, select_endpoint
+from finchshed.routing.link_backoff import back_off, reset_backoff
 from finchshed.routing.pool import DEFAULT_SUBSET_SIZE, ServicePool
 
 NO_ENDPOINT_OVERLOAD = 1.0
-"""Overload that the time to come back is computed with where nothing takes a call: 0.5 s in the
-mean. Chosen, not measured."""
+"""Overload used for the retry-after time if no endpoint takes a call; a mean of 0.5 s."""
 
 
 class RoutingTable:
-    """Endpoints of all services as one caller's daemon sees them.
+    """Endpoints of all services, as seen by one calling daemon.
 
     Parameters
     ----------
     zone, region
-        Where the daemon runs.
+        Location of the daemon.
     rng
         Source of the random choices.
     owner
-        Identity of the daemon; daemons of different identities use different subsets.
+        Identity of the daemon; it determines which endpoints the daemon uses.
     subset_size
-        Endpoints of one service in each of zone, region and elsewhere that are used.
+        Number of endpoints of a service used in each of zone, region and elsewhere.
     """
 
     def __init__(
@@ -63,17 +61,17 @@
         self._loaded = False
 
     def replace(self, endpoints: Iterable[Endpoint], now: float = 0.0) -> None:
-        """Hold the endpoints of a configuration in place of those held."""
-        gone = set(self._views)
+        """Replace all endpoints by those of a configuration."""
+        removed = set(self._views)
         for endpoint in endpoints:
-            gone.discard(endpoint.name)
+            removed.discard(endpoint.name)
             self._declare(endpoint, now)
-        for name in gone:
+        for name in removed:
             self._pools[self._views.pop(name).endpoint.service].remove(name)
         self._loaded = True
 
     def view(self, name: str) -> EndpointView | None:
-        """Return what is known of an endpoint."""
+        """Return the state of an endpoint."""
         return self._views.get(name)
 
     def choose(
@@ -95,134 +93,136 @@
         route
             Route of the service that the call falls under.
         target_seconds
-            Latency the call is meant to be answered in; 0: none. A near endpoint that is expected
-            to take too much of it, or that fails, gives way to a better one of the region.
+            Target latency of the call; 0 if it has none. If the near endpoint may miss it or is
+            failing, a faster one of the region is chosen.
         """
         pool = self._pools.get(service)
         if pool is None:
             return self._refused(RefusalReason.NO_BACKEND)
-        pool.note_importance(context.importance)
-        # What was admitted as a whole waits, and is not shed on the way.
+        pool.record_importance(context.importance)
+        # Requests of an admitted session or call tree are not shed.
         rank = RANKS if context.is_admitted else rank_of(context)
-        placed = place(pool, Wanted(rank, route, excluded, target_seconds), now)
-        if placed.view is not None:
-            return placed.view.endpoint
-        has_shed = placed.has_shed
-        return self._refused(RefusalReason.OVERLOAD if has_shed else RefusalReason.NO_BACKEND)
+        selection = select_endpoint(
+            pool, SelectionCriteria(rank, route, excluded, target_seconds), now
+        )
+        if selection.view is not None:
+            return selection.view.endpoint
+        is_overloaded = selection.skipped_overloaded
+        return self._refused(RefusalReason.OVERLOAD if is_overloaded else RefusalReason.NO_BACKEND)
 
     def choose_pinned(self, name: str, excluded: Collection[str], now: float) -> Endpoint | Refused:
-        """Return the endpoint a session is pinned to; one that drains keeps its sessions."""
+        """Return the endpoint a session is pinned to; a draining one keeps its sessions."""
         view = self._views.get(name)
         if view is None or name in excluded or now < view.link_down_until:
             return Refused(RefusalReason.NO_BACKEND, retry_after(0.0, self._rng))
         return view.endpoint
 
     def choose_designated(self, service: str, signature: str, now: float) -> Endpoint | Refused:
-        """Return the endpoint designated for a suspect, or refuse it where there is none."""
+        """Return the endpoint designated for a suspect request, or refuse it if there is none."""
         pool = self._pools.get(service)
-        view = None if pool is None else pool.designated(signature, now)
+        view = None if pool is None else pool.designated_endpoint(signature, now)
         if view is None:
             return self._refused(RefusalReason.NO_BACKEND)
         return view.endpoint
 
     def is_usable(self, name: str, service: str, now: float) -> bool:
-        """Return whether ``name`` is a declared endpoint of ``service`` whose link isn't down."""
+        """Return whether ``name`` is an endpoint of ``service`` whose link isn't down."""
         view = self._views.get(name)
         return view is not None and view.endpoint.service == service and now >= view.link_down_until
 
     def path_threshold(self, service: str, route: str, now: float) -> PathThreshold:
-        """Return the threshold that calls to a route of a service meet, over its endpoints."""
+        """Return the threshold for calls to a route of a service, averaged over its endpoints."""
         pool = self._pools.get(service)
         return NO_THRESHOLD if pool is None else pool.path_threshold(route, now)
 
     def report_age_and_in_flight(self, name: str, now: float) -> tuple[float, int]:
-        """Return the seconds since an endpoint's report (negative: none), and our calls there."""
+        """Return an endpoint's report age (seconds; negative: no report) and calls in flight."""
         view = self._views.get(name)
         return (-1.0, 0) if view is None else (view.report_age(now), view.in_flight)
 
     def admitted_fraction(self, name: str, context: CallContext, route: str, now: float) -> float:
-        """Return the fraction of a request's class that an endpoint admits with it."""
+        """Return the fraction of a request's class that an endpoint currently admits."""
         view = self._views.get(name)
         if view is None or context.is_admitted:
             return 1.0
         return admitted_fraction(context.importance, view.path_threshold(route, now).value)
 
     def on_sent(self, name: str, now: float) -> None:
-        """Count an attempt sent."""
+        """Record that an attempt was sent."""
         view = self._views.get(name)
         if view is None:
             return
         view.in_flight += 1
         if view.link_failures:
-            # One call finds out whether the link can be opened; the others go elsewhere.
-            hold_back(view, self._pool_of(view), now)
+            # This call probes the link; others use another endpoint meanwhile.
+            back_off(view, self._pool_of(view), now)
 
     def on_reply(
         self, name: str, load: LoadReport | None, result: CallResult, latency: float, now: float
     ) -> None:
-        """Count the end of an attempt; ``load`` is None if no answer came."""
+        """Record the end of an attempt; ``load`` is None if there was no answer."""
         view = self._views.get(name)
         if view is None:
             return
         view.in_flight = max(0, view.in_flight - 1)
         if load is not None:
-            self._hold_report(view, load, now)
+            self._store_report(view, load, now)
         pool = self._pool_of(view)
         pool.on_result(result, latency)
         view.on_result(result, latency, pool.mean_latency, now)
         eject_if_failing(view, pool, now)
 
     def on_report(self, name: str, load: LoadReport, now: float) -> None:
-        """Hold a report that came with a heartbeat."""
+        """Store a report received with a heartbeat."""
         view = self._views.get(name)
         if view is not None:
-            self._hold_report(view, load, now)
+            self._store_report(view, load, now)
 
     def on_link_down(self, name: str, now: float) -> None:
-        """Leave an endpoint alone whose link broke or that is silent."""
+        """Back off from an endpoint whose link broke or timed out."""
         view = self._views.get(name)
         if view is None:
             return
-        # A process that drained is gone with its link; what comes up there next speaks for itself.
+        # The next process at this address is not draining until it reports so itself.
         view.set_drain_source(DrainSource.REPORTED, False)
-        hold_back(view, self._pool_of(view), now)
+        back_off(view, self._pool_of(view), now)
         view.link_failures += 1
 
     def on_link_up(self, name: str, incarnation: str, now: float) -> None:
-        """Use a link that came up to the daemon of this incarnation."""
+        """Use an endpoint whose link came up; a new ``incarnation`` resets its state."""
         view = self._views.get(name)
         if view is None:
             return
         if view.incarnation and view.incarnation != incarnation:
             view = self._put(EndpointView(view.endpoint, now), now)
         view.incarnation = incarnation
-        release(view, self._pool_of(view), now)
+        reset_backoff(view, self._pool_of(view), now)
 
     def mark_draining(self, name: str, now: float) -> None:
-        """Send no new work to an endpoint that says it drains."""
+        """Stop sending new work to an endpoint that reports that it is draining."""
         self.set_drain_source(name, DrainSource.REPORTED, True, now)
 
-    def set_drain_source(self, name: str, sign: DrainSource, is_set: bool, now: float) -> None:
-        """Set or clear what one source says of an endpoint; new work goes to it if none is set."""
+    def set_drain_source(self, name: str, source: DrainSource, is_set: bool, now: float) -> None:
+        """Set or clear the draining state of an endpoint reported by one source."""
         view = self._views.get(name)
         if view is not None:
-            view.set_drain_source(sign, is_set)
+            view.set_drain_source(source, is_set)
             self._refresh(view, now)
 
     def _declare(self, endpoint: Endpoint, now: float) -> None:
-        held = self._views.get(endpoint.name)
-        if held is not None and held.endpoint is endpoint:
+        view = self._views.get(endpoint.name)
+        if view is not None and view.endpoint is endpoint:
             return
-        if held is None:
+        if view is None:
             self._put(EndpointView(endpoint, now if self._loaded else None), now)
-        elif held.endpoint.address != endpoint.address or _location_of(
-            held.endpoint
+        elif view.endpoint.address != endpoint.address or _location_of(
+            view.endpoint
         ) != _location_of(endpoint):
-            self._pools[held.endpoint.service].remove(endpoint.name)
+            self._pools[view.endpoint.service].remove(endpoint.name)
             self._put(EndpointView(endpoint, now), now)
-        elif held.endpoint != endpoint:
-            held.declare(endpoint)
-            self._refresh(held, now)
+        elif view.endpoint != endpoint:
+            view.declare(endpoint)
+            self._refresh(view, now)
 
     def _put(self, view: EndpointView, now: float) -> EndpointView:
         endpoint = view.endpoint
@@ -249,10 +249,10 @@
     def _refused(self, reason: RefusalReason) -> Refused:
         return Refused(reason, retry_after(NO_ENDPOINT_OVERLOAD, self._rng))
 
-    def _hold_report(self, view: EndpointView, load: LoadReport, now: float) -> None:
-        signs = view.drain_sources
+    def _store_report(self, view: EndpointView, load: LoadReport, now: float) -> None:
+        before = view.drain_sources
         view.on_report(load, now)
-        if view.drain_sources != signs:
+        if view.drain_sources != before:
             self._refresh(view, now)
 
 
--- a/tests/routing/test_caller.py
+++ b/tests/routing/test_caller.py
@@ -1,4 +1,4 @@
-"""One call at the caller's side."""
+"""State machine of an outgoing call."""
 
 import random
 
@@ -42,7 +42,7 @@
     )
 
 
-def test_answer_returns_what_was_not_spent() -> None:
+def test_unused_spare_attempts_are_returned_with_the_answer() -> None:
     logic = caller(2, 3)
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
@@ -52,7 +52,7 @@
     ]
 
 
-def test_a_pin_is_kept_when_busy_and_dropped_at_the_bound_on_sessions() -> None:
+def test_pin_is_kept_on_overload_and_dropped_at_the_session_limit() -> None:
     for reason, is_kept in ((RefusalReason.OVERLOAD, True), (RefusalReason.SESSION_LIMIT, False)):
         logic = caller(2, 3, pinned="e1")
         first = logic.begin(0.0)[0]
@@ -66,7 +66,7 @@
         assert (second.endpoint.name == "e1") is is_kept
 
 
-def test_refused_attempt_is_sent_elsewhere_and_paid() -> None:
+def test_refused_attempt_is_retried_elsewhere_and_uses_a_spare_attempt() -> None:
     logic = caller(2, 3)
     first = logic.begin(0.0)[0]
     assert isinstance(first, SendAttempt)
@@ -82,7 +82,7 @@
     ]
 
 
-def test_lost_share_is_not_returned() -> None:
+def test_allocated_attempts_of_a_failed_attempt_are_lost() -> None:
     logic = caller(1, 3)
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
@@ -91,7 +91,7 @@
     assert finish == [Finish(failed, 3 - send.allocated_attempts)]
 
 
-def test_request_that_may_have_run_is_not_repeated_unless_declared() -> None:
+def test_failed_request_is_not_retried_unless_repeatable() -> None:
     logic = caller(2, 3, repeatable=False)
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
@@ -99,7 +99,7 @@
     assert isinstance(logic.on_outcome(send.attempt, failed, 0, None, 0.1)[0], Finish)
 
 
-def test_deadline_ends_the_call_at_once_and_late_outcomes_are_ignored() -> None:
+def test_deadline_ends_the_call_and_late_outcomes_are_ignored() -> None:
     logic = caller(2, 3)
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
@@ -109,7 +109,7 @@
     assert logic.on_outcome(send.attempt, Answered(200, (), b""), 0, None, 1.1) == []
 
 
-def test_refusal_after_a_failed_attempt_is_not_told_as_not_run() -> None:
+def test_refusal_after_a_failed_attempt_is_reported_as_a_failure() -> None:
     logic = caller(2, 3)
     first = logic.begin(0.0)[0]
     assert isinstance(first, SendAttempt)
@@ -125,8 +125,8 @@
     assert finish.outcome.retry_after == 1.0
 
 
-def retried(logic: CallStateMachine, first: Answered, now: float) -> SendAttempt:
-    """Begin a call whose first attempt is answered by ``first``; return the second sending."""
+def retry_after_answer(logic: CallStateMachine, first: Answered, now: float) -> SendAttempt:
+    """Begin a call whose first attempt is answered by ``first``; return the second attempt."""
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
     timer = logic.on_outcome(send.attempt, first, send.allocated_attempts, None, now)[0]
@@ -140,29 +140,29 @@
 ERROR = Answered(500, (), b"error")
 
 
-def test_a_quick_error_of_a_repeatable_request_is_tried_elsewhere() -> None:
+def test_quick_error_of_a_repeatable_request_is_retried_elsewhere() -> None:
     logic = caller(2, 3)
-    second = retried(logic, ERROR, 0.05)
+    second = retry_after_answer(logic, ERROR, 0.05)
     answer = Answered(200, (), b"")
     assert logic.on_outcome(second.attempt, answer, second.allocated_attempts, None, 0.2) == [
         Finish(answer, 2)
     ]
 
 
-def test_an_error_answer_is_delivered_if_the_other_attempt_gives_none() -> None:
+def test_error_answer_is_returned_if_its_retry_is_not_answered() -> None:
     for outcome in (
         Refused(RefusalReason.OVERLOAD, 1.0),
         Failed(FailureReason.BACKEND_BROKEN, 1.0),
     ):
         logic = caller(2, 1)
-        second = retried(logic, ERROR, 0.05)
+        second = retry_after_answer(logic, ERROR, 0.05)
         assert logic.on_outcome(second.attempt, outcome, 0, None, 0.2) == [Finish(ERROR, 0)]
     logic = caller(2, 1)
-    second = retried(logic, ERROR, 0.05)
+    second = retry_after_answer(logic, ERROR, 0.05)
     assert logic.on_timer(1.0)[-1] == Finish(ERROR, 0)
 
 
-def test_an_error_is_final_where_another_attempt_is_no_use() -> None:
+def test_errors_that_must_not_be_retried_are_returned() -> None:
     downstream = Answered(500, ((HEADER_DOWNSTREAM, "1"),), b"")
     cases = (
         (caller(2, 3, repeatable=False), ERROR, 0.05),
--- a/tests/routing/test_near_or_better.py
+++ b/tests/routing/test_near_or_better.py
@@ -1,4 +1,4 @@
-"""A near endpoint is taken while it is good enough for the call's target; else the better one."""
+"""A call leaves its zone only if the near endpoint may miss the target latency."""
 
 import random
 
@@ -16,10 +16,10 @@
 REPORT = LoadReport(limit=8)
 
 
-def table(near: float, far: float, *, near_fails: bool = False) -> RoutingTable:
-    """Return the table of zone a with an endpoint there and one in zone b, by their latencies."""
-    made = RoutingTable("a", "texas", random.Random(3))
-    made.replace(
+def make_table(near: float, far: float, *, near_fails: bool = False) -> RoutingTable:
+    """Return the table of zone a, with endpoints of these latencies in zones a and b."""
+    table = RoutingTable("a", "texas", random.Random(3))
+    table.replace(
         Endpoint(f"s-{zone}", "sales", "texas", zone, f"10.0.0.{number}:7000", 8)
         for number, zone in enumerate("ab", start=1)
     )
@@ -27,15 +27,15 @@
         now = step / 100
         for name, latency in (("s-a", near), ("s-b", far)):
             fails = near_fails and name == "s-a" and step % 2 == 0
-            made.on_sent(name, now)
+            table.on_sent(name, now)
             result = CallResult.FAILED if fails else CallResult.OK
-            made.on_reply(name, REPORT, result, latency, now)
-    return made
+            table.on_reply(name, REPORT, result, latency, now)
+    return table
 
 
-def share_near(made: RoutingTable, target_seconds: float) -> float:
+def fraction_near(table: RoutingTable, target_seconds: float) -> float:
     chosen = [
-        made.choose("sales", CONTEXT, (), 0.61, target_seconds=target_seconds) for _ in range(200)
+        table.choose("sales", CONTEXT, (), 0.61, target_seconds=target_seconds) for _ in range(200)
     ]
     names = [item.name for item in chosen if not isinstance(item, Refused)]
     return names.count("s-a") / len(chosen)
@@ -51,11 +51,11 @@
         (0.10, 0.05, 0.0, 1.0),
     ],
 )
-def test_latency_decides_only_where_the_target_is_in_danger(
+def test_faster_endpoint_is_used_only_if_the_target_may_be_missed(
     near: float, far: float, target: float, expected: float
 ) -> None:
-    assert share_near(table(near, far), target) == expected
+    assert fraction_near(make_table(near, far), target) == expected
 
 
-def test_a_near_endpoint_that_fails_is_left() -> None:
-    assert share_near(table(0.05, 0.05, near_fails=True), 1.0) == 0.0
+def test_failing_near_endpoint_is_not_used() -> None:
+    assert fraction_near(make_table(0.05, 0.05, near_fails=True), 1.0) == 0.0
--- a/tests/routing/test_service_floor.py
+++ b/tests/routing/test_service_floor.py
@@ -1,4 +1,4 @@
-"""The threshold that calls to a service meet, over its endpoints."""
+"""Path threshold of a service, averaged over its endpoints."""
 
 import random
 
@@ -16,52 +16,52 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.routing.table import RoutingTable
 
-NORMAL_FLOOR = lowest_rank_of(Importance.NORMAL)
-HALF_OF_NORMAL = NORMAL_FLOOR + POSITIONS // 2
+LOWEST_NORMAL = lowest_rank_of(Importance.NORMAL)
+HALF_OF_NORMAL = LOWEST_NORMAL + POSITIONS // 2
 
 
-def table_with(thresholds: list[int], told_at: list[float]) -> RoutingTable:
-    """Return a table of endpoints that told these thresholds, with normal requests sent there."""
-    made = RoutingTable("a", "texas", random.Random(3))
-    made.replace(
+def table_with(thresholds: list[int], reported_at: list[float]) -> RoutingTable:
+    """Return a table of endpoints that reported these thresholds and receive normal requests."""
+    table = RoutingTable("a", "texas", random.Random(3))
+    table.replace(
         Endpoint(f"s-{number}", "sales", "texas", "a", f"10.0.0.{number + 1}:7000", 8)
         for number in range(len(thresholds))
     )
     for number, threshold in enumerate(thresholds):
         report = LoadReport(limit=8, threshold=threshold)
-        made.on_report(f"s-{number}", report, told_at[number])
-    made.choose("sales", CallContext("root", Importance.NORMAL, 1.0), (), 0.0)
-    return made
+        table.on_report(f"s-{number}", report, reported_at[number])
+    table.choose("sales", CallContext("root", Importance.NORMAL, 1.0), (), 0.0)
+    return table
 
 
-def share_of_normal(table: RoutingTable, now: float) -> float:
+def admitted_normal(table: RoutingTable, now: float) -> float:
     return admitted_fraction(Importance.NORMAL, table.path_threshold("sales", "", now).value)
 
 
-def test_an_endpoint_without_a_threshold_takes_its_part_of_the_class() -> None:
+def test_endpoint_without_a_threshold_counts_as_admitting_its_whole_class() -> None:
     table = table_with([HALF_OF_NORMAL, HALF_OF_NORMAL, 0], [0.0, 0.0, 0.0])
-    assert share_of_normal(table, 0.1) == pytest.approx(2 / 3, abs=0.01)
+    assert admitted_normal(table, 0.1) == pytest.approx(2 / 3, abs=0.01)
 
 
-def test_no_threshold_anywhere_refuses_nothing() -> None:
+def test_service_without_thresholds_refuses_nothing() -> None:
     assert table_with([0, 0], [0.0, 0.0]).path_threshold("sales", "", 0.1).value == 0.0
 
 
-def test_one_old_report_does_not_age_the_fresh_ones() -> None:
+def test_one_old_report_does_not_expire_the_recent_ones() -> None:
     table = table_with([HALF_OF_NORMAL] * 4, [0.0, 0.28, 0.28, 0.28])
-    floor = table.path_threshold("sales", "", 0.29)
-    assert floor.age_ms <= 90
-    assert share_of_normal(table, 0.29) == pytest.approx(0.5, abs=0.01)
+    threshold = table.path_threshold("sales", "", 0.29)
+    assert threshold.age_ms <= 90
+    assert admitted_normal(table, 0.29) == pytest.approx(0.5, abs=0.01)
 
 
-def test_a_threshold_fades_within_its_class() -> None:
+def test_threshold_decays_within_its_class() -> None:
     middle = (DECAY_START_SECONDS + DECAY_END_SECONDS) / 2
     old = PathThreshold(HALF_OF_NORMAL, int(middle * 1000))
     assert admitted_fraction(Importance.NORMAL, old.value) == pytest.approx(0.75, abs=0.01)
     assert PathThreshold(HALF_OF_NORMAL, int(DECAY_END_SECONDS * 1000)).value == 0.0
 
 
-@pytest.mark.parametrize("share", [1.0, 0.5, 0.01])
-def test_less_important_classes_stay_refused_until_the_threshold_is_forgotten(share: float) -> None:
-    assert decayed_threshold(HALF_OF_NORMAL, share) >= NORMAL_FLOOR
+@pytest.mark.parametrize("fraction", [1.0, 0.5, 0.01])
+def test_less_important_classes_stay_refused_until_the_threshold_expires(fraction: float) -> None:
+    assert decayed_threshold(HALF_OF_NORMAL, fraction) >= LOWEST_NORMAL
     assert decayed_threshold(HALF_OF_NORMAL, 0.0) == 0.0
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -1,4 +1,4 @@
-"""Which endpoint a call goes to."""
+"""Endpoint selection by the routing table."""
 
 import random
 from collections import Counter
@@ -12,8 +12,8 @@
 from finchshed.common.results import CallResult
 from finchshed.configuration.resources import WARM_UP_SECONDS, Endpoint, EndpointState
 from finchshed.routing.ejection import EJECT_AFTER_FAILURES
-from finchshed.routing.endpoint import LATENCY_MEMORY_SECONDS, DrainSource
-from finchshed.routing.link_hold import LINK_RETRY_MAX_SECONDS
+from finchshed.routing.endpoint import LATENCY_DECAY_SECONDS, DrainSource
+from finchshed.routing.link_backoff import LINK_RETRY_MAX_SECONDS
 from finchshed.routing.table import RoutingTable
 
 CONTEXT = CallContext("root", Importance.NORMAL, 1.0)
@@ -76,22 +76,22 @@
     table.set_drain_source("e0", DrainSource.PLATFORM, True, now)
 
 
-def silence(table: RoutingTable, now: float) -> None:
+def break_link(table: RoutingTable, now: float) -> None:
     table.on_link_down("e0", now)
 
 
 @pytest.mark.parametrize(
-    "sign", [drain_by_report, drain_by_link, drain_by_operator, drain_by_platform, silence]
+    "stop", [drain_by_report, drain_by_link, drain_by_operator, drain_by_platform, break_link]
 )
-def test_any_one_sign_stops_new_work_at_once(sign) -> None:  # type: ignore[no-untyped-def]
+def test_any_source_stops_new_work_immediately(stop) -> None:  # type: ignore[no-untyped-def]
     table = table_of(*(endpoint(number) for number in range(4)))
     warm(table, ["e0", "e1", "e2", "e3"])
     assert choices(table, 1.0)["e0"]
-    sign(table, 1.0)
+    stop(table, 1.0)
     assert not choices(table, 1.0)["e0"]
 
 
-def test_one_sign_taken_back_does_not_undo_another() -> None:
+def test_clearing_one_drain_source_keeps_the_others() -> None:
     table = table_of(endpoint(0), endpoint(1))
     table.set_drain_source("e0", DrainSource.PLATFORM, True, 0.0)
     table.mark_draining("e0", 0.0)
@@ -101,7 +101,7 @@
     assert choices(table, 2.0)["e0"]
 
 
-def test_drained_endpoint_that_comes_back_is_found_again() -> None:
+def test_restarted_endpoint_is_used_again_after_draining() -> None:
     table = table_of(endpoint(0), endpoint(1))
     table.on_link_up("e0", "first", 0.0)
     table.mark_draining("e0", 1.0)
@@ -112,7 +112,7 @@
     assert choices(table, later)["e0"]
 
 
-def test_one_call_at_a_time_tries_a_broken_link() -> None:
+def test_only_one_call_at_a_time_probes_a_broken_link() -> None:
     table = table_of(endpoint(0), endpoint(1))
     table.on_link_down("e0", 0.0)
     later = LINK_RETRY_MAX_SECONDS
@@ -121,8 +121,8 @@
     assert not choices(table, later)["e0"]
 
 
-def test_cold_endpoint_is_not_flooded() -> None:
-    """It has no latency yet; taken for the fastest it would get nearly all calls."""
+def test_new_endpoint_is_not_flooded() -> None:
+    """Guards against treating an endpoint without a measured latency as the fastest."""
     table = table_of(*(endpoint(number) for number in range(4)))
     warm(table, ["e0", "e1", "e2", "e3"])
     table.replace([endpoint(number) for number in range(5)], 1.0)
@@ -136,7 +136,7 @@
     assert choices(table, 1.0 + WARM_UP_SECONDS)["e4"]
 
 
-def test_endpoint_that_reports_no_load_and_fails_fast_gets_no_flood() -> None:
+def test_endpoint_that_reports_no_load_and_fails_fast_is_not_flooded() -> None:
     table = table_of(*(endpoint(number) for number in range(4)))
     warm(table, ["e1", "e2", "e3"])
     in_flight: list[tuple[float, str]] = []
@@ -157,7 +157,7 @@
     assert sent["e0"] < 0.05 * sum(sent.values())
 
 
-def test_ejections_never_take_more_than_their_share() -> None:
+def test_ejected_fraction_is_bounded() -> None:
     table = table_of(*(endpoint(number) for number in range(9)))
     for _ in range(EJECT_AFTER_FAILURES):
         for number in range(9):
@@ -165,7 +165,7 @@
     assert len(choices(table, 0.1, 2000)) == 6
 
 
-def test_nearer_endpoints_are_taken_until_they_are_full() -> None:
+def test_nearer_endpoints_are_used_until_they_are_full() -> None:
     table = table_of(endpoint(0), endpoint(1, zone="other"))
     warm(table, ["e0", "e1"])
     assert set(choices(table, 0.1)) == {"e0"}
@@ -183,24 +183,24 @@
     assert isinstance(table.choose("s", critical, (), 0.0), Endpoint)
 
 
-def test_choice_looks_at_few_endpoints_however_many_there_are() -> None:
-    """With 1100 endpoints a call must not walk them all."""
+def test_number_of_endpoints_examined_is_bounded() -> None:
+    """Guards against a choice whose cost grows with the number of endpoints."""
     table = table_of(*(endpoint(number) for number in range(1100)))
-    looked = 0
+    examined = 0
     view = table.view("e0")
     assert view is not None
-    kind = type(view)
-    original = kind.admits
+    view_class = type(view)
+    original = view_class.admits
 
     def counted(self, rank: int, route: str, now: float) -> bool:  # type: ignore[no-untyped-def]
-        nonlocal looked
-        looked += 1
+        nonlocal examined
+        examined += 1
         return original(self, rank, route, now)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(kind, "admits", counted)
+        patch.setattr(view_class, "admits", counted)
         choices(table, 0.0, 100)
-    assert looked <= 300
+    assert examined <= 300
 
 
 def table_with_subset(owner: str, endpoints: int, subset_size: int) -> RoutingTable:
@@ -223,20 +223,20 @@
     assert max(load.values()) <= 16
 
 
-def test_leaving_member_of_a_subset_is_replaced_by_one_other() -> None:
+def test_draining_endpoint_of_a_subset_is_replaced_by_one_other() -> None:
     table = table_with_subset("daemon", 60, 10)
     before = used(table)
-    gone = min(before)
-    table.mark_draining(gone, 1.0)
+    drained = min(before)
+    table.mark_draining(drained, 1.0)
     after = used(table, 1.0)
     assert len(after) == 10
     assert after - before != set()
-    assert before - after == {gone}
-    table.set_drain_source(gone, DrainSource.REPORTED, False, 2.0)
+    assert before - after == {drained}
+    table.set_drain_source(drained, DrainSource.REPORTED, False, 2.0)
     assert used(table, 2.0) == before
 
 
-def test_others_are_used_while_no_member_of_the_subset_can_be() -> None:
+def test_endpoints_outside_the_subset_are_used_if_none_inside_is_available() -> None:
     table = table_with_subset("daemon", 12, 4)
     subset = used(table)
     for name in subset:
@@ -247,7 +247,7 @@
     assert used(table, later) == subset
 
 
-def test_subset_does_not_change_with_the_order_of_declarations() -> None:
+def test_subset_does_not_depend_on_the_order_of_declarations() -> None:
     declared = [endpoint(number) for number in range(100)]
     subsets = []
     for seed in range(3):
@@ -258,7 +258,7 @@
     assert subsets[0] == subsets[1] == subsets[2]
 
 
-def test_endpoint_with_one_slow_answer_is_drawn_again() -> None:
+def test_endpoint_with_one_slow_answer_is_used_again() -> None:
     names = [f"e{number}" for number in range(10)]
     table = table_of(*(endpoint(number) for number in range(10)))
     warm(table, names[1:])
@@ -266,14 +266,14 @@
     table.on_reply("e0", None, CallResult.OK, 20.0, 0.0)
     drawn: Counter[str] = Counter()
     for step in range(2000):
-        now = 20.0 * LATENCY_MEMORY_SECONDS * step / 2000
+        now = 20.0 * LATENCY_DECAY_SECONDS * step / 2000
         name = chosen(table, now)
-        drawn[name] += now > 10.0 * LATENCY_MEMORY_SECONDS
+        drawn[name] += now > 10.0 * LATENCY_DECAY_SECONDS
         answer(table, name, now)
     assert drawn["e0"] > 0.05 * sum(drawn.values())
 
 
-def test_call_of_a_session_passes_thresholds() -> None:
+def test_session_request_ignores_thresholds() -> None:
     table = table_of(endpoint(0), endpoint(1))
     for name in ("e0", "e1"):
         table.on_report(name, LoadReport(threshold=int(Importance.HIGH) << 17), 0.0)
