--- a/src/finchshed/retry/__init__.py
+++ b/src/finchshed/retry/__init__.py
@@ -1,1 +1,1 @@
-"""Retry budget of a root request, service-wide retry bucket, and when to retry."""
+"""Retry budget per root request, retry token bucket per service, and retry policy."""
--- a/src/finchshed/retry/account.py
+++ b/src/finchshed/retry/account.py
@@ -1,13 +1,9 @@
-"""Retry budget of a root request as a conserved quantity.
+"""Retry budget of a root request, divided among the calls of its call graph.
 
-A root request is given a number of spare attempts once. Each hop lends part of what it holds to a
-call and takes back what the answer returns; nothing is ever made. What a crashed process held is
-lost. So the spare attempts spent for one root request never exceed the number first given, however
-deep or wide the graph is and whatever fails: 2.0 attempts for a call at worst in a chain of 25
-services under 20 kills (docs/design/retry-budget.md).
-
-Owns the accounts of the requests that the back end beside this daemon serves. All figures are
-attempts.
+A root request gets a fixed number of spare attempts. Each hop allocates part of its balance to a
+call and is refunded what the call did not use; what a crashed process held is lost. The retries of
+one root request therefore never exceed the initial number, however deep or wide the call graph.
+All amounts are in attempts.
 """
 
 from collections import OrderedDict
@@ -15,37 +11,34 @@
 import msgspec
 
 DEFAULT_MAX_ACCOUNTS = 100_000
-"""Accounts kept at a time; the oldest is dropped first, which loses spare attempts, never adds.
-Some 164 bytes each (docs/design/routing.md); the bound is chosen, not measured."""
+"""Maximum number of open accounts; beyond it the oldest is dropped and its balance lost."""
 
 
 MAX_FAILED_CALLS = 64
-"""Calls that failed which are remembered of one request; past it every call counts as a repeat.
-Chosen, not measured."""
+"""Maximum number of failed calls recorded per request; beyond it every call counts as a repeat."""
 
 
 class _Account(msgspec.Struct, gc=False):
     balance: int
-    lent: int = 0
-    failed: set[str] | None = None
+    allocated: int = 0
+    failed_calls: set[str] | None = None
 
 
 def allocated_attempts(balance: int) -> int:
     """Return how many of ``balance`` spare attempts one call gets: half, rounded up.
 
-    The other half stays for calls made at the same time, and for the hop itself should the
-    callee crash with what it was lent.
+    The other half is kept for concurrent calls, and for retries by this hop if the callee crashes.
     """
     return (balance + 1) // 2
 
 
 class RetryAccounts:
-    """Accounts of the requests a daemon's back end is serving.
+    """Accounts of the requests that a daemon's back end is serving.
 
     Parameters
     ----------
     max_accounts
-        Accounts kept at a time.
+        Maximum number of open accounts.
     """
 
     def __init__(self, max_accounts: int = DEFAULT_MAX_ACCOUNTS) -> None:
@@ -57,61 +50,61 @@
         return len(self._accounts)
 
     def open(self, account: str, spare_attempts: int) -> None:
-        """Open an account with the spare attempts a call brought. An identity is used once."""
+        """Open an account with the spare attempts of a call; ``account`` must be unique."""
         if len(self._accounts) >= self._max_accounts:
             self._accounts.popitem(last=False)
         self._accounts[account] = _Account(balance=spare_attempts)
 
     def allocate(self, account: str) -> int:
-        """Lend part of the balance to one call; 0 for an account that is not open."""
-        held = self._accounts.get(account)
-        if held is None:
+        """Allocate part of the balance to one call; 0 if the account is not open."""
+        entry = self._accounts.get(account)
+        if entry is None:
             return 0
-        lent = allocated_attempts(held.balance)
-        held.balance -= lent
-        held.lent += lent
-        return lent
+        allocated = allocated_attempts(entry.balance)
+        entry.balance -= allocated
+        entry.allocated += allocated
+        return allocated
 
-    def refund(self, account: str, lent: int, spare_attempts: int) -> None:
-        """Take back what a call did not spend of ``lent``.
+    def refund(self, account: str, allocated: int, spare_attempts: int) -> None:
+        """Return the unused spare attempts of a call to the balance.
 
-        An answer that claims to return more than was lent returns only what was lent. An account
-        closed meanwhile takes nothing back.
+        At most ``allocated`` is refunded, whatever the answer claims, and nothing if the account
+        has been closed meanwhile.
         """
-        held = self._accounts.get(account)
-        if held is None:
+        entry = self._accounts.get(account)
+        if entry is None:
             return
-        lent = min(lent, held.lent)
-        held.lent -= lent
-        held.balance += max(0, min(spare_attempts, lent))
+        allocated = min(allocated, entry.allocated)
+        entry.allocated -= allocated
+        entry.balance += max(0, min(spare_attempts, allocated))
 
     def on_call_failed(self, account: str, call: str) -> None:
-        """Note that a call the request made was not answered; ``call`` tells calls apart."""
-        held = self._accounts.get(account)
-        if held is None:
+        """Record that a call made by the request was not answered; ``call`` identifies it."""
+        entry = self._accounts.get(account)
+        if entry is None:
             return
-        if held.failed is None:
-            held.failed = set()
-        if len(held.failed) < MAX_FAILED_CALLS:
-            held.failed.add(call)
+        if entry.failed_calls is None:
+            entry.failed_calls = set()
+        if len(entry.failed_calls) < MAX_FAILED_CALLS:
+            entry.failed_calls.add(call)
 
     def has_failed_call(self, account: str) -> bool:
-        """Return whether any call the request made was not answered."""
-        held = self._accounts.get(account)
-        return held is not None and bool(held.failed)
+        """Return whether any call made by the request was not answered."""
+        entry = self._accounts.get(account)
+        return entry is not None and bool(entry.failed_calls)
 
     def is_repeat(self, account: str, call: str) -> bool:
-        """Return whether a call is made again after it failed.
+        """Return whether a call repeats one that failed before.
 
-        A back end that repeats by itself would multiply the attempts at every hop, so such a call
-        is a retry like any other and is paid from what it was lent.
+        Such a call is a retry and uses up a spare attempt; otherwise back ends that retry on their
+        own would multiply the attempts at every hop.
         """
-        held = self._accounts.get(account)
-        if held is None or held.failed is None:
+        entry = self._accounts.get(account)
+        if entry is None or entry.failed_calls is None:
             return False
-        return call in held.failed or len(held.failed) >= MAX_FAILED_CALLS
+        return call in entry.failed_calls or len(entry.failed_calls) >= MAX_FAILED_CALLS
 
     def close(self, account: str) -> int:
-        """Close an account and return its balance; what is lent out at this time is lost."""
-        held = self._accounts.pop(account, None)
-        return 0 if held is None else held.balance
+        """Close an account and return its balance; allocations still open are lost."""
+        entry = self._accounts.pop(account, None)
+        return 0 if entry is None else entry.balance
--- a/src/finchshed/retry/bucket.py
+++ b/src/finchshed/retry/bucket.py
@@ -1,25 +1,22 @@
-"""Service-wide bound on retries: a token bucket filled by successes.
+"""Retry limit per service: a token bucket that is refilled by successes.
 
-Each success adds ``ratio`` tokens and each retry takes one, so in sum retries stay below a fraction
-of recent successes (*Site Reliability Engineering*, Beyer et al., 2016, chapter 21: retry budgets).
-A small steady inflow lets services with little traffic retry at all. Owns the tokens of one service
-at one daemon; a token is a retry.
+Each success adds ``ratio`` tokens and each retry takes one, so retries stay below a fraction of the
+recent successes (*Site Reliability Engineering*, Beyer et al., 2016, chapter 21: retry budgets). A
+small constant refill lets services with little traffic retry too.
 """
 
 DEFAULT_CAPACITY = 20.0
-"""Tokens kept at most: the burst of retries allowed after a quiet time. Chosen, not measured."""
+"""Maximum number of tokens: the burst of retries allowed after an idle period."""
 
-DEFAULT_INFLOW_PER_SECOND = 0.5
-"""Tokens added each second regardless of successes. Chosen, not measured."""
+DEFAULT_REFILL_PER_SECOND = 0.5
+"""Tokens added each second regardless of successes."""
 
 CALL_SUCCESS_FRACTION = 0.2
-"""Tokens that the success of a call brings, as a fraction of those of a request. Chosen, not
-measured alone: ten times as much, tried with another change, raised failures from 0.072 to 0.149
-(docs/design/compared-policies.md)."""
+"""Tokens added by the success of a call made for a request, relative to those of a root request."""
 
 
 class RetryBucket:
-    """Bounds the retries of all calls from one daemon to one service.
+    """Limits the retries of all calls from one daemon to one service.
 
     Parameters
     ----------
@@ -28,8 +25,8 @@
     now
         Time of creation, seconds.
     capacity
-        Tokens kept at most.
-    inflow_per_second
+        Maximum number of tokens.
+    refill_per_second
         Tokens added each second.
     """
 
@@ -38,25 +35,25 @@
         ratio: float,
         now: float,
         capacity: float = DEFAULT_CAPACITY,
-        inflow_per_second: float = DEFAULT_INFLOW_PER_SECOND,
+        refill_per_second: float = DEFAULT_REFILL_PER_SECOND,
     ) -> None:
         self.ratio = ratio
         self._capacity = capacity
-        self._inflow = inflow_per_second
+        self._refill = refill_per_second
         self._tokens = capacity / 2
         self._updated = now
 
-    def set_bounds(self, capacity: float, inflow_per_second: float) -> None:
-        """Act on changed bounds; tokens past them are lost."""
+    def set_bounds(self, capacity: float, refill_per_second: float) -> None:
+        """Apply changed bounds; excess tokens are lost."""
         self._capacity = capacity
-        self._inflow = inflow_per_second
+        self._refill = refill_per_second
         self._tokens = min(self._tokens, capacity)
 
     def on_success(self, *, is_call: bool = False) -> None:
-        """Count a success.
+        """Add tokens for a success.
 
-        A call made for a request brings less: when a request is repeated all of its calls are made
-        again, and count as repeats where they arrive.
+        A call made for a request adds fewer tokens, because a retry of the root request repeats all
+        of its calls.
         """
         fraction = CALL_SUCCESS_FRACTION if is_call else 1.0
         self._tokens = min(self._capacity, self._tokens + fraction * self.ratio)
@@ -65,7 +62,7 @@
         """Take one token for a retry; return whether there was one."""
         elapsed = max(0.0, now - self._updated)
         self._updated = now
-        self._tokens = min(self._capacity, self._tokens + elapsed * self._inflow)
+        self._tokens = min(self._capacity, self._tokens + elapsed * self._refill)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/finchshed/retry/policy.py
+++ b/src/finchshed/retry/policy.py
@@ -1,8 +1,7 @@
-"""When to retry, how long to wait before it, and when to tell a client to come back.
+"""Retry policy: which outcomes are retried, the backoff before a retry, and retry-after times.
 
-Inputs: the outcome of an attempt, whether the request is repeatable, how often it was retried, and
-how overloaded the refusing part is. Pure; whether a retry is paid for is decided by the account of
-the root request and the bucket of the service.
+Whether the budget allows a retry is decided by the account of the root request and by the token
+bucket of the service.
 """
 
 import random
@@ -19,27 +18,25 @@
 from finchshed.common.results import GATEWAY_TIMEOUT, CallResult, result_of
 
 BACKOFF_BASE_SECONDS = 0.005
-"""Upper bound of the first wait before a retry; it doubles with each retry. Chosen, not
-measured."""
+"""Upper bound of the wait before the first retry; it doubles with each further one."""
 
 BACKOFF_MAX_SECONDS = 0.1
-"""Upper bound of any wait before a retry. Chosen, not measured."""
+"""Upper bound of the wait before any retry."""
 
 RETRY_BACKOFF = Backoff(BACKOFF_BASE_SECONDS, BACKOFF_MAX_SECONDS)
 
 RETRY_AFTER_BASE_SECONDS = 0.25
-"""Mean time until a client is told to come back when nothing is overloaded. Chosen, not
-measured."""
+"""Mean retry-after time without overload."""
 
 RETRY_AFTER_MAX_SECONDS = 30.0
-"""Longest mean time a client is told to stay away. Chosen, not measured."""
+"""Maximum mean retry-after time."""
 
 RETRY_AFTER_SPREAD = 0.5
-"""The time told is spread evenly over this fraction of its mean below and above it, so that clients
-don't return together. Chosen, not measured."""
+"""Jitter of retry-after times, as a fraction of the mean in both directions, so that clients don't
+return at the same time."""
 
 REDIRECT_REASONS = frozenset({RefusalReason.DRAINING, RefusalReason.CONNECT_FAILED})
-"""Refusals that say the request should go elsewhere; nothing was done for it there."""
+"""Refusals after which the request is sent to another endpoint without using the retry budget."""
 
 RETRIED_REFUSALS = frozenset(
     {
@@ -50,27 +47,27 @@
         RefusalReason.SESSION_LIMIT,
     }
 )
-"""Refusals that another endpoint may not give."""
+"""Refusals after which another endpoint may accept the request."""
 
 RETRIED_FAILURES = frozenset(
     {FailureReason.LINK_BROKEN, FailureReason.BACKEND_BROKEN, FailureReason.ANSWER_CORRUPT}
 )
-"""Failures after which a repeatable request may be sent again."""
+"""Failures after which a repeatable request may be retried."""
 
 
 ERROR_RETRY_TIME_FACTOR = 2.0
-"""An error answer is tried again only if so many times what it took are left.
+"""An error answer is retried only if this multiple of its own duration is left until the deadline.
 
-Another attempt is likely to take as long, and what it answers must still be of use; the error
-answer itself waits meanwhile. Chosen, not measured."""
+Another attempt is likely to take as long, and delays the error answer meanwhile.
+"""
 
 
 def may_retry(outcome: Outcome, repeatable: bool) -> bool:
-    """Return whether another attempt at another endpoint makes sense after ``outcome``.
+    """Return whether ``outcome`` may be retried at another endpoint.
 
-    A request that did not run may always be sent again; one that may have run, or ended in an
-    error of the back end's own, only where it is declared repeatable. After an error that came of
-    a call further down none is made: all calls of the request would be made again.
+    A request that did not run may always be retried. One that may have run, or that ended in an
+    error of the back end itself, is retried only if it is repeatable. An error caused by a failed
+    downstream call is not retried, because that would repeat all calls of the request.
     """
     if isinstance(outcome, Answered):
         is_own_error = result_of(outcome) is CallResult.ERROR
@@ -83,7 +80,7 @@
 
 
 def is_redirect(outcome: Outcome) -> bool:
-    """Return whether ``outcome`` only says to go elsewhere."""
+    """Return whether ``outcome`` only asks to use another endpoint."""
     return isinstance(outcome, Refused) and outcome.reason in REDIRECT_REASONS
 
 
@@ -93,15 +90,15 @@
 
 
 def retry_after(overload: float, rng: random.Random) -> float:
-    """Return when a client should come back, seconds.
+    """Return the retry-after time for a refused client, seconds.
 
     Parameters
     ----------
     overload
-        Demand that is refused, as a multiple of what is admitted; 0 when nothing is refused.
+        Ratio of refused to admitted demand; 0 if nothing is refused.
     rng
-        Spreads the clients evenly, so that they don't return together.
+        Source of the jitter.
     """
     mean = min(RETRY_AFTER_MAX_SECONDS, RETRY_AFTER_BASE_SECONDS * (1.0 + max(0.0, overload)))
-    spread = 1.0 - RETRY_AFTER_SPREAD + 2.0 * RETRY_AFTER_SPREAD * rng.random()
-    return mean * spread
+    jitter = 1.0 - RETRY_AFTER_SPREAD + 2.0 * RETRY_AFTER_SPREAD * rng.random()
+    return mean * jitter
--- a/tests/retry/test_bucket.py
+++ b/tests/retry/test_bucket.py
@@ -1,11 +1,11 @@
-"""The service-wide bound on retries, and the time clients are told to stay away."""
+"""Retry token bucket of a service, and retry-after times."""
 
 import random
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchshed.retry.bucket import DEFAULT_CAPACITY, DEFAULT_INFLOW_PER_SECOND, RetryBucket
+from finchshed.retry.bucket import DEFAULT_CAPACITY, DEFAULT_REFILL_PER_SECOND, RetryBucket
 from finchshed.retry.policy import (
     RETRY_AFTER_BASE_SECONDS,
     RETRY_AFTER_MAX_SECONDS,
@@ -18,7 +18,7 @@
     st.floats(0.0, 1.0),
     st.lists(st.tuples(st.booleans(), st.floats(0.0, 0.5)), max_size=300),
 )
-def test_retries_stay_below_a_share_of_successes(
+def test_retries_stay_below_a_fraction_of_successes(
     ratio: float, steps: list[tuple[bool, float]]
 ) -> None:
     bucket = RetryBucket(ratio, 0.0)
@@ -32,11 +32,11 @@
             bucket.on_success()
         else:
             retries += bucket.take(now)
-    inflow = DEFAULT_INFLOW_PER_SECOND * now
-    assert retries <= DEFAULT_CAPACITY / 2 + ratio * successes + inflow + 1e-6
+    refill = DEFAULT_REFILL_PER_SECOND * now
+    assert retries <= DEFAULT_CAPACITY / 2 + ratio * successes + refill + 1e-6
 
 
-def test_clients_told_to_come_back_do_not_return_together() -> None:
+def test_retry_after_times_are_spread_evenly() -> None:
     rng = random.Random(3)
     times = sorted(retry_after(0.0, rng) for _ in range(1000))
     low = RETRY_AFTER_BASE_SECONDS * (1.0 - RETRY_AFTER_SPREAD)
@@ -48,7 +48,7 @@
         assert 50 <= sum(begin <= time < begin + tenth for time in times) <= 160
 
 
-def test_time_told_grows_with_the_overload_and_is_bounded() -> None:
+def test_retry_after_grows_with_overload_and_is_bounded() -> None:
     rng = random.Random(3)
     mild = max(retry_after(0.0, rng) for _ in range(100))
     assert min(retry_after(10.0, rng) for _ in range(100)) > mild
@@ -56,13 +56,13 @@
     assert max(retry_after(1e9, rng) for _ in range(100)) <= bound
 
 
-def test_bounds_that_many_daemons_share_hold_from_the_moment_they_are_set() -> None:
+def test_changed_bounds_apply_immediately() -> None:
     bucket = RetryBucket(0.1, 0.0)
     bucket.set_bounds(3.0, 0.0)
     assert [bucket.take(100.0) for _ in range(5)] == [True, True, True, False, False]
 
 
-def test_the_success_of_a_call_brings_a_fifth_of_that_of_a_request() -> None:
+def test_success_of_a_call_adds_a_fifth_of_that_of_a_root_request() -> None:
     bucket = RetryBucket(0.1, 0.0)
     bucket.set_bounds(3.0, 0.0)
     while bucket.take(0.0):
