--- a/src/finchshed/session/__init__.py
+++ b/src/finchshed/session/__init__.py
@@ -1,1 +1,1 @@
-"""Long-lived sessions, admitted once and pinned to an endpoint."""
+"""Long-lived sessions that are admitted once and pinned to an endpoint."""
--- a/src/finchshed/session/table.py
+++ b/src/finchshed/session/table.py
@@ -1,9 +1,8 @@
-"""Sessions of one daemon: admitted once, pinned to an endpoint, ended by idleness or by request.
+"""Session table of one daemon.
 
-Inputs: identities of sessions, the bound on sessions of their service, the seconds of idleness that
-it allows, and the time. Owns what it holds of each session, in memory alone. Used on both sides:
-beside a back end it admits (reason ``session_limit``), at the caller it keeps the pins. See
-docs/design/sessions.md.
+A session is admitted as a whole, pinned to an endpoint, and ended by an idle timeout or explicitly.
+Beside a back end the table enforces the session limit (refusal reason ``session_limit``); at the
+caller it stores the pins. It is kept in memory only. See docs/design/sessions.md.
 """
 
 import heapq
@@ -17,7 +16,7 @@
 class Session(msgspec.Struct):
     """A session. Times are monotonic seconds.
 
-    ``admitted`` says that a request of it was started: only then the session runs.
+    ``admitted`` is set once one of its requests has been started.
     """
 
     identity: str
@@ -30,9 +29,9 @@
 
 
 class Opened(msgspec.Struct, frozen=True, gc=False):
-    """Requests of the session go to its endpoint.
+    """The session is open, and its requests go to its endpoint.
 
-    ``is_new`` says that the session doesn't run yet: none of its requests was started.
+    ``is_new`` is true until one of its requests has been started.
     """
 
     session: Session
@@ -40,7 +39,7 @@
 
 
 class NotOpened(msgspec.Struct, frozen=True, gc=False):
-    """No session was opened."""
+    """The session was refused."""
 
     reason: RefusalReason
 
@@ -49,19 +48,19 @@
 
 
 class SessionTable:
-    """Sessions a daemon knows of."""
+    """Open sessions of a daemon, by identity."""
 
     def __init__(self) -> None:
         self._sessions: dict[str, Session] = {}
         self._by_endpoint: dict[str, set[str]] = {}
-        self._due: list[tuple[float, str]] = []
+        self._expiries: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
-        """Return the number of sessions running."""
+        """Return the number of open sessions."""
         return len(self._sessions)
 
     def get(self, identity: str) -> Session | None:
-        """Return a running session."""
+        """Return an open session, or None."""
         return self._sessions.get(identity)
 
     def count(self, endpoint: str) -> int:
@@ -78,84 +77,84 @@
         idle_seconds: float,
         now: float,
     ) -> OpenResult:
-        """Admit a session as a whole, or return the running one of this identity."""
-        held = self._sessions.get(identity)
-        if held is not None:
-            held.used_at = now
-            return Opened(held, is_new=not held.admitted)
+        """Open a session, or return the open one of this identity."""
+        session = self._sessions.get(identity)
+        if session is not None:
+            session.used_at = now
+            return Opened(session, is_new=not session.admitted)
         pinned = self._by_endpoint.setdefault(endpoint, set())
         if len(pinned) >= max_sessions:
             return NotOpened(RefusalReason.SESSION_LIMIT)
         session = Session(identity, service, endpoint, now, idle_seconds)
         self._sessions[identity] = session
-        heapq.heappush(self._due, (now + idle_seconds, identity))
+        heapq.heappush(self._expiries, (now + idle_seconds, identity))
         pinned.add(identity)
         return Opened(session, is_new=True)
 
     def on_request(self, identity: str, now: float) -> None:
-        """Count a request of a session as begun."""
-        held = self._sessions.get(identity)
-        if held is not None:
-            held.used_at = now
-            held.in_progress += 1
+        """Record the arrival of a request of a session."""
+        session = self._sessions.get(identity)
+        if session is not None:
+            session.used_at = now
+            session.in_progress += 1
 
     def admit(self, identity: str) -> None:
-        """Note the start of a request of a session: the session runs from now on."""
-        held = self._sessions.get(identity)
-        if held is not None:
-            held.admitted = True
+        """Mark a session as admitted, because one of its requests was started."""
+        session = self._sessions.get(identity)
+        if session is not None:
+            session.admitted = True
 
     def refuse(self, identity: str) -> None:
-        """Note the refusal of a request, after :meth:`on_answer`.
+        """Handle the refusal of a request, after :meth:`on_answer`.
 
-        A session that doesn't run ends with the last of its requests, not before: another of them
-        may still be started.
+        Closes a session that isn't admitted once none of its requests is in progress; before that,
+        another of them may still be started.
         """
-        held = self._sessions.get(identity)
-        if held is not None and not held.admitted and held.in_progress == 0:
+        session = self._sessions.get(identity)
+        if session is not None and not session.admitted and session.in_progress == 0:
             self.close(identity)
 
     def on_answer(self, identity: str, now: float) -> None:
-        """Count a request of a session as ended."""
-        held = self._sessions.get(identity)
-        if held is not None:
-            held.used_at = now
-            held.in_progress = max(0, held.in_progress - 1)
+        """Record the end of a request of a session."""
+        session = self._sessions.get(identity)
+        if session is not None:
+            session.used_at = now
+            session.in_progress = max(0, session.in_progress - 1)
 
     def move(self, identity: str, endpoint: str, now: float) -> Session | None:
-        """Pin a session to another endpoint; return it, or None if it is not running."""
-        held = self._sessions.get(identity)
-        if held is None:
+        """Pin a session to another endpoint; return it, or None if it is not open."""
+        session = self._sessions.get(identity)
+        if session is None:
             return None
-        self._by_endpoint[held.endpoint].discard(identity)
+        self._by_endpoint[session.endpoint].discard(identity)
         self._by_endpoint.setdefault(endpoint, set()).add(identity)
-        held.endpoint = endpoint
-        held.used_at = now
-        return held
+        session.endpoint = endpoint
+        session.used_at = now
+        return session
 
     def close(self, identity: str) -> Session | None:
-        """End a session."""
-        held = self._sessions.pop(identity, None)
-        if held is not None:
-            self._by_endpoint[held.endpoint].discard(identity)
-        return held
+        """Close a session and return it, or None if it is not open."""
+        session = self._sessions.pop(identity, None)
+        if session is not None:
+            self._by_endpoint[session.endpoint].discard(identity)
+        return session
 
     def expire(self, now: float) -> list[Session]:
-        """End the sessions idle for longer than their service allows and return them.
+        """Close and return the sessions that exceeded their idle timeout.
 
-        Only sessions that may be due are looked at, so it can be called often.
+        Examines only sessions whose recorded expiry has passed, so it can be called often.
         """
-        ended: list[Session] = []
-        while self._due and self._due[0][0] < now:
-            _, identity = heapq.heappop(self._due)
+        closed: list[Session] = []
+        while self._expiries and self._expiries[0][0] < now:
+            _, identity = heapq.heappop(self._expiries)
             session = self._sessions.get(identity)
             if session is None:
                 continue
-            due = session.used_at + session.idle_seconds
-            if session.in_progress == 0 and due < now:
+            expiry = session.used_at + session.idle_seconds
+            if session.in_progress == 0 and expiry < now:
                 self.close(identity)
-                ended.append(session)
+                closed.append(session)
             else:
-                # Looked at again once it can have been idle for long enough.
-                heapq.heappush(self._due, (max(due, now), identity))
-        return ended
+                # In use since the expiry was recorded: check again at the new one.
+                heapq.heappush(self._expiries, (max(expiry, now), identity))
+        return closed
--- a/src/finchshed/tenancy/__init__.py
+++ b/src/finchshed/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose request it is, by its API key."""
+"""Identification of tenants by API key."""
--- a/src/finchshed/tenancy/authentication.py
+++ b/src/finchshed/tenancy/authentication.py
@@ -1,8 +1,7 @@
-"""Whose request it is, or why it isn't taken: the decision by its API key. Pure.
+"""Authentication of a request by its API key.
 
-Inputs: the keys on the request, the declared tenants, the key lease (seconds since a question that
-control confirmed) and whether the route is public. Reasons given: ``api_key_missing``,
-``api_key_unknown``, ``api_key_unconfirmed``. The table of cases is in docs/design/tenancy.md.
+Refusal reasons: ``api_key_missing``, ``api_key_unknown``, ``api_key_unconfirmed``. All cases are
+listed in docs/design/tenancy.md.
 """
 
 from collections.abc import Collection
@@ -21,14 +20,14 @@
     *,
     is_public: bool,
 ) -> Tenant | RefusalReason | None:
-    """Return the tenant that a request comes from, None if it needs none, or why it is refused.
+    """Return the tenant of a request, None if it needs none, or the reason to refuse it.
 
     Parameters
     ----------
     keys
-        The different API keys on the request; two of them are none that could be trusted.
+        The distinct API keys of the request; if there are several, none is trusted.
     is_public
-        Whether its route takes requests without a key.
+        Whether the route of the request is open to requests without a key.
     """
     if not tenants:
         return None
@@ -39,11 +38,11 @@
         return RefusalReason.API_KEY_MISSING
     if holder is not None:
         return holder if lease.is_valid(now) else RefusalReason.API_KEY_UNCONFIRMED
-    return _denial(lease, now)
+    return _refusal_of_unknown_key(lease, now)
 
 
-def _denial(lease: KeyLease, now: float) -> RefusalReason:
-    """Return how a key that isn't known is refused: it may be news that hasn't come here yet."""
+def _refusal_of_unknown_key(lease: KeyLease, now: float) -> RefusalReason:
+    """Return the reason to refuse an unknown key, which may be too recent to be known here."""
     if lease.is_fresh(now):
         return RefusalReason.API_KEY_UNKNOWN
     return RefusalReason.API_KEY_UNCONFIRMED
--- a/src/finchshed/tenancy/keys.py
+++ b/src/finchshed/tenancy/keys.py
@@ -1,4 +1,4 @@
-"""Who holds an API key. Only digests of keys are kept."""
+"""Lookup of tenants by API key. Only digests of keys are stored."""
 
 import hashlib
 from collections.abc import Iterable
@@ -7,14 +7,14 @@
 
 
 def digest_of_key(key: bytes) -> str:
-    """Return the SHA-256 of an API key, hexadecimal, as :class:`Tenant` declares it."""
+    """Return the hexadecimal SHA-256 digest of an API key, as declared in :class:`Tenant`."""
     return hashlib.sha256(key).hexdigest()
 
 
 class TenantKeys:
-    """The declared tenants by the digests of their keys.
+    """Declared tenants, indexed by the digests of their keys.
 
-    A key is looked up by its digest, so the time that takes tells nothing of other keys.
+    Looking up by digest keeps the timing from revealing other keys.
     """
 
     def __init__(self, tenants: Iterable[Tenant] = ()) -> None:
@@ -24,7 +24,7 @@
         }
 
     def __bool__(self) -> bool:
-        """Return whether any tenant is declared: requests need a key then."""
+        """Return whether any tenant is declared, in which case requests need a key."""
         return bool(self.tenants)
 
     def holder_of(self, key: bytes) -> Tenant | None:
--- a/src/finchshed/tenancy/lease.py
+++ b/src/finchshed/tenancy/lease.py
@@ -1,98 +1,97 @@
-"""For how long a daemon may go on trusting the API keys it knows. Pure.
-
-A key that was taken away has to end on every daemon, also on one that control can't reach. So a
-daemon trusts its keys under a lease: it asks control to renew it, and control answers once a quorum
-has confirmed, in a read that began after the question came in, which revision is the latest. The
-lease counts from the daemon's question, on the daemon's monotonic clock alone: whatever a change
-took away before the question is in the confirmed revision, and whatever comes later meets a lease
-that ends in time. An answer that lay in a silent connection, one of a node without a quorum, or one
-to an earlier question prolongs nothing that it shouldn't.
-
-The shell asks :meth:`KeyLease.start_renewal` now and then, sends the question, and hands in the
-answers. The moment of each use is given to :meth:`KeyLease.is_valid`, so a process that stood
-still finds its lease ended.
+"""Lease under which a daemon trusts the API keys it knows.
+
+A revoked key must become invalid on every daemon, even one that control can't reach, so a daemon
+trusts its keys only while its lease is valid. To renew it, the daemon sends a request to control,
+which answers with the latest revision after a quorum read that began after the request arrived. The
+lease runs from the time of the request, on the daemon's own monotonic clock: keys revoked before
+the request are missing from the confirmed revision, and keys revoked later outlive the revocation
+by at most the length of the lease. A delayed answer therefore can't extend the lease too far.
+
+The caller sends a request for each :meth:`KeyLease.start_renewal` and passes in the answers.
+:meth:`KeyLease.is_valid` takes the time of use, so the lease also expires on a suspended process.
 """
 
 RENEW_SECONDS = 1.0
-"""Time between two questions of a daemon.
+"""Interval between renewal requests.
 
-A lease that has to outlive 3 s without control, within 5 s in all, leaves 2 s for the time between
-questions, the read that answers one, and a reserve. Chosen by calculation, not measured."""
+A lease must survive 3 s without control and end within 5 s in total, which leaves 2 s for this
+interval, the quorum read, and a margin.
+"""
 
 FRESH_SECONDS = 1.8
-"""A key that isn't known is denied on the word of an answer to a question asked within this time.
+"""An unknown key is rejected as unknown only if the last confirmed renewal is newer than this.
 
-Longer than the time between questions, and shorter than the 2 s in which a change has to be in
-force: a daemon that lags behind the change which brought the key has the caller come back.
-Chosen by calculation, not measured."""
+Longer than the renewal interval, and shorter than the 2 s within which a change must take effect; a
+daemon that lags further behind asks the client to retry instead.
+"""
 
-QUESTIONS_KEPT = 16
-"""Unanswered questions remembered; the answer to an older one comes too late to be of use. Chosen,
-not measured."""
+MAX_PENDING_RENEWALS = 16
+"""Maximum number of unanswered requests tracked; answers to older ones are ignored."""
 
 
 class KeyLease:
-    """The lease of one daemon.
+    """Lease of one daemon.
 
     Attributes
     ----------
     seconds
-        Length, from the question to the end; 0: keys are trusted without a lease.
+        Length of the lease, from the request on; if 0, keys are trusted without a lease.
     """
 
     def __init__(self) -> None:
         self.seconds = 0.0
-        self._last_question = 0
-        self._asked_at: dict[int, float] = {}
+        self._last_renewal = 0
+        self._requested_at: dict[int, float] = {}
         self._confirmed: list[tuple[int, float]] = []
         self._revision = 0
         self._renewed_at: float | None = None
 
     def start_renewal(self, now: float) -> int:
-        """Return the number of a question that is sent now."""
-        self._last_question += 1
-        self._asked_at[self._last_question] = now
-        self._asked_at.pop(self._last_question - QUESTIONS_KEPT, None)
-        return self._last_question
+        """Return the identifier of a renewal request sent now."""
+        self._last_renewal += 1
+        self._requested_at[self._last_renewal] = now
+        self._requested_at.pop(self._last_renewal - MAX_PENDING_RENEWALS, None)
+        return self._last_renewal
 
-    def on_answer(self, question: int, revision: int) -> bool:
-        """Take an answer: ``revision`` was the latest at some time after the question.
+    def on_answer(self, renewal: int, revision: int) -> bool:
+        """Handle an answer: ``revision`` was the latest at some time after the request.
 
-        Return whether the lease is longer now. It counts once that revision is in force here.
+        It renews the lease once that revision is applied here. Returns whether the lease was
+        extended.
         """
-        asked_at = self._asked_at.pop(question, None)
-        if asked_at is None:
+        requested_at = self._requested_at.pop(renewal, None)
+        if requested_at is None:
             return False
-        self._confirmed.append((revision, asked_at))
-        return self._settle()
+        self._confirmed.append((revision, requested_at))
+        return self._apply_confirmed()
 
     def on_revision_applied(self, revision: int) -> bool:
-        """Note the revision in force here; return whether the lease is longer now."""
+        """Record the revision applied here; return whether the lease was extended."""
         self._revision = revision
-        return self._settle()
+        return self._apply_confirmed()
 
     def is_valid(self, now: float) -> bool:
-        """Return whether keys known here may be trusted."""
+        """Return whether the known keys may be trusted."""
         if not self.seconds:
             return True
         return self._renewed_at is not None and now < self._renewed_at + self.seconds
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether what is not known here is surely not declared."""
+        """Return whether an unknown key may be rejected as undeclared."""
         return self._renewed_at is not None and now < self._renewed_at + FRESH_SECONDS
 
     def age(self, now: float) -> float:
-        """Return the seconds since the question that the lease counts from; negative: none yet."""
+        """Return the seconds since the request that last renewed the lease; -1 if there is none."""
         return -1.0 if self._renewed_at is None else now - self._renewed_at
 
-    def _settle(self) -> bool:
-        """Count the answers whose revision is in force."""
+    def _apply_confirmed(self) -> bool:
+        """Renew the lease from the answers whose revision has been applied."""
         before = self._renewed_at
-        waiting = []
-        for revision, asked_at in self._confirmed:
+        pending = []
+        for revision, requested_at in self._confirmed:
             if revision > self._revision:
-                waiting.append((revision, asked_at))
-            elif self._renewed_at is None or asked_at > self._renewed_at:
-                self._renewed_at = asked_at
-        self._confirmed = waiting[-QUESTIONS_KEPT:]
+                pending.append((revision, requested_at))
+            elif self._renewed_at is None or requested_at > self._renewed_at:
+                self._renewed_at = requested_at
+        self._confirmed = pending[-MAX_PENDING_RENEWALS:]
         return self._renewed_at != before
--- a/tests/tenancy/lease_simulation.py
+++ b/tests/tenancy/lease_simulation.py
@@ -1,8 +1,7 @@
-"""A small world for the lease: control nodes, daemons, and a network that fails.
+"""Simulation of the key lease: control nodes, daemons, and a faulty network.
 
-The hubs and the daemons' parts are the real ones. A quorum is modelled by the list of accepted
-revisions: a read at a node that reaches it ends after all that was accepted when it began is
-applied there.
+Hubs and leases are the real classes. The quorum is modelled by a list of accepted revisions: a read
+at a node that reaches it completes once all revisions accepted before the read are applied there.
 """
 
 import itertools
@@ -27,28 +26,28 @@
 
 
 class Control:
-    """The accepted configurations. Revision 1 holds all keys, each later one changes them."""
+    """The accepted revisions. Revision 1 declares all keys, each later one changes them."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.deltas: list[Delta] = []
-        self.removed_at: dict[bytes, float] = {}
+        self.revoked_at: dict[bytes, float] = {}
         self.has_leader = True
 
-    def accept(self, held: Sequence[bytes]) -> None:
-        """Accept a configuration whose one tenant holds these keys."""
-        tenant = Tenant("holder", tuple(digest_of_key(key) for key in held))
+    def accept(self, keys: Sequence[bytes]) -> None:
+        """Accept a revision whose only tenant holds ``keys``."""
+        tenant = Tenant("holder", tuple(digest_of_key(key) for key in keys))
         base = len(self.deltas)
         self.deltas.append(Delta(base, base + 1, puts=(tenant,)))
         for key in KEYS:
-            if key in held:
-                self.removed_at.pop(key, None)
+            if key in keys:
+                self.revoked_at.pop(key, None)
             else:
-                self.removed_at.setdefault(key, self.clock.now)
+                self.revoked_at.setdefault(key, self.clock.now)
 
 
 class Node:
-    """A control node: a hub over what it has applied."""
+    """A control node: a hub and the revisions applied to it."""
 
     def __init__(self, clock: Clock, control: Control, rng: random.Random) -> None:
         self.clock = clock
@@ -58,27 +57,27 @@
         self.hub.on_contact(True, 0.0)
         self.reaches_quorum = True
         self.links: dict[int, Link] = {}
-        clock.at(0.0, self.apply_later)
+        clock.at(0.0, self.apply_next)
         clock.at(0.0, self.tick)
 
     @property
     def applied(self) -> int:
-        """Revision applied here."""
+        """Latest revision applied here."""
         return self.hub.configuration.revision
 
-    def apply_later(self) -> None:
-        """Apply the next accepted revision, now and then."""
+    def apply_next(self) -> None:
+        """Apply the next accepted revision at random intervals."""
         if self.reaches_quorum and self.applied < len(self.control.deltas):
             self.perform(self.hub.on_committed(self.control.deltas[self.applied], self.clock.now))
-        self.clock.at(self.clock.now + self.rng.uniform(0.005, 0.15), self.apply_later)
+        self.clock.at(self.clock.now + self.rng.uniform(0.005, 0.15), self.apply_next)
 
     def tick(self) -> None:
-        """Have the hub send heartbeats and ask again for reads that failed."""
+        """Let the hub send heartbeats and repeat failed reads."""
         self.perform(self.hub.tick(self.clock.now))
         self.clock.at(self.clock.now + 0.25, self.tick)
 
     def perform(self, effects: Sequence[HubEffect]) -> None:
-        """Carry out what the hub asks for."""
+        """Carry out the hub's effects."""
         for effect in effects:
             if isinstance(effect, SendLine):
                 for number in effect.subscribers:
@@ -88,23 +87,23 @@
                 self.read(effect.ticket, len(self.control.deltas))
 
     def read(self, ticket: int, accepted: int) -> None:
-        """End a read once a quorum answered and what it had accepted is applied; or never."""
+        """Complete a quorum read once ``accepted`` revisions are applied here."""
         if not (self.reaches_quorum and self.control.has_leader):
             return
 
-        def look() -> None:
+        def poll() -> None:
             if not (self.reaches_quorum and self.control.has_leader):
                 return
             if self.applied >= accepted:
                 self.perform(self.hub.on_confirmed(ticket, self.clock.now))
             else:
-                self.clock.at(self.clock.now + 0.01, look)
+                self.clock.at(self.clock.now + 0.01, poll)
 
-        self.clock.at(self.clock.now + self.rng.uniform(0.001, 0.2), look)
+        self.clock.at(self.clock.now + self.rng.uniform(0.001, 0.2), poll)
 
 
 class Link:
-    """A connection of a daemon to a node: in order, late, at times silent; ended for good once."""
+    """A connection of a daemon to a node: ordered, with delays, silent periods and one close."""
 
     def __init__(self, number: int, node: Node, daemon: "Daemon") -> None:
         self.number = number
@@ -115,22 +114,22 @@
         self._last = [0.0, 0.0]
 
     def to_daemon(self, message: ControlToDaemon) -> None:
-        """Carry a message down."""
-        self._carry(0, lambda: self.daemon.take(self, message))
+        """Deliver a message to the daemon."""
+        self._deliver(0, lambda: self.daemon.receive(self, message))
 
-    def to_node(self, act: Callable[[], None]) -> None:
-        """Carry something up."""
-        self._carry(1, act)
+    def to_node(self, action: Callable[[], None]) -> None:
+        """Run ``action`` at the node after the delay of the link."""
+        self._deliver(1, action)
 
-    def _carry(self, way: int, act: Callable[[], None]) -> None:
+    def _deliver(self, direction: int, action: Callable[[], None]) -> None:
         clock, rng = self.node.clock, self.node.rng
-        earliest = max(clock.now, self.silent_until, self._last[way])
-        self._last[way] = earliest + rng.expovariate(100.0)
-        clock.at(self._last[way], lambda: act() if self.is_open else None)
+        earliest = max(clock.now, self.silent_until, self._last[direction])
+        self._last[direction] = earliest + rng.expovariate(100.0)
+        clock.at(self._last[direction], lambda: action() if self.is_open else None)
 
 
 class Daemon:
-    """A daemon: its configuration, its lease, and a caller that uses each key now and then."""
+    """A daemon with its configuration and lease, and a client that uses each key periodically."""
 
     def __init__(self, clock: Clock, nodes: Sequence[Node], rng: random.Random) -> None:
         self.clock = clock
@@ -141,14 +140,14 @@
         self.configuration = Configuration()
         self.frozen_until = 0.0
         self.link: Link | None = None
-        self.breaches: list[str] = []
-        self.taken = 0
-        self.held_back = 0
-        clock.at(rng.uniform(0.0, RENEW_SECONDS), self.ask)
-        clock.at(rng.uniform(0.0, USE_SECONDS), self.use)
+        self.violations: list[str] = []
+        self.accepted = 0
+        self.rejected = 0
+        clock.at(rng.uniform(0.0, RENEW_SECONDS), self.renew)
+        clock.at(rng.uniform(0.0, USE_SECONDS), self.use_keys)
 
     def connect(self, number: int) -> None:
-        """Leave the node in use and subscribe to another."""
+        """Close the current link and subscribe to a random node."""
         if self.link is not None:
             self.link.is_open = False
         node = self.rng.choice(self.nodes)
@@ -161,59 +160,59 @@
 
         link.to_node(subscribe)
 
-    def take(self, link: Link, message: ControlToDaemon) -> None:
-        """Take a message, once the process runs."""
+    def receive(self, link: Link, message: ControlToDaemon) -> None:
+        """Handle a message, once the process is no longer frozen."""
         if self.clock.now < self.frozen_until:
-            self.clock.at(self.frozen_until, lambda: self.take(link, message))
+            self.clock.at(self.frozen_until, lambda: self.receive(link, message))
             return
         if link is not self.link:
             return
         if isinstance(message, LeaseRenewed):
             self.lease.on_answer(message.question, message.revision)
         elif isinstance(message, Delta):
-            self._take_delta(message)
+            self._apply_delta(message)
 
-    def _take_delta(self, delta: Delta) -> None:
+    def _apply_delta(self, delta: Delta) -> None:
         held = self.configuration.revision
         if delta.revision > held and is_applicable(delta, held):
             self.configuration = apply_delta(self.configuration, delta)
             self.lease.on_revision_applied(delta.revision)
 
-    def ask(self) -> None:
-        """Send a question for the lease."""
+    def renew(self) -> None:
+        """Send a renewal request for the lease."""
         if self.clock.now >= self.frozen_until and self.link is not None:
-            link, question = self.link, self.lease.start_renewal(self.clock.now)
+            link, renewal = self.link, self.lease.start_renewal(self.clock.now)
 
             def arrive() -> None:
-                link.node.perform(link.node.hub.on_question(link.number, question, self.clock.now))
+                link.node.perform(link.node.hub.on_question(link.number, renewal, self.clock.now))
 
             link.to_node(arrive)
-        self.clock.at(self.clock.now + RENEW_SECONDS, self.ask)
+        self.clock.at(self.clock.now + RENEW_SECONDS, self.renew)
 
-    def use(self) -> None:
-        """Have a request come in with each key."""
+    def use_keys(self) -> None:
+        """Receive a request with each key."""
         if self.clock.now >= self.frozen_until:
             tenants = TenantKeys(
                 item for item in self.configuration.resources.values() if isinstance(item, Tenant)
             )
             for key in KEYS:
-                self._use(key, tenants)
-        self.clock.at(self.clock.now + USE_SECONDS, self.use)
+                self._use_key(key, tenants)
+        self.clock.at(self.clock.now + USE_SECONDS, self.use_keys)
 
-    def _use(self, key: bytes, tenants: TenantKeys) -> None:
+    def _use_key(self, key: bytes, tenants: TenantKeys) -> None:
         now = self.clock.now
-        found = authenticate({key}, tenants, self.lease, now, is_public=False)
-        if not isinstance(found, Tenant):
-            self.held_back += 1
+        result = authenticate({key}, tenants, self.lease, now, is_public=False)
+        if not isinstance(result, Tenant):
+            self.rejected += 1
             return
-        self.taken += 1
-        removed_at = self.nodes[0].control.removed_at.get(key)
-        if removed_at is not None and now > removed_at + REVOKE_SECONDS:
-            self.breaches.append(f"{now:.3f}: {key!r} taken away at {removed_at:.3f}")
+        self.accepted += 1
+        revoked_at = self.nodes[0].control.revoked_at.get(key)
+        if revoked_at is not None and now > revoked_at + REVOKE_SECONDS:
+            self.violations.append(f"{now:.3f}: {key!r} revoked at {revoked_at:.3f}")
 
 
-class World:
-    """All of them, under faults drawn from a seed."""
+class Simulation:
+    """Control, nodes and daemons, under faults drawn from a seed."""
 
     def __init__(self, seed: int, *, has_faults: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -226,20 +225,20 @@
         for daemon in self.daemons:
             daemon.connect(next(self._numbers))
         if has_faults:
-            self.clock.at(2.0, self._disturb)
-            self.clock.at(3.0, self._change)
+            self.clock.at(2.0, self._inject_fault)
+            self.clock.at(3.0, self._change_keys)
 
     def run(self, seconds: float) -> list[str]:
-        """Play; return the uses of keys that had ended."""
+        """Run, and return the uses of keys that should have been invalid."""
         self.clock.run(seconds)
-        return [breach for daemon in self.daemons for breach in daemon.breaches]
+        return [violation for daemon in self.daemons for violation in daemon.violations]
 
-    def _change(self) -> None:
+    def _change_keys(self) -> None:
         if self.control.has_leader:
             self.control.accept([key for key in KEYS if self.rng.random() < 0.6])
-        self.clock.at(self.clock.now + self.rng.uniform(0.5, 6.0), self._change)
+        self.clock.at(self.clock.now + self.rng.uniform(0.5, 6.0), self._change_keys)
 
-    def _disturb(self) -> None:
+    def _inject_fault(self) -> None:
         now = self.clock.now
         seconds = self.rng.uniform(0.2, 8.0)
         node, daemon = self.rng.choice(self.nodes), self.rng.choice(self.daemons)
@@ -257,4 +256,4 @@
                     daemon.link.silent_until = now + seconds
             case 4:
                 daemon.connect(next(self._numbers))
-        self.clock.at(now + self.rng.expovariate(0.7), self._disturb)
+        self.clock.at(now + self.rng.expovariate(0.7), self._inject_fault)
--- a/tests/tenancy/test_keys.py
+++ b/tests/tenancy/test_keys.py
@@ -1,4 +1,4 @@
-"""Tenants found by the digests of their keys."""
+"""Lookup of tenants by API key."""
 
 import hashlib
 
@@ -6,7 +6,7 @@
 from finchshed.tenancy.keys import TenantKeys, digest_of_key
 
 
-def test_a_key_leads_to_the_tenant_that_holds_it() -> None:
+def test_key_resolves_to_its_tenant() -> None:
     first = Tenant("first", (digest_of_key(b"one"), digest_of_key(b"two")))
     second = Tenant("second", (digest_of_key(b"three"),))
     keys = TenantKeys((first, second, Tenant("without")))
@@ -16,10 +16,10 @@
         assert keys.holder_of(unknown) is None
 
 
-def test_a_digest_is_the_sha256_an_operator_can_make_with_any_tool() -> None:
+def test_digest_is_a_plain_sha256() -> None:
     assert digest_of_key(b"secret") == hashlib.sha256(b"secret").hexdigest()
 
 
-def test_no_key_is_needed_until_a_tenant_is_declared() -> None:
+def test_tenant_keys_are_false_without_tenants() -> None:
     assert not TenantKeys()
     assert TenantKeys((Tenant("first"),))
