--- a/src/finchshed/quarantine/__init__.py
+++ b/src/finchshed/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the back ends that run them: found, told on, and kept away."""
+"""Detection and quarantine of requests that crash the back ends running them."""
--- a/src/finchshed/quarantine/messages.py
+++ b/src/finchshed/quarantine/messages.py
@@ -1,29 +1,28 @@
-"""What daemons and control nodes tell each other of requests that back ends ended under."""
+"""Messages about crash-causing requests, exchanged by daemons and control nodes."""
 
 from typing import Annotated, TypeAlias
 
 import msgspec
 
 MAX_CRASHES = 16
-"""Crashes of one request that are kept and sent. It is quarantined at the fourth at the latest; one
-more doubles the time, up to its bound."""
+"""Maximum number of crashes stored and sent per request."""
 
 MAX_NEWS_RECORDS = 4096
-"""Records taken in one message: four times what a node keeps."""
+"""Maximum number of records accepted in one message: four times what a node keeps."""
 
 Name: TypeAlias = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 CrashNames: TypeAlias = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_CRASHES)]
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A back end that ended while it ran a request.
+    """A crash of a back end while it ran a request.
 
     Attributes
     ----------
     instance
-        Start of the back end; a start ends once, so it names the crash.
+        Identity of the back end process, which crashes at most once and so identifies the crash.
     is_alone
-        Whether no other request that ran there came into question as much.
+        Whether no other request that ran there was equally suspect.
     """
 
     instance: Name
@@ -31,15 +30,15 @@
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """All that is known of one request. Records merge by union, so they may be told in any order.
+    """Crash history of one request. Records merge by union, so they may arrive in any order.
 
     Attributes
     ----------
     age_seconds
-        Time since the last crash, when the record was sent: clocks of machines are not compared.
+        Time since the last crash when the record was sent; absolute clocks are not compared.
     refuted
-        Instances whose end is no longer held against the request, as it has run to an end since or
-        an operator said so.
+        Instances whose crash no longer counts, because the request has completed since or an
+        operator cleared it.
     """
 
     signature: Name
@@ -49,6 +48,6 @@
 
 
 class CrashNews(msgspec.Struct, frozen=True, tag="crash_news"):
-    """Records that are news to the receiver, as far as the sender knows."""
+    """Records that, as far as the sender knows, the receiver does not have yet."""
 
     records: Annotated[tuple[CrashRecord, ...], msgspec.Meta(max_length=MAX_NEWS_RECORDS)]
--- a/src/finchshed/quarantine/register.py
+++ b/src/finchshed/quarantine/register.py
@@ -1,19 +1,16 @@
-"""Which requests are kept from back ends, as ends of back ends under them tell. Pure decisions.
+"""Register of requests that are suspected of crashing back ends, or quarantined for it.
 
-A back end that ends takes everything that it ran with it, so after one crash nothing tells the
-cause from the bystanders. Three things do:
+A crash affects all requests running on the back end, so a single one doesn't identify its cause.
+The register isolates it as follows:
 
-- A request that runs to an end is cleared of all crashes known until then.
-- A suspect runs alone: at one back end of its service, where no other suspect runs beside it. The
-  next crash has one suspect only.
-- A crash under a suspect is charged to it, not to what else ran there.
+- A request that completes is cleared of all crashes known so far.
+- A suspect runs at one designated back end of its service, never beside another suspect, so the
+  next crash there has a single suspect.
+- A crash with a suspect running is attributed to the suspect, not to other requests.
 
-Every daemon and control node holds such a register. Registers merge by union: of crashes, which the
-instances that ended name, and of those that are refuted.
-
-Inputs: signatures of requests, instances that ended with what they ran, runs to an end, records of
-other registers, and the time in seconds. Owns the records, in memory alone; its caller refuses by
-:meth:`QuarantineRegister.assess` and carries records on. Ways compared: docs/design/quarantine.md.
+Every daemon and control node has a register, kept in memory only. Registers merge by union, of the
+crashes (identified by the crashed instance) and of the refuted ones. The caller refuses requests
+according to :meth:`QuarantineRegister.assess` and forwards changed records.
 """
 
 import enum
@@ -25,61 +22,58 @@
 from finchshed.quarantine.messages import MAX_CRASHES, Crash, CrashRecord
 
 QUARANTINE_CRASHES = 3
-"""Crashes from which a request is refused, if one of them had no other suspect: users' bound."""
+"""Crashes after which a request is quarantined if it was the only suspect of one of them."""
 
-QUARANTINE_CRASHES_TOGETHER = 4
-"""The same where another suspect shared each crash: the fourth is past the users' bound, and two
-requests that share four ends of back ends without having run to an end once are rare."""
+SHARED_QUARANTINE_CRASHES = 4
+"""Crashes after which a request is quarantined if every crash had another suspect as well."""
 
-LAST_OWN_RETRY_CRASHES = 1
-"""A request that more back ends ended under isn't tried again by the daemon that holds it."""
+MAX_CRASHES_FOR_RETRY = 1
+"""A daemon doesn't retry a failed request with more crashes than this."""
 
 SUSPECT_SECONDS = 600.0
-"""A suspect that doesn't come again is forgotten after this time: the longest time-out a route can
-have, so a client that still waits for its answer is remembered."""
+"""How long a suspect is remembered: the longest timeout of a route, so that it covers clients still
+waiting for an answer."""
 
 QUARANTINE_SECONDS = 600.0
-"""First refusal; it doubles with each further crash. After it one try at a time is made, alone.
-Chosen, not measured."""
+"""First quarantine period; it doubles with each further crash. Afterwards the request is a suspect
+again."""
 
 QUARANTINE_MAX_SECONDS = 6 * 3600.0
-"""Longest refusal: a request that still crashes ends a back end four times a day."""
+"""Maximum quarantine period; limits a crashing request to four crashes per day."""
 
 QUARANTINE_BACKOFF = Backoff(QUARANTINE_SECONDS, QUARANTINE_MAX_SECONDS)
 
 REFUTED_SECONDS = 60.0
-"""How long it is remembered that a request was cleared, so that late news don't revive crashes:
-longer than a cut-off zone's news are under way after its return."""
+"""How long a cleared record is kept, so that delayed records don't restore its crashes; longer than
+records take to arrive after a network partition."""
 
 MAX_RECORDS = 1024
-"""Requests kept; the oldest suspects make room: those of forty back ends that end with 25 requests
-each within the time a suspect is kept."""
+"""Maximum number of records: enough for the crashes of 40 back ends with 25 requests each."""
 
-RECENT_CRASHES = 64
-"""Crashes remembered for whether a suspect explains them: connections may break in two batches.
-Chosen, not measured."""
+MAX_RECENT_CRASHES = 64
+"""Number of recent crashes tracked, because connections of one crash may break in two batches."""
 
 
 class Suspicion(enum.Enum):
-    """What may be done with a request."""
+    """How a request may be run."""
 
     FREE = "free"
     SUSPECT = "suspect"
-    """It runs alone, at the endpoint designated for it."""
+    """Runs only at its designated endpoint, without other suspects."""
 
     QUARANTINED = "quarantined"
-    """It isn't run."""
+    """Is refused."""
 
 
 class Assessment(msgspec.Struct, frozen=True, gc=False):
-    """What is held of a request.
+    """Assessment of a request.
 
     Attributes
     ----------
     crashes
-        Back ends that ended under it and aren't refuted.
+        Number of crashes that aren't refuted.
     seconds
-        Time until it may be tried again; 0 unless it is quarantined.
+        Remaining quarantine time; 0 unless it is quarantined.
     """
 
     suspicion: Suspicion
@@ -90,8 +84,8 @@
 FREE = Assessment(Suspicion.FREE)
 
 
-class _Held:
-    """One request's record. Times are seconds of the caller's clock."""
+class _CrashHistory:
+    """Crash history of one request. Times are in seconds on the caller's clock."""
 
     __slots__ = ("crashes", "last_crash_at", "refuted")
 
@@ -100,32 +94,32 @@
         self.refuted: dict[str, None] = {}
         self.last_crash_at = last_crash_at
 
-    def counted(self) -> int:
-        """Return the crashes that aren't refuted."""
+    def crash_count(self) -> int:
+        """Return the number of crashes that aren't refuted."""
         return len(self.crashes.keys() - self.refuted.keys())
 
-    def is_convicted(self) -> bool:
-        """Return whether the crashes suffice to refuse the request."""
-        counted = self.crashes.keys() - self.refuted.keys()
-        if len(counted) >= QUARANTINE_CRASHES_TOGETHER:
+    def is_quarantinable(self) -> bool:
+        """Return whether the crashes suffice to quarantine the request."""
+        active = self.crashes.keys() - self.refuted.keys()
+        if len(active) >= SHARED_QUARANTINE_CRASHES:
             return True
-        return len(counted) >= QUARANTINE_CRASHES and any(self.crashes[name] for name in counted)
+        return len(active) >= QUARANTINE_CRASHES and any(self.crashes[name] for name in active)
 
-    def held_seconds(self) -> float:
-        """Return for how long after its last crash the request is refused."""
-        if not self.is_convicted():
+    def quarantine_seconds(self) -> float:
+        """Return how long after its last crash the request is quarantined."""
+        if not self.is_quarantinable():
             return 0.0
-        doublings = max(0, self.counted() - QUARANTINE_CRASHES_TOGETHER)
+        doublings = max(0, self.crash_count() - SHARED_QUARANTINE_CRASHES)
         return QUARANTINE_BACKOFF.bound(doublings)
 
-    def kept_seconds(self) -> float:
-        """Return for how long after its last crash the record is kept."""
-        if not self.counted():
+    def retention_seconds(self) -> float:
+        """Return how long after its last crash the record is kept."""
+        if not self.crash_count():
             return REFUTED_SECONDS
-        return self.held_seconds() * 2.0 or SUSPECT_SECONDS
+        return self.quarantine_seconds() * 2.0 or SUSPECT_SECONDS
 
     def merge(self, crashes: Iterable[Crash], refuted: Iterable[str]) -> bool:
-        """Merge what is reported; return whether any of it is new."""
+        """Merge reported crashes and refutations; return whether any of them is new."""
         before = (len(self.crashes), sum(self.crashes.values()), len(self.refuted))
         for crash in crashes:
             if crash.instance in self.crashes or len(self.crashes) < MAX_CRASHES:
@@ -137,118 +131,121 @@
         return before != (len(self.crashes), sum(self.crashes.values()), len(self.refuted))
 
     def record(self, signature: str, now: float) -> CrashRecord:
-        """Return the record that is sent to others."""
+        """Return the record to send to others."""
         crashes = tuple(Crash(name, alone) for name, alone in self.crashes.items())
         age = max(0.0, now - self.last_crash_at)
         return CrashRecord(signature, round(age, 3), crashes, tuple(self.refuted))
 
 
 class QuarantineRegister:
-    """Requests that back ends ended under, by signature."""
+    """Crash histories of requests, by signature."""
 
     def __init__(self) -> None:
-        self._held: dict[str, _Held] = {}
-        self._explained: dict[str, bool] = {}
+        self._histories: dict[str, _CrashHistory] = {}
+        self._has_suspect: dict[str, bool] = {}
 
     def __len__(self) -> int:
-        """Return the number of requests held; while it is 0 every request is free."""
-        return len(self._held)
+        """Return the number of requests with a record; if 0, every request is free."""
+        return len(self._histories)
 
     def assess(self, signature: str, now: float) -> Assessment:
-        """Return what may be done with a request now."""
-        held = self._held.get(signature)
-        if held is None:
+        """Return how a request may be run at ``now``."""
+        history = self._histories.get(signature)
+        if history is None:
             return FREE
-        crashes = held.counted()
-        age = now - held.last_crash_at
-        if not crashes or age > held.kept_seconds():
+        crashes = history.crash_count()
+        age = now - history.last_crash_at
+        if not crashes or age > history.retention_seconds():
             return FREE
-        left = held.held_seconds() - age
-        if left > 0.0:
-            return Assessment(Suspicion.QUARANTINED, crashes, left)
+        remaining = history.quarantine_seconds() - age
+        if remaining > 0.0:
+            return Assessment(Suspicion.QUARANTINED, crashes, remaining)
         return Assessment(Suspicion.SUSPECT, crashes)
 
     def on_crash(
         self, instance: str, running: Sequence[str], now: float
     ) -> tuple[CrashRecord, ...]:
-        """Charge the end of a back end to these requests; return the records that changed."""
+        """Attribute a crash to the requests running there; return the changed records."""
         distinct = dict.fromkeys(running)
         prior = {name: self._prior_crashes(name, instance, now) for name in distinct}
-        most = max(prior.values(), default=0)
-        if most == 0 and self._explained.get(instance):
+        highest = max(prior.values(), default=0)
+        if highest == 0 and self._has_suspect.get(instance):
             return ()
-        self._note_explained(instance, most > 0)
-        charged = [name for name, count in prior.items() if count == most]
-        crash = Crash(instance, len(charged) == 1)
-        records = [CrashRecord(name, 0.0, (crash,)) for name in charged]
+        self._record_crash(instance, highest > 0)
+        attributed = [name for name, count in prior.items() if count == highest]
+        crash = Crash(instance, len(attributed) == 1)
+        records = [CrashRecord(name, 0.0, (crash,)) for name in attributed]
         return self.merge(records, now)
 
     def on_completed(self, signature: str, now: float) -> CrashRecord | None:
-        """Clear a request that has run to an end; return its record if that is news."""
-        held = self._held.get(signature)
-        if held is None or not held.counted():
+        """Clear a request that has completed; return its record if it changed."""
+        history = self._histories.get(signature)
+        if history is None or not history.crash_count():
             return None
-        held.merge((), held.crashes)
-        return held.record(signature, now)
+        history.merge((), history.crashes)
+        return history.record(signature, now)
 
     def merge(self, records: Iterable[CrashRecord], now: float) -> tuple[CrashRecord, ...]:
-        """Merge records of others; return those that are changed by it, whole."""
+        """Merge records of other registers; return the records that changed."""
         changed = [record.signature for record in records if self._merge_one(record, now)]
-        self._make_room()
+        self._evict_excess()
         return tuple(
-            self._held[name].record(name, now)
+            self._histories[name].record(name, now)
             for name in dict.fromkeys(changed)
-            if name in self._held
+            if name in self._histories
         )
 
     def records(self, now: float) -> tuple[CrashRecord, ...]:
-        """Return all that is held."""
-        return tuple(held.record(signature, now) for signature, held in self._held.items())
+        """Return all records."""
+        return tuple(
+            history.record(signature, now) for signature, history in self._histories.items()
+        )
 
     def record_of(self, signature: str, now: float) -> CrashRecord | None:
-        """Return what is held of one request."""
-        held = self._held.get(signature)
-        return None if held is None else held.record(signature, now)
+        """Return the record of one request, or None."""
+        history = self._histories.get(signature)
+        return None if history is None else history.record(signature, now)
 
     def expire(self, now: float) -> None:
-        """Forget what is over."""
-        for signature, held in list(self._held.items()):
-            if now - held.last_crash_at > held.kept_seconds():
-                del self._held[signature]
+        """Remove records past their retention time."""
+        for signature, history in list(self._histories.items()):
+            if now - history.last_crash_at > history.retention_seconds():
+                del self._histories[signature]
 
     def _merge_one(self, record: CrashRecord, now: float) -> bool:
-        held = self._held.get(record.signature)
+        history = self._histories.get(record.signature)
         crashed_at = now - record.age_seconds
-        if held is None:
-            held = _Held(crashed_at)
-            held.merge(record.crashes, record.refuted)
-            if record.age_seconds > held.kept_seconds():
+        if history is None:
+            history = _CrashHistory(crashed_at)
+            history.merge(record.crashes, record.refuted)
+            if record.age_seconds > history.retention_seconds():
                 return False
-            self._held[record.signature] = held
+            self._histories[record.signature] = history
             return True
-        held.last_crash_at = max(held.last_crash_at, crashed_at)
-        return held.merge(record.crashes, record.refuted)
+        history.last_crash_at = max(history.last_crash_at, crashed_at)
+        return history.merge(record.crashes, record.refuted)
 
     def _prior_crashes(self, signature: str, instance: str, now: float) -> int:
-        """Return the crashes held against a request, but for that of ``instance``."""
-        held = self._held.get(signature)
-        if held is None or self.assess(signature, now).suspicion is Suspicion.FREE:
+        """Return the number of active crashes of a request, not counting that of ``instance``."""
+        history = self._histories.get(signature)
+        if history is None or self.assess(signature, now).suspicion is Suspicion.FREE:
             return 0
-        counted = held.crashes.keys() - held.refuted.keys()
-        return len(counted - {instance})
+        active = history.crashes.keys() - history.refuted.keys()
+        return len(active - {instance})
 
-    def _note_explained(self, instance: str, by_suspect: bool) -> None:
-        if len(self._explained) >= RECENT_CRASHES:
-            del self._explained[next(iter(self._explained))]
-        self._explained[instance] = by_suspect or self._explained.get(instance, False)
+    def _record_crash(self, instance: str, by_suspect: bool) -> None:
+        if len(self._has_suspect) >= MAX_RECENT_CRASHES:
+            del self._has_suspect[next(iter(self._has_suspect))]
+        self._has_suspect[instance] = by_suspect or self._has_suspect.get(instance, False)
 
-    def _make_room(self) -> None:
-        """Drop the oldest records past the bound, those of suspects first."""
-        excess = len(self._held) - MAX_RECORDS
+    def _evict_excess(self) -> None:
+        """Drop the oldest records beyond the limit, those not quarantinable first."""
+        excess = len(self._histories) - MAX_RECORDS
         if excess <= 0:
             return
         oldest = sorted(
-            self._held.items(), key=lambda item: (item[1].is_convicted(), item[1].last_crash_at)
+            self._histories.items(),
+            key=lambda item: (item[1].is_quarantinable(), item[1].last_crash_at),
         )
         for signature, _ in oldest[:excess]:
-            del self._held[signature]
+            del self._histories[signature]
--- a/src/finchshed/quarantine/signature.py
+++ b/src/finchshed/quarantine/signature.py
@@ -1,11 +1,10 @@
-"""What is equal for all tries of the same piece of work, whatever identity each try carries."""
+"""Request signature, equal for all attempts of the same work regardless of request identity."""
 
 import hashlib
 from collections.abc import Sequence
 
 SIGNATURE_BYTES = 10
-"""Size of a signature. A caller who wants the signature of another's request has to find a second
-preimage of 80 bits; a line that names 100 of them stays under 3 kB."""
+"""Size of a signature. Forging that of another caller's request takes an 80-bit second preimage."""
 
 
 def signature_of(service: str, method: str, path: str, caller: Sequence[str], body: bytes) -> str:
@@ -14,17 +13,17 @@
     Parameters
     ----------
     path
-        Path and query, as sent.
+        Path and query as sent.
     caller
-        What tells one caller from another: the same request of two callers has two signatures, so
-        what one of them sends never bears on the other.
+        Values that identify the caller. Signatures differ between callers, so that one caller can't
+        cause another's requests to be quarantined.
     body
-        The whole body. A megabyte takes about 2 ms, a request without one about 3 us.
+        The complete body.
     """
     digest = hashlib.blake2b(digest_size=SIGNATURE_BYTES)
     for part in (service, method, path, *caller):
         encoded = part.encode("utf-8", "surrogatepass")
-        # The length keeps two neighbours from being split elsewhere.
+        # The length prefix keeps adjacent parts unambiguous.
         digest.update(len(encoded).to_bytes(8, "big"))
         digest.update(encoded)
     digest.update(body)
--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -23,7 +23,7 @@
 )
 from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Endpoint
-from finchshed.quarantine.register import FREE, LAST_OWN_RETRY_CRASHES, Assessment, Suspicion
+from finchshed.quarantine.register import FREE, MAX_CRASHES_FOR_RETRY, Assessment, Suspicion
 from finchshed.retry.account import allocated_attempts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.retry.policy import (
@@ -201,7 +201,7 @@
         """Return whether the outcome allows another attempt and enough time is left for it."""
         if not may_retry(outcome, self._repeatable):
             return False
-        if isinstance(outcome, Failed) and self._assess().crashes > LAST_OWN_RETRY_CRASHES:
+        if isinstance(outcome, Failed) and self._assess().crashes > MAX_CRASHES_FOR_RETRY:
             return False
         if not isinstance(outcome, Answered):
             return True
--- a/tests/quarantine/test_register.py
+++ b/tests/quarantine/test_register.py
@@ -1,4 +1,4 @@
-"""What ends of back ends tell of requests, and what ends of requests take back."""
+"""Quarantine register: attribution of crashes, clearing, expiry and merging."""
 
 import random
 
@@ -19,20 +19,20 @@
     return register.assess(signature, now).suspicion
 
 
-def test_three_crashes_refuse_a_request_once_one_of_them_had_no_other_suspect() -> None:
+def test_three_crashes_quarantine_a_request_if_one_had_no_other_suspect() -> None:
     register = QuarantineRegister()
     register.on_crash("i-1", ["cause", "other", "cause"], 1.0)
     assert suspicion(register, "cause") is suspicion(register, "other") is Suspicion.SUSPECT
     register.on_crash("i-2", ["cause", "new"], 2.0)
-    assert suspicion(register, "new") is Suspicion.FREE  # the suspect explains the crash
+    assert suspicion(register, "new") is Suspicion.FREE  # the crash is attributed to the suspect
     register.on_crash("i-3", ["cause", "other"], 3.0)
-    judged = register.assess("cause", 10.0)
-    assert judged.suspicion is Suspicion.QUARANTINED
-    assert (judged.crashes, judged.seconds) == (3, QUARANTINE_SECONDS - 7.0)
+    assessment = register.assess("cause", 10.0)
+    assert assessment.suspicion is Suspicion.QUARANTINED
+    assert (assessment.crashes, assessment.seconds) == (3, QUARANTINE_SECONDS - 7.0)
     assert register.assess("other", 10.0).crashes == 1
 
 
-def test_two_that_shared_three_crashes_are_told_apart_by_a_run_alone() -> None:
+def test_two_requests_with_shared_crashes_are_separated_by_a_run_without_the_other() -> None:
     register = QuarantineRegister()
     for number in range(3):
         register.on_crash(f"i-{number}", ["cause", "other"], float(number))
@@ -43,21 +43,21 @@
     assert suspicion(register, "other") is Suspicion.FREE
 
 
-def test_a_request_that_ran_to_an_end_is_cleared_whatever_order_news_comes_in() -> None:
+def test_completed_request_is_cleared_whatever_the_order_of_records() -> None:
     register = QuarantineRegister()
-    told = register.on_crash("i-1", ["popular"], 1.0)
+    records = register.on_crash("i-1", ["popular"], 1.0)
     cleared = register.on_completed("popular", 2.0)
     assert cleared is not None
     assert register.on_completed("popular", 2.1) is None
     elsewhere = QuarantineRegister()
     elsewhere.merge((cleared,), 3.0)
-    elsewhere.merge(told, 3.1)
+    elsewhere.merge(records, 3.1)
     assert suspicion(elsewhere, "popular") is Suspicion.FREE
     elsewhere.on_crash("i-2", ["popular"], 4.0)
     assert elsewhere.assess("popular", 5.0).crashes == 1
 
 
-def test_connections_that_break_in_two_batches_are_one_crash() -> None:
+def test_connections_breaking_in_two_batches_count_as_one_crash() -> None:
     register = QuarantineRegister()
     register.on_crash("i-1", ["cause"], 1.0)
     register.on_crash("i-2", ["cause"], 2.0)
@@ -65,7 +65,7 @@
     assert suspicion(register, "beside") is Suspicion.FREE
 
 
-def test_after_its_time_it_is_tried_alone_and_a_further_crash_doubles_the_time() -> None:
+def test_request_is_suspect_after_quarantine_and_a_further_crash_doubles_the_period() -> None:
     register = QuarantineRegister()
     for number in range(4):
         register.on_crash(f"i-{number}", ["cause"], float(number))
@@ -76,7 +76,7 @@
     assert suspicion(register, "cause", end + 2 * QUARANTINE_SECONDS) is Suspicion.QUARANTINED
 
 
-def test_what_is_over_is_forgotten() -> None:
+def test_expired_records_are_removed() -> None:
     register = QuarantineRegister()
     register.on_crash("i-1", ["once"], 0.0)
     register.on_crash("i-2", ["cleared"], 0.0)
@@ -88,7 +88,7 @@
     assert not register
 
 
-def test_a_stream_of_distinct_requests_takes_bounded_memory_and_frees_no_convicted_one() -> None:
+def test_records_are_bounded_and_quarantined_requests_are_not_evicted() -> None:
     register = QuarantineRegister()
     for number in range(4):
         register.on_crash(f"i-{number}", ["cause"], 0.0)
@@ -104,18 +104,18 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_registers_that_heard_the_same_in_any_order_agree(seed: int) -> None:
+def test_registers_converge_whatever_the_order_of_records(seed: int) -> None:
     rng = random.Random(seed)
-    told = []
+    records = []
     for number in range(12):
         crashes = (Crash(f"i-{number % 5}", rng.random() < 0.3),)
         refuted = (f"i-{rng.randrange(5)}",) if rng.random() < 0.3 else ()
-        told.append(CrashRecord(f"s-{rng.randrange(2)}", 0.0, crashes, refuted))
-    ends = []
+        records.append(CrashRecord(f"s-{rng.randrange(2)}", 0.0, crashes, refuted))
+    assessments = []
     for _ in range(3):
-        rng.shuffle(told)
+        rng.shuffle(records)
         register = QuarantineRegister()
-        for record in told:
+        for record in records:
             register.merge((record,), 1.0)
-        ends.append([register.assess(f"s-{number}", 2.0) for number in range(2)])
-    assert ends[0] == ends[1] == ends[2]
+        assessments.append([register.assess(f"s-{number}", 2.0) for number in range(2)])
+    assert assessments[0] == assessments[1] == assessments[2]
--- a/tests/quarantine/test_signature.py
+++ b/tests/quarantine/test_signature.py
@@ -1,4 +1,4 @@
-"""The same work has one signature under every identity and at every daemon; other work another."""
+"""Request signatures: equal for the same work, different for other work or callers."""
 
 import time
 
@@ -24,13 +24,13 @@
     service: str = "sales",
     **headers: str,
 ) -> Request:
-    told = {"host": "sales.example", "x-trace": root, NAMES.caller_service: "portal"}
-    told |= {name.replace("_", "-"): value for name, value in headers.items()}
+    fields = {"host": "sales.example", "x-trace": root, NAMES.caller_service: "portal"}
+    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
     context = CallContext(root, Importance.NORMAL, 1.0, 1, depth=depth)
-    return Request(service, "GET", path, tuple(told.items()), body, context, identity=root)
+    return Request(service, "GET", path, tuple(fields.items()), body, context, identity=root)
 
 
-def test_tries_of_one_request_are_alike_under_other_identities_and_at_other_machines() -> None:
+def test_signature_does_not_depend_on_request_identity_or_daemon() -> None:
     first = SIGNATURES.of(request())
     assert len(first) == 2 * SIGNATURE_BYTES
     elsewhere = {NAMES.caller_service.replace("-", "_"): "ledger"}
@@ -50,23 +50,23 @@
         request(**{NAMES.tenant.replace("-", "_"): "county"}),
     ],
 )
-def test_other_work_and_other_callers_have_other_signatures(other: Request) -> None:
+def test_other_work_and_other_callers_have_different_signatures(other: Request) -> None:
     assert SIGNATURES.of(other) != SIGNATURES.of(request())
 
 
-def test_a_call_belongs_to_the_service_that_makes_it() -> None:
+def test_signature_of_a_call_depends_on_the_calling_service() -> None:
     name = NAMES.caller_service.replace("-", "_")
     first = SIGNATURES.of(request(depth=1, **{name: "sales"}))
     assert SIGNATURES.of(request(depth=2, root="r2", **{name: "sales"})) == first
     assert SIGNATURES.of(request(depth=1, **{name: "ledger"})) != first
 
 
-def test_neighbouring_parts_are_not_mixed_up() -> None:
+def test_adjacent_parts_are_unambiguous() -> None:
     assert signature_of("a", "bc", "d", (), b"") != signature_of("ab", "c", "d", (), b"")
     assert signature_of("a", "b", "c", ("d",), b"e") != signature_of("a", "b", "c", (), b"de")
 
 
-def test_a_body_of_a_megabyte_takes_a_few_milliseconds() -> None:
+def test_one_megabyte_body_takes_a_few_milliseconds() -> None:
     body = bytes(1 << 20)
     began = time.process_time()
     for _ in range(10):
