--- a/src/finchshed/common/__init__.py
+++ b/src/finchshed/common/__init__.py
@@ -1,1 +1,1 @@
-"""Types shared by every program: errors, outcomes, importance, call context."""
+"""Types shared by all programs: errors, outcomes, importance, call context."""
--- a/src/finchshed/common/errors.py
+++ b/src/finchshed/common/errors.py
@@ -1,22 +1,22 @@
-"""The exception tree.
+"""Exception hierarchy.
 
-Outcomes of calls are values (see :mod:`finchshed.common.outcomes`); an exception means that a
-caller inside the process has to deal with a fault. Only :class:`InvariantError` stops a process.
+Outcomes of calls are values (see :mod:`finchshed.common.outcomes`); exceptions report faults within
+the process. Only :class:`InvariantError` stops a process.
 """
 
 from finchshed.common.text import one_line
 
 
 class FinchshedError(Exception):
-    """Base of every error raised by finchshed."""
+    """Base class of all errors raised by finchshed."""
 
 
 class InvariantError(FinchshedError):
-    """A property the process relies on is broken; the process must stop."""
+    """An invariant of the process is violated; the process must stop."""
 
 
 class SettingsError(FinchshedError):
-    """A settings file or flag is wrong. Holds one printable line per problem found."""
+    """A settings file or flag is invalid. Holds one printable line per problem."""
 
     def __init__(self, problems: list[str]) -> None:
         self.problems = [one_line(problem) for problem in problems]
@@ -24,7 +24,7 @@
 
 
 class DeclarationError(SettingsError):
-    """Declarations offered for the configuration are wrong."""
+    """Declarations submitted for the configuration are invalid."""
 
 
 class ProtocolError(FinchshedError):
@@ -32,20 +32,20 @@
 
 
 class StorageError(FinchshedError):
-    """The data folder could not be read or written."""
+    """The data folder can't be read or written."""
 
 
 class CorruptRecordError(StorageError):
-    """A record in the middle of a journal fails its checksum: the disk lost synced data."""
+    """A record in the middle of a journal fails its checksum: synced data was lost."""
 
 
 class DiskFullError(StorageError):
-    """The disk has no room for a write. What was stored before is unharmed."""
+    """The disk is full. Data stored before is intact."""
 
 
 class FolderLockedError(StorageError):
-    """Another process uses the data folder."""
+    """Another process has locked the data folder."""
 
 
 class ControlUnavailableError(FinchshedError):
-    """No control node could answer with the agreement of a quorum."""
+    """No control node could answer with a quorum."""
--- a/src/finchshed/common/importance.py
+++ b/src/finchshed/common/importance.py
@@ -1,4 +1,4 @@
-"""Importance classes of requests, from declarations.
+"""Importance classes of requests, as declared for their routes.
 
 A higher value is shed later. The classes follow the four criticality levels of the overload
 chapter of *Site Reliability Engineering* (Beyer et al., 2016).
@@ -8,10 +8,10 @@
 
 
 class Importance(enum.IntEnum):
-    """How late a request is shed under overload."""
+    """Importance class of a request; lower values are shed first under overload."""
 
     SHEDDABLE = 0
-    """Browsing that may fail for a while, such as booklet pages."""
+    """Requests that may fail temporarily, such as browsing."""
 
     NORMAL = 1
     """Interactive look-ups by the public."""
@@ -20,4 +20,4 @@
     """Requests that change state, such as a purchase."""
 
     CRITICAL = 3
-    """Requests someone in the field waits for, such as an officer's licence check."""
+    """Requests that field staff wait for, such as an officer's licence check."""
--- a/src/finchshed/common/moving_average.py
+++ b/src/finchshed/common/moving_average.py
@@ -1,9 +1,6 @@
-"""One step of an exponential moving average. Each user keeps its mean and its weight.
-
-How a first sample is taken stays with the user too: some means begin with it, others at 0.
-"""
+"""Exponential moving average. The caller stores the mean and handles the first sample."""
 
 
 def moving_average(mean: float, sample: float, weight: float) -> float:
-    """Return ``mean`` moved towards ``sample`` by the part ``weight`` of their difference."""
+    """Return ``mean`` moved towards ``sample`` by the fraction ``weight`` of their difference."""
     return mean + weight * (sample - mean)
--- a/src/finchshed/common/outcomes.py
+++ b/src/finchshed/common/outcomes.py
@@ -1,8 +1,8 @@
 """Outcomes of a call, as values.
 
-``Refused`` is a statement that the request did not run. It may be made only by a party that
-knows: the request was never sent to a back end, or the back end itself refused before running.
-Anything less certain is ``Failed``. docs/DECISIONS.md leads from each reason to the rule behind it.
+``Refused`` guarantees that the request did not run: it was never sent to a back end, or the back
+end refused it before running it. If that is uncertain, the outcome is ``Failed``. docs/DECISIONS.md
+describes the rule behind each reason.
 """
 
 import enum
@@ -14,7 +14,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was refused without having run."""
+    """Why a request was refused without running."""
 
     OVERLOAD = "overload"
     QUEUE_FULL = "queue_full"
@@ -42,10 +42,10 @@
     API_KEY_UNCONFIRMED = "api_key_unconfirmed"
     CALLER_UNKNOWN = "caller_unknown"
     QUARANTINED = "quarantined"
-    """Back ends ended under it."""
+    """It has crashed back ends."""
 
     SUSPECTS_WAIT = "suspects_wait"
-    """A back end ended under it, and others of which that is so have their turn before."""
+    """It is suspected of crashing a back end, and other suspects are run first."""
 
 
 FINAL_REFUSALS = frozenset(
@@ -61,11 +61,11 @@
         RefusalReason.API_KEY_UNKNOWN,
     }
 )
-"""Refusals that the same request gets again, wherever and whenever it is sent."""
+"""Refusals that an identical request will always receive again."""
 
 
 class FailureReason(enum.StrEnum):
-    """Why it is unknown whether a request ran to its end."""
+    """Why it is unknown whether a request ran to completion."""
 
     LINK_BROKEN = "link_broken"
     BACKEND_BROKEN = "backend_broken"
@@ -79,9 +79,8 @@
 class Answered(msgspec.Struct, frozen=True, omit_defaults=True, tag="answered"):
     """The back end's answer.
 
-    ``has_length`` tells that its framing showed it to be whole. One that lacked a length ended with
-    its connection: nobody can tell whether that was its end, so it is handed on as it came, without
-    a length.
+    ``has_length`` is false if the answer had no length and ended with its connection. It may be
+    truncated then, so it is passed on without a length as well.
     """
 
     status: int
--- a/src/finchshed/common/results.py
+++ b/src/finchshed/common/results.py
@@ -1,4 +1,4 @@
-"""How a call ended, as far as routing, limits and retry budgets care. Pure."""
+"""Result of an attempt, as used by routing, concurrency limits and retry budgets."""
 
 import enum
 
@@ -9,17 +9,17 @@
 """Lowest HTTP status that counts as an error of the back end (RFC 9110, 15.6)."""
 
 GATEWAY_TIMEOUT = 504
-"""Status of a back end that ran out of time (RFC 9110, 15.6.5)."""
+"""HTTP status Gateway Timeout (RFC 9110, 15.6.5)."""
 
 
 class CallResult(enum.IntEnum):
     """Result of one attempt."""
 
     OK = 0
-    """A whole answer that is no server error."""
+    """A complete answer other than a server error."""
 
     ERROR = 1
-    """A whole answer with a server error (5xx)."""
+    """A complete answer with a server error (5xx)."""
 
     REFUSED = 2
     """The attempt did not run."""
@@ -28,14 +28,14 @@
     """It is unknown whether the attempt ran."""
 
     CANCELLED = 4
-    """The caller gave up; this says nothing about the back end."""
+    """The caller cancelled the attempt; the back end is not at fault."""
 
     DOWNSTREAM = 5
-    """A server error because a call the back end made was not answered; it is not at fault."""
+    """A server error caused by an unanswered downstream call; the back end is not at fault."""
 
 
 def result_of(outcome: Outcome) -> CallResult:
-    """Return the result class of ``outcome``."""
+    """Return the result that corresponds to ``outcome``."""
     if isinstance(outcome, Answered):
         return _result_of_status(outcome)
     if isinstance(outcome, Refused):
--- a/src/finchshed/common/text.py
+++ b/src/finchshed/common/text.py
@@ -1,21 +1,21 @@
-"""Text for people: whatever comes from outside is one printable line of bounded length."""
+"""Sanitizing of external text for logs and messages."""
 
 MAX_LINE_CHARACTERS = 1_000
-"""Longest line, characters. Chosen, not measured."""
+"""Maximum length of a line, characters."""
 
-_KEPT_OF_THE_END = 300
-"""Characters of the end that a cut line keeps. Chosen, not measured."""
+_TAIL_CHARACTERS = 300
+"""Number of trailing characters kept when a line is truncated."""
 
-_CUT_MARK = " [...] "
+_TRUNCATION_MARK = " [...] "
 
 
 def one_line(text: str) -> str:
-    """Return ``text`` as one printable line of bounded length; its end is kept where it is cut."""
+    """Return ``text`` as one printable line, truncated in the middle if it is too long."""
     line = "".join(
         character if character.isprintable() else character.encode("unicode_escape").decode()
         for character in text
     )
     if len(line) <= MAX_LINE_CHARACTERS:
         return line
-    kept_of_the_beginning = MAX_LINE_CHARACTERS - _KEPT_OF_THE_END - len(_CUT_MARK)
-    return line[:kept_of_the_beginning] + _CUT_MARK + line[-_KEPT_OF_THE_END:]
+    head_characters = MAX_LINE_CHARACTERS - _TAIL_CHARACTERS - len(_TRUNCATION_MARK)
+    return line[:head_characters] + _TRUNCATION_MARK + line[-_TAIL_CHARACTERS:]
--- a/src/finchshed/common/units.py
+++ b/src/finchshed/common/units.py
@@ -1,4 +1,4 @@
-"""Factors between units of time: inside, times are seconds; lines and headers have milliseconds."""
+"""Time units: seconds within the process, milliseconds in messages and headers."""
 
 MILLISECONDS = 1000.0
 """Milliseconds in a second."""
