--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -165,9 +165,7 @@
             caller=caller,
             session=request.header(_SESSION) if matched.route.session else "",
             key=request.header(_IDEMPOTENCY_KEY),
-            position=self._fair.assign_position(
-                caller, matched.route.importance, root, clock.now()
-            ),
+            position=self._fair.place(caller, matched.route.importance, root, clock.now()),
         )
 
     def _new_root(self) -> str:
--- a/src/finchshed/daemon/serving/accounts.py
+++ b/src/finchshed/daemon/serving/accounts.py
@@ -67,11 +67,11 @@
 
     def lend(self, account: str) -> int:
         """Lend spare attempts to one call of the request."""
-        return self._accounts.allocate(account)
+        return self._accounts.lend(account)
 
     def give_back(self, account: str, lent: int, spare_attempts: int) -> None:
         """Take back what a call did not spend."""
-        self._accounts.refund(account, lent, spare_attempts)
+        self._accounts.give_back(account, lent, spare_attempts)
 
     def on_call_failed(self, account: str, call: str) -> None:
         """Note that a call made for the request was not answered."""
--- a/tests/simulation/system.py
+++ b/tests/simulation/system.py
@@ -167,7 +167,7 @@
             root=self.context.root,
             importance=self.context.importance,
             remaining_seconds=self.context.remaining_seconds - elapsed,
-            spare_attempts=effect.allocated_attempts,
+            spare_attempts=effect.lent_attempts,
             depth=self.context.depth + 1,
             caller=self.context.caller,
             session=self.context.session,
@@ -286,7 +286,7 @@
         account = str(job.token)
 
         def begin(service: str, repeats: int) -> None:
-            share = self.accounts.allocate(account)
+            share = self.accounts.lend(account)
             if self.accounts.is_repeat(account, service):
                 if share < 1:
                     self.end(job, Failed(FailureReason.BACKEND_BROKEN, 0.1))
@@ -305,7 +305,7 @@
             )
 
             def done(outcome: Outcome, spare: int) -> None:
-                self.accounts.refund(account, share, spare)
+                self.accounts.give_back(account, share, spare)
                 if job.over:
                     return
                 if result_of(outcome) is not CallResult.OK:
