--- a/tests/simulation/distribution.py
+++ b/tests/simulation/distribution.py
@@ -1,8 +1,8 @@
-"""A simulated distribution: real hubs, followers and address books; simulated links and faults.
+"""Simulated configuration distribution with real hubs, followers and address books.
 
-Agreement between control nodes is taken as given: there is one list of accepted changes, a node
-in contact with a quorum learns of them after a delay, and its confirmations are right. Everything
-between that list and the daemons is what is tested.
+Consensus is assumed: there is one list of accepted changes, and a control node in contact with a
+quorum learns of them after a delay and confirms correctly. The tests cover everything between that
+list and the daemons.
 """
 
 import itertools
@@ -45,20 +45,20 @@
 
 
 class ViolationError(AssertionError):
-    """A property doesn't hold."""
+    """A checked property is violated."""
 
 
 @dataclass
-class Cuts:
-    """Zones that nothing passes between, and pairs of daemons and control nodes cut off."""
+class Partitions:
+    """Current network partitions."""
 
     zones: set[frozenset[str]] = field(default_factory=set)
     nodes: set[str] = field(default_factory=set)
     from_control: set[str] = field(default_factory=set)
     """Zones whose daemons reach no control node."""
 
-    def between(self, first: "Node", second: "Node") -> bool:
-        """Whether nothing passes between two nodes."""
+    def separates(self, first: "Node", second: "Node") -> bool:
+        """Return whether messages between two nodes are blocked."""
         if first.name in self.nodes or second.name in self.nodes:
             return True
         for node, other in ((first, second), (second, first)):
@@ -69,20 +69,20 @@
 
 @dataclass(eq=False)
 class Node:
-    """Anything that links end at."""
+    """A daemon or control node."""
 
     name: str
     zone: str
     is_control: bool = False
 
 
-class World:
-    """All nodes, one clock, one seed."""
+class Simulation:
+    """All nodes, with one simulated clock and one seed."""
 
     def __init__(self, seed: int, daemons: int = 9) -> None:
         self.env = simpy.Environment()
         self.rng = random.Random(seed)
-        self.cuts = Cuts()
+        self.partitions = Partitions()
         self.accepted: list[Delta] = []
         self.bases: set[ServingBasis] = set()
         self.states = [Configuration()]
@@ -100,7 +100,7 @@
         event.callbacks.append(lambda _: action())
 
     def every(self, period: float, action: Callable[[], None]) -> None:
-        """Run ``action`` each ``period`` seconds."""
+        """Run ``action`` every ``period`` seconds."""
 
         def again() -> None:
             action()
@@ -109,12 +109,12 @@
         self.after(self.rng.uniform(0.0, period), again)
 
     def in_contact(self, node: "Control") -> bool:
-        """Whether a control node reaches a quorum, itself counted."""
-        reached = [other for other in self.control if not self.cuts.between(node, other)]
+        """Return whether a control node reaches a quorum, itself included."""
+        reached = [other for other in self.control if not self.partitions.separates(node, other)]
         return len(reached) >= QUORUM
 
     def accept(self) -> bool:
-        """Accept a change, if any control node reaches a quorum."""
+        """Accept a change, if any control node reaches a quorum; return whether it did."""
         if not any(self.in_contact(node) for node in self.control):
             return False
         revision = len(self.accepted) + 1
@@ -135,49 +135,51 @@
 
 
 class Control(Node):
-    """A control node: the real hub over the world's list of accepted changes."""
+    """A control node: the real hub over the simulated list of accepted changes."""
 
-    def __init__(self, world: World, name: str, zone: str) -> None:
+    def __init__(self, simulation: Simulation, name: str, zone: str) -> None:
         super().__init__(name, zone, is_control=True)
-        self.world = world
+        self.simulation = simulation
         self.links: dict[int, Link] = {}
         self.numbers = itertools.count(1)
         self.hub = Hub(name)
         self.applied = 0
-        world.every(HUB_TICK_SECONDS, self.tick)
-        world.every(COMMIT_SECONDS[0], self.follow)
+        simulation.every(HUB_TICK_SECONDS, self.tick)
+        simulation.every(COMMIT_SECONDS[0], self.follow)
 
     def follow(self) -> None:
-        """Learn of accepted changes, after a while, when in contact with a quorum."""
-        target = len(self.world.accepted)
-        if target > self.applied and self.world.in_contact(self):
-            delay = self.world.rng.uniform(*COMMIT_SECONDS)
-            self.world.after(delay, lambda: self.apply(target))
+        """Learn of accepted changes after a delay, if in contact with a quorum."""
+        target = len(self.simulation.accepted)
+        if target > self.applied and self.simulation.in_contact(self):
+            delay = self.simulation.rng.uniform(*COMMIT_SECONDS)
+            self.simulation.after(delay, lambda: self.apply(target))
 
     def apply(self, target: int) -> None:
-        """Hand accepted changes to the hub."""
+        """Pass accepted changes to the hub."""
         while self.applied < target:
-            delta = self.world.accepted[self.applied]
+            delta = self.simulation.accepted[self.applied]
             self.applied += 1
-            self.perform(self.hub.on_committed(delta, self.world.env.now))
+            self.perform(self.hub.on_committed(delta, self.simulation.env.now))
 
     def tick(self) -> None:
-        """Do what a control node does now and then."""
-        now = self.world.env.now
-        self.hub.set_alternatives(tuple(node.name for node in self.world.control))
-        self.hub.on_contact(self.world.in_contact(self), now)
+        """Run the periodic work of a control node."""
+        now = self.simulation.env.now
+        self.hub.set_alternatives(tuple(node.name for node in self.simulation.control))
+        self.hub.on_contact(self.simulation.in_contact(self), now)
         self.perform(self.hub.tick(now))
 
     def restart(self) -> None:
-        """Lose all links and begin anew from what is applied."""
+        """Lose all links and restart from the applied changes."""
         for link in list(self.links.values()):
             link.close()
         self.hub = Hub(self.name)
-        self.perform(self.hub.restore(self.world.states[self.applied], self.world.env.now))
+        self.perform(
+            self.hub.restore(self.simulation.states[self.applied], self.simulation.env.now)
+        )
 
     def receive(self, link: "Link", message: object) -> None:
-        """Take a daemon's message."""
-        now = self.world.env.now
+        """Handle a message from a daemon."""
+        now = self.simulation.env.now
         if isinstance(message, Subscribe):
             self.links[link.number] = link
             self.perform(self.hub.subscribe(link.number, message, now))
@@ -186,19 +188,19 @@
         elif isinstance(message, Fetch):
             self.perform(self.hub.on_fetch(link.number, message.revision, now))
 
-    def lost(self, link: "Link") -> None:
-        """Forget a link."""
+    def on_closed(self, link: "Link") -> None:
+        """Remove a closed link."""
         if self.links.pop(link.number, None) is not None:
             self.hub.unsubscribe(link.number)
 
     def set_full(self, link: "Link", is_full: bool) -> None:
-        """Have a daemon's connection take no more, or again."""
+        """Mark the send buffer of a daemon's connection as full or not."""
         if link.number in self.links:
             link.is_full = is_full
-            self.perform(self.hub.on_buffer(link.number, is_full, self.world.env.now))
+            self.perform(self.hub.on_buffer(link.number, is_full, self.simulation.env.now))
 
     def perform(self, effects: Sequence[HubEffect]) -> None:
-        """Carry the hub's effects out."""
+        """Carry out the effects of the hub."""
         for effect in effects:
             if isinstance(effect, SendLine):
                 for number in effect.subscribers:
@@ -214,24 +216,24 @@
                 self.confirm(effect.ticket)
 
     def confirm(self, ticket: int) -> None:
-        """Read from a quorum, apply up to there, then tell the hub."""
-        if not self.world.in_contact(self):
+        """Read from a quorum, apply the changes read, then confirm to the hub."""
+        if not self.simulation.in_contact(self):
             return
-        hub, latest = self.hub, len(self.world.accepted)
+        hub, latest = self.hub, len(self.simulation.accepted)
 
         def confirmed() -> None:
             if self.hub is hub:
                 self.apply(latest)
-                self.perform(hub.on_confirmed(ticket, self.world.env.now))
+                self.perform(hub.on_confirmed(ticket, self.simulation.env.now))
 
-        self.world.after(self.world.rng.uniform(*COMMIT_SECONDS), confirmed)
+        self.simulation.after(self.simulation.rng.uniform(*COMMIT_SECONDS), confirmed)
 
 
 class Link:
-    """One connection between a daemon and a control node: in order, late, cut in silence."""
+    """A connection between a daemon and a control node: ordered, delayed, silently partitioned."""
 
-    def __init__(self, world: World, daemon: "Daemon", control: Control) -> None:
-        self.world = world
+    def __init__(self, simulation: Simulation, daemon: "Daemon", control: Control) -> None:
+        self.simulation = simulation
         self.daemon = daemon
         self.control = control
         self.number = next(control.numbers)
@@ -239,7 +241,7 @@
         self.is_full = False
         self.accepted_at_subscription = 0
         self._last = {"up": 0.0, "down": 0.0}
-        self._held: list[tuple[str, object]] = []
+        self._blocked: list[tuple[str, object]] = []
 
     def send_up(self, message: object) -> None:
         """Send to the control node."""
@@ -250,131 +252,135 @@
         self._send("down", message)
 
     def close(self) -> None:
-        """End the connection; the other end learns of it unless it is cut off."""
+        """Close the connection; the daemon notices unless a partition separates it."""
         if not self.is_open:
             return
         self.is_open = False
-        self.control.lost(self)
-        self.daemon.lost(self)
+        self.control.on_closed(self)
+        self.daemon.on_closed(self)
 
     def release(self) -> None:
-        """Let what a cut held go on."""
-        held, self._held = self._held, []
-        for way, message in held:
-            self._send(way, message)
+        """Deliver the messages that a partition blocked."""
+        blocked, self._blocked = self._blocked, []
+        for direction, message in blocked:
+            self._send(direction, message)
 
-    def _send(self, way: str, message: object) -> None:
+    def _send(self, direction: str, message: object) -> None:
         if not self.is_open:
             return
-        at = self.world.env.now + self.world.rng.uniform(*LINK_SECONDS)
-        at = max(at, self._last[way])
-        self._last[way] = at
-        self.world.after(at - self.world.env.now, lambda: self._arrive(way, message))
-
-    def _arrive(self, way: str, message: object) -> None:
+        at = self.simulation.env.now + self.simulation.rng.uniform(*LINK_SECONDS)
+        at = max(at, self._last[direction])
+        self._last[direction] = at
+        self.simulation.after(
+            at - self.simulation.env.now, lambda: self._arrive(direction, message)
+        )
+
+    def _arrive(self, direction: str, message: object) -> None:
         if not self.is_open:
             return
-        if self._held or self.world.cuts.between(self.daemon, self.control):
-            self._held.append((way, message))
-        elif way == "up":
+        if self._blocked or self.simulation.partitions.separates(self.daemon, self.control):
+            self._blocked.append((direction, message))
+        elif direction == "up":
             if isinstance(message, Subscribe):
-                self.accepted_at_subscription = len(self.world.accepted)
+                self.accepted_at_subscription = len(self.simulation.accepted)
             self.control.receive(self, message)
         else:
             self.daemon.receive(self, message)
 
 
 class Daemon(Node):
-    """A daemon: the real follower and address book, and a disk that keeps what was synced."""
+    """A daemon: the real follower and address book, and a disk that keeps synced data."""
 
-    def __init__(self, world: World, name: str, zone: str, has_disk: bool) -> None:
+    def __init__(self, simulation: Simulation, name: str, zone: str, has_disk: bool) -> None:
         super().__init__(name, zone)
-        self.world = world
+        self.simulation = simulation
         self.has_disk = has_disk
         self.disk: FollowerRecord | None = None
-        self.life = 0
+        self.incarnation = 0
         self.ever_in_force = 0
         self.in_force_at: dict[int, float] = {}
         self.fetches = 0
         self.link: Link | None = None
         self.start()
-        world.every(FOLLOWER_TICK_SECONDS, self.tick)
-        world.every(HEARTBEAT_SECONDS, self.heartbeat)
+        simulation.every(FOLLOWER_TICK_SECONDS, self.tick)
+        simulation.every(HEARTBEAT_SECONDS, self.heartbeat)
 
     def start(self) -> None:
-        """Begin a life, with what the disk holds."""
-        self.life += 1
-        addresses = [ControlAddress(node.name, node.zone) for node in self.world.control]
-        self.book = AddressBook(addresses, self.zone, self.world.rng)
+        """Start a new incarnation from the data on disk."""
+        self.incarnation += 1
+        addresses = [ControlAddress(node.name, node.zone) for node in self.simulation.control]
+        self.book = AddressBook(addresses, self.zone, self.simulation.rng)
         self.follower = Follower(FollowerIdentity(self.zone, self.name), self.has_disk, self.disk)
-        self.heard_at = self.world.env.now
+        self.heard_at = self.simulation.env.now
         self.is_subscribed = False
-        self.told_by: dict[str, int] = {}
+        self.known_revisions: dict[str, int] = {}
         self.confirmed: int | None = None
-        """What was accepted when the daemon made the subscription a quorum confirmed."""
-        self.perform(self.follower.start(self.world.env.now))
+        """Number of changes accepted when the subscription that a quorum confirmed was made."""
+        self.perform(self.follower.start(self.simulation.env.now))
         self.connect()
 
     def restart(self) -> None:
-        """Lose everything that isn't synced."""
+        """Restart without the data that wasn't synced."""
         if self.link is not None:
             link, self.link = self.link, None
             link.close()
         self.start()
 
     def connect(self) -> None:
-        """Connect to the control node the address book names."""
-        life = self.life
-        attempt = self.book.next_attempt(self.world.env.now)
-        control = next(n for n in self.world.control if n.name == attempt.address.address)
+        """Connect to the control node selected by the address book."""
+        incarnation = self.incarnation
+        attempt = self.book.next_attempt(self.simulation.env.now)
+        control = next(n for n in self.simulation.control if n.name == attempt.address.address)
 
         def opened() -> None:
-            if life != self.life or self.link is not None:
+            if incarnation != self.incarnation or self.link is not None:
                 return
-            if self.world.cuts.between(self, control):
-                self.world.after(CONNECT_SECONDS, lambda: ended(0.0))
+            if self.simulation.partitions.separates(self, control):
+                self.simulation.after(CONNECT_SECONDS, lambda: ended(0.0))
                 return
-            self.heard_at = self.world.env.now
-            self.link = Link(self.world, self, control)
+            self.heard_at = self.simulation.env.now
+            self.link = Link(self.simulation, self, control)
             self.link.send_up(
-                Subscribe(self.name, str(self.life), "s", self.zone, self.follower.held_revision)
+                Subscribe(
+                    self.name, str(self.incarnation), "s", self.zone, self.follower.held_revision
+                )
             )
 
-        def ended(lived: float) -> None:
-            if life == self.life:
-                self.book.on_ended(attempt.address, lived, self.world.env.now)
+        def ended(duration: float) -> None:
+            if incarnation == self.incarnation:
+                self.book.on_ended(attempt.address, duration, self.simulation.env.now)
                 self.connect()
 
-        self.opened_at = self.world.env.now + attempt.wait_seconds
+        self.opened_at = self.simulation.env.now + attempt.wait_seconds
         self.attempted = attempt.address
-        self.world.after(attempt.wait_seconds, opened)
+        self.simulation.after(attempt.wait_seconds, opened)
 
     def leave(self) -> None:
-        """Give the connection up and try another control node."""
+        """Close the connection and try another control node."""
         link, self.link = self.link, None
         if link is None:
             return
         link.is_open = False
-        # The control node hears of the end only if it can be reached.
-        if not self.world.cuts.between(self, link.control):
-            link.control.lost(link)
+        # The control node learns of it only if it can be reached.
+        if not self.simulation.partitions.separates(self, link.control):
+            link.control.on_closed(link)
         if self.is_subscribed:
             self.is_subscribed = False
-            self.perform(self.follower.on_control_lost(self.world.env.now))
-        now = self.world.env.now
+            self.perform(self.follower.on_control_lost(self.simulation.env.now))
+        now = self.simulation.env.now
         self.book.on_ended(self.attempted, now - self.opened_at, now)
         self.connect()
 
-    def lost(self, link: Link) -> None:
-        """Note that the other end closed the connection."""
-        if link is self.link and not self.world.cuts.between(self, link.control):
+    def on_closed(self, link: Link) -> None:
+        """Handle the end of the connection, unless the control node can't be reached."""
+        if link is self.link and not self.simulation.partitions.separates(self, link.control):
             self.leave()
 
     def receive(self, link: Link, message: object) -> None:
-        """Take a control node's message."""
+        """Handle a message from a control node."""
         if link is not self.link:
             return
-        now = self.heard_at = self.world.env.now
+        now = self.heard_at = self.simulation.env.now
         if isinstance(message, Redirect):
             self.leave()
         elif isinstance(message, Delta):
@@ -386,33 +392,35 @@
             self.perform(self.follower.on_control_delta(message, now))
 
     def tick(self) -> None:
-        """Do what a daemon does twice a second."""
-        if self.link is not None and self.world.env.now - self.heard_at > SILENCE_SECONDS:
+        """Run the periodic work of a daemon."""
+        if self.link is not None and self.simulation.env.now - self.heard_at > SILENCE_SECONDS:
             self.leave()
-        self.perform(self.follower.tick(self.world.env.now))
+        self.perform(self.follower.tick(self.simulation.env.now))
 
     def heartbeat(self) -> None:
-        """Tell control which revision is in force."""
+        """Report the revision in force to control."""
         if self.link is not None and self.is_subscribed:
             self.link.send_up(InForce(self.follower.revision))
 
-    def meet(self, peer: "Daemon", delay: float) -> None:
-        """Have ``peer`` hear this daemon's revision, as with a call, after ``delay``."""
-        revision, life = self.follower.revision, peer.life
+    def send_revision(self, peer: "Daemon", delay: float) -> None:
+        """Send this daemon's revision to ``peer``, as with a call, after ``delay``."""
+        revision, incarnation = self.follower.revision, peer.incarnation
 
-        def heard() -> None:
-            if life != peer.life or self.world.cuts.between(self, peer):
+        def received() -> None:
+            if incarnation != peer.incarnation or self.simulation.partitions.separates(self, peer):
                 return
-            # A link tells a revision once.
-            if revision > peer.told_by.get(self.name, -1):
-                peer.told_by[self.name] = revision
-                effects = peer.follower.on_peer_revision(self.name, revision, self.world.env.now)
+            # A link announces each revision once.
+            if revision > peer.known_revisions.get(self.name, -1):
+                peer.known_revisions[self.name] = revision
+                effects = peer.follower.on_peer_revision(
+                    self.name, revision, self.simulation.env.now
+                )
                 peer.perform(effects)
 
-        self.world.after(delay, heard)
+        self.simulation.after(delay, received)
 
     def perform(self, effects: Sequence[FollowerEffect]) -> None:
-        """Carry the follower's effects out, and check each."""
+        """Carry out and check the effects of the follower."""
         for effect in effects:
             if isinstance(effect, TakeEffect):
                 self.check_effect(effect)
@@ -431,44 +439,48 @@
                 self.persist(effect.record)
 
     def fetch_from(self, name: str, revision: int) -> None:
-        """Ask another daemon; its answer may come late, or not at all."""
-        peer = next((daemon for daemon in self.world.daemons if daemon.name == name), None)
-        if peer is None or self.world.cuts.between(self, peer) or self.world.rng.random() < 0.2:
+        """Fetch from another daemon; the answer may be late or lost."""
+        peer = next((daemon for daemon in self.simulation.daemons if daemon.name == name), None)
+        if (
+            peer is None
+            or self.simulation.partitions.separates(self, peer)
+            or self.simulation.rng.random() < 0.2
+        ):
             return
-        delta, life = peer.follower.answer_fetch(revision), self.life
+        delta, incarnation = peer.follower.answer_fetch(revision), self.incarnation
 
         def arrived() -> None:
-            if life == self.life:
-                self.perform(self.follower.on_peer_delta(name, delta, self.world.env.now))
+            if incarnation == self.incarnation:
+                self.perform(self.follower.on_peer_delta(name, delta, self.simulation.env.now))
 
-        self.world.after(self.world.rng.uniform(0.001, 1.5), arrived)
+        self.simulation.after(self.simulation.rng.uniform(0.001, 1.5), arrived)
 
     def persist(self, record: FollowerRecord) -> None:
-        """Sync a record; a restart meanwhile loses it."""
-        life = self.life
+        """Sync a record to disk; a restart before that loses it."""
+        incarnation = self.incarnation
 
         def synced() -> None:
-            if life == self.life:
+            if incarnation == self.incarnation:
                 self.disk = record
-                self.perform(self.follower.on_persisted(self.world.env.now))
+                self.perform(self.follower.on_persisted(self.simulation.env.now))
 
-        self.world.after(self.world.rng.uniform(*DISK_SECONDS), synced)
+        self.simulation.after(self.simulation.rng.uniform(*DISK_SECONDS), synced)
 
     def check_effect(self, effect: TakeEffect) -> None:
-        """Check what comes into force."""
+        """Check a configuration that takes effect."""
         revision = effect.current.revision
         if revision < effect.previous.revision:
             raise ViolationError(f"{self.name} went back to {revision}")
-        if effect.current.resources != self.world.states[revision].resources:
+        if effect.current.resources != self.simulation.states[revision].resources:
             raise ViolationError(f"{self.name} holds something else than revision {revision}")
         if self.has_disk and revision < self.ever_in_force:
             raise ViolationError(f"{self.name} came back to {revision} from its disk")
         self.ever_in_force = max(self.ever_in_force, revision)
-        self.in_force_at[revision] = self.world.env.now
+        self.in_force_at[revision] = self.simulation.env.now
 
     def check_basis(self, basis: ServingBasis) -> None:
-        """Check that calls may be taken."""
-        self.world.bases.add(basis)
+        """Check that the daemon may start serving."""
+        self.simulation.bases.add(basis)
         revision = self.follower.revision
         if revision < self.ever_in_force:
             raise ViolationError(f"{self.name} serves on {revision}, had {self.ever_in_force}")
--- a/tests/simulation/distribution_faults.py
+++ b/tests/simulation/distribution_faults.py
@@ -1,115 +1,115 @@
-"""Faults of a simulated distribution, drawn from its seed."""
+"""Faults injected into a simulated distribution, drawn from its seed."""
 
-from tests.simulation.distribution import ZONES, Daemon, World
+from tests.simulation.distribution import ZONES, Daemon, Simulation
 
 CHANGE_SECONDS = (0.05, 1.5)
-MEETING_SECONDS = 0.02
+EXCHANGE_SECONDS = 0.02
 FAULT_SECONDS = (0.3, 2.5)
-CUT_SECONDS = (0.5, 12.0)
+PARTITION_SECONDS = (0.5, 12.0)
 SLOW_SECONDS = (0.2, 6.0)
 
 
 class Faults:
-    """Changes, meetings of daemons, and faults until :meth:`end`.
+    """Configuration changes, exchanges between daemons, and faults until :meth:`end`.
 
     Parameters
     ----------
     random_faults
-        Whether faults are drawn from the seed; without, only what the test brings about happens.
+        Whether faults are drawn from the seed; if not, only the test injects faults.
     """
 
-    def __init__(self, world: World, random_faults: bool = True) -> None:
-        self.world = world
+    def __init__(self, simulation: Simulation, random_faults: bool = True) -> None:
+        self.simulation = simulation
         self.is_over = False
         self.kinds = (
-            self.cut_zone,
-            self.cut_node,
+            self.partition_zone,
+            self.isolate_node,
             self.restart_daemon,
             self.restart_control,
             self.break_link,
             self.slow_reader,
         )
-        world.accept()
+        simulation.accept()
         self._change()
-        self._meet()
+        self._exchange_random()
         if random_faults:
             self._fault()
 
     def end(self) -> None:
-        """Bring no more faults about, end the cuts, and accept no more changes."""
+        """Stop injecting faults and accepting changes, and heal all partitions."""
         self.is_over = True
-        self.world.cuts.zones.clear()
-        self.world.cuts.nodes.clear()
-        self._release()
+        self.simulation.partitions.zones.clear()
+        self.simulation.partitions.nodes.clear()
+        self._release_links()
 
-    def cut_zone(self) -> None:
-        """Cut a zone off from one or both others, for a while."""
-        zone, *others = self.world.rng.sample(ZONES, len(ZONES))
-        pairs = {frozenset((zone, other)) for other in others[: self.world.rng.randint(1, 2)]}
-        self.world.cuts.zones |= pairs
+    def partition_zone(self) -> None:
+        """Partition a zone from one or both others for a random time."""
+        zone, *others = self.simulation.rng.sample(ZONES, len(ZONES))
+        pairs = {frozenset((zone, other)) for other in others[: self.simulation.rng.randint(1, 2)]}
+        self.simulation.partitions.zones |= pairs
 
         def heal() -> None:
-            self.world.cuts.zones -= pairs
-            self._release()
+            self.simulation.partitions.zones -= pairs
+            self._release_links()
 
-        self.world.after(self.world.rng.uniform(*CUT_SECONDS), heal)
+        self.simulation.after(self.simulation.rng.uniform(*PARTITION_SECONDS), heal)
 
-    def cut_node(self) -> None:
-        """Cut one node off from everyone, in silence, for a while."""
-        node = self.world.rng.choice([*self.world.control, *self.world.daemons])
-        self.world.cuts.nodes.add(node.name)
+    def isolate_node(self) -> None:
+        """Silently isolate one node from all others for a random time."""
+        node = self.simulation.rng.choice([*self.simulation.control, *self.simulation.daemons])
+        self.simulation.partitions.nodes.add(node.name)
 
         def heal() -> None:
-            self.world.cuts.nodes.discard(node.name)
-            self._release()
+            self.simulation.partitions.nodes.discard(node.name)
+            self._release_links()
 
-        self.world.after(self.world.rng.uniform(*CUT_SECONDS), heal)
+        self.simulation.after(self.simulation.rng.uniform(*PARTITION_SECONDS), heal)
 
     def restart_daemon(self) -> None:
-        """Crash a daemon; it is back at once."""
-        self.world.rng.choice(self.world.daemons).restart()
+        """Crash a daemon and restart it immediately."""
+        self.simulation.rng.choice(self.simulation.daemons).restart()
 
     def restart_control(self) -> None:
-        """Crash a control node; it is back at once."""
-        self.world.rng.choice(self.world.control).restart()
+        """Crash a control node and restart it immediately."""
+        self.simulation.rng.choice(self.simulation.control).restart()
 
     def break_link(self) -> None:
         """Break a daemon's connection to control."""
-        link = self.world.rng.choice(self.world.daemons).link
+        link = self.simulation.rng.choice(self.simulation.daemons).link
         if link is not None:
             link.close()
 
     def slow_reader(self) -> None:
-        """Have a daemon read nothing for a while, so that its buffer at control is full."""
-        link = self.world.rng.choice(self.world.daemons).link
+        """Stop a daemon from reading for a random time, so that its buffer at control is full."""
+        link = self.simulation.rng.choice(self.simulation.daemons).link
         if link is None:
             return
         link.control.set_full(link, True)
-        pause = self.world.rng.uniform(*SLOW_SECONDS)
-        self.world.after(pause, lambda: link.control.set_full(link, False))
+        pause = self.simulation.rng.uniform(*SLOW_SECONDS)
+        self.simulation.after(pause, lambda: link.control.set_full(link, False))
 
-    def _release(self) -> None:
-        for daemon in self.world.daemons:
+    def _release_links(self) -> None:
+        for daemon in self.simulation.daemons:
             if daemon.link is not None:
                 daemon.link.release()
 
     def _change(self) -> None:
         if not self.is_over:
-            self.world.accept()
-            self.world.after(self.world.rng.uniform(*CHANGE_SECONDS), self._change)
+            self.simulation.accept()
+            self.simulation.after(self.simulation.rng.uniform(*CHANGE_SECONDS), self._change)
 
-    def _meet(self) -> None:
-        first, second = self.world.rng.sample(self.world.daemons, 2)
+    def _exchange_random(self) -> None:
+        first, second = self.simulation.rng.sample(self.simulation.daemons, 2)
         self._exchange(first, second)
-        self.world.after(MEETING_SECONDS, self._meet)
+        self.simulation.after(EXCHANGE_SECONDS, self._exchange_random)
 
     def _exchange(self, first: Daemon, second: Daemon) -> None:
-        """Have two daemons hear each other's revision; now and then seconds late."""
-        longest = 3.0 if self.world.rng.random() < 0.05 else 0.05
-        first.meet(second, self.world.rng.uniform(0.0, longest))
-        second.meet(first, self.world.rng.uniform(0.0, longest))
+        """Let two daemons learn each other's revision, occasionally seconds late."""
+        max_delay = 3.0 if self.simulation.rng.random() < 0.05 else 0.05
+        first.send_revision(second, self.simulation.rng.uniform(0.0, max_delay))
+        second.send_revision(first, self.simulation.rng.uniform(0.0, max_delay))
 
     def _fault(self) -> None:
         if not self.is_over:
-            self.world.rng.choice(self.kinds)()
-            self.world.after(self.world.rng.uniform(*FAULT_SECONDS), self._fault)
+            self.simulation.rng.choice(self.kinds)()
+            self.simulation.after(self.simulation.rng.uniform(*FAULT_SECONDS), self._fault)
--- a/tests/simulation/fan_out.py
+++ b/tests/simulation/fan_out.py
@@ -1,7 +1,4 @@
-"""A deployment whose requests fan out: a root calls three branches, each calls three leaves.
-
-Sizes and times are chosen, not measured.
-"""
+"""A deployment with fan-out: a root calls three branches, and each of them three leaves."""
 
 from typing import Final
 
--- a/tests/simulation/load.py
+++ b/tests/simulation/load.py
@@ -1,4 +1,4 @@
-"""Open-loop clients that retry hard, and what they got."""
+"""Open-loop clients that retry aggressively, and their goodput."""
 
 import bisect
 import itertools
@@ -10,7 +10,7 @@
 from finchshed.common.outcomes import Answered, Outcome
 from tests.simulation.system import Caller, System
 
-SHARES = (
+CLASS_FRACTIONS = (
     (Importance.SHEDDABLE, 0.5),
     (Importance.NORMAL, 0.3),
     (Importance.HIGH, 0.15),
@@ -22,8 +22,8 @@
 class Clients:
     """Clients of one service.
 
-    ``rate`` gives the requests a second at a time. A client whose request is not answered sends it
-    again up to ``repeats`` times after ``pause`` seconds, whatever it was told.
+    ``rate`` returns the requests per second at a given time. An unanswered request is retried up to
+    ``retries`` times after ``pause`` seconds, whatever the retry-after time.
     """
 
     system: System
@@ -31,17 +31,17 @@
     rate: Callable[[float], float]
     until: float
     deadline: float = 1.0
-    repeats: int = 3
+    retries: int = 3
     pause: float = 0.1
-    shares: tuple[tuple[Importance, float], ...] = SHARES
+    class_fractions: tuple[tuple[Importance, float], ...] = CLASS_FRACTIONS
     spare_attempts: int = 3
     offered: dict[Importance, list[float]] = field(
         default_factory=lambda: {item: [] for item in Importance}
     )
-    good: dict[Importance, list[float]] = field(
+    answered_at: dict[Importance, list[float]] = field(
         default_factory=lambda: {item: [] for item in Importance}
     )
-    good_of: dict[Importance, list[float]] = field(
+    answered_began: dict[Importance, list[float]] = field(
         default_factory=lambda: {item: [] for item in Importance}
     )
     roots: int = 0
@@ -51,25 +51,26 @@
         self.system.after(0.0, self.next)
 
     def next(self) -> None:
-        """Send a request and plan the next."""
+        """Send a request and schedule the next."""
         now = self.system.env.now
         if now >= self.until:
             return
         rng = self.system.rng
         importance = rng.choices(
-            [item for item, _ in self.shares], [share for _, share in self.shares]
+            [item for item, _ in self.class_fractions],
+            [fraction for _, fraction in self.class_fractions],
         )[0]
         self.offered[importance].append(now)
         root = f"root-{next(self.serial)}"
         self.attempt(root, importance, now, 0)
         self.system.after(rng.expovariate(self.rate(now)), self.next)
 
-    def attempt(self, root: str, importance: Importance, began: float, repeat: int) -> None:
-        """Send a request for the first time or again."""
+    def attempt(self, root: str, importance: Importance, began: float, retry: int) -> None:
+        """Send a request for the first time or as a retry."""
         self.roots += 1
         edge: Caller = self.system.rng.choice(self.system.edges)
         context = CallContext(
-            root=f"{root}.{repeat}",
+            root=f"{root}.{retry}",
             importance=importance,
             remaining_seconds=self.deadline,
             spare_attempts=self.spare_attempts,
@@ -77,30 +78,30 @@
 
         def done(outcome: Outcome, spare: int) -> None:
             if isinstance(outcome, Answered) and outcome.status < 500:
-                self.good[importance].append(self.system.env.now)
-                self.good_of[importance].append(began)
-            elif repeat < self.repeats:
+                self.answered_at[importance].append(self.system.env.now)
+                self.answered_began[importance].append(began)
+            elif retry < self.retries:
                 pause = self.pause * (0.5 + self.system.rng.random())
-                self.system.after(pause, lambda: self.attempt(root, importance, began, repeat + 1))
+                self.system.after(pause, lambda: self.attempt(root, importance, began, retry + 1))
 
         edge.call(self.service, context, True, done)
 
     def goodput(self, start: float, end: float) -> float:
-        """Return answers a second between two times."""
+        """Return the answers per second between two times."""
         total = sum(
             bisect.bisect_left(times, end) - bisect.bisect_left(times, start)
-            for times in self.good.values()
+            for times in self.answered_at.values()
         )
         return total / (end - start)
 
-    def answered_share(self, importance: Importance, start: float, end: float) -> float:
-        """Return the share answered of the requests first sent between two times."""
+    def answered_fraction(self, importance: Importance, start: float, end: float) -> float:
+        """Return the fraction answered of the requests first sent between two times."""
         offered = sum(1 for began in self.offered[importance] if start <= began < end)
-        good = sum(1 for began in self.good_of[importance] if start <= began < end)
-        return good / offered if offered else 1.0
+        answered = sum(1 for began in self.answered_began[importance] if start <= began < end)
+        return answered / offered if offered else 1.0
 
     def recovery(self, trigger_end: float, before: float, window: float = 0.25) -> float:
-        """Return seconds after ``trigger_end`` until a window's goodput is 0.95 of ``before``."""
+        """Return the seconds from ``trigger_end`` until the goodput reaches 0.95 of ``before``."""
         step = 0.05
         start = trigger_end
         while start + window <= self.until:
--- a/tests/simulation/system.py
+++ b/tests/simulation/system.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: edges, daemons and back ends around the real decision classes."""
+"""Simulated deployment of edges, daemons and back ends, using the real decision classes."""
 
 import itertools
 import random
@@ -37,7 +37,7 @@
 
 @dataclass
 class ServiceModel:
-    """A service: its endpoints, its work, and the services each request of it calls on."""
+    """A service: its endpoints, service time, and the services that each of its requests calls."""
 
     name: str
     endpoints: int
@@ -46,13 +46,13 @@
     calls: tuple[str, ...] = ()
     parallel: bool = False
     real_slots: int = 0
-    own_repeats: int = 0
-    """Times the back end itself makes a call again that was not answered."""
+    backend_retries: int = 0
+    """How often the back end itself retries an unanswered call."""
 
 
 @dataclass
 class Record:
-    """What the simulation saw."""
+    """Events recorded by the simulation."""
 
     attempts: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     sends: Counter[str] = field(default_factory=Counter)
@@ -61,7 +61,7 @@
 
 
 class System:
-    """All nodes, one clock, one seed."""
+    """All nodes of a deployment, with one simulated clock and one seed."""
 
     def __init__(self, services: list[ServiceModel], edges: int, seed: int) -> None:
         self.env = simpy.Environment()
@@ -76,10 +76,10 @@
                 service=model.name,
                 region="r",
                 zone=f"z{number % 2}",
-                address=f"127.0.0.1:{10000 + place * 100 + number}",
+                address=f"127.0.0.1:{10000 + index * 100 + number}",
                 slots=model.slots,
             )
-            for place, model in enumerate(services)
+            for index, model in enumerate(services)
             for number in range(model.endpoints)
         ]
         self.endpoints = {item.name: item for item in declared}
@@ -93,13 +93,13 @@
         event.callbacks.append(lambda _: action())
 
     def crash(self, name: str, seconds: float) -> None:
-        """Lose a daemon with its back end and all they hold, for ``seconds``."""
+        """Crash a daemon with its back end, losing all state; restart after ``seconds``."""
         self.daemons[name].crash()
         self.after(seconds, self.daemons[name].restart)
 
 
 class Caller:
-    """The caller's side of one daemon: an edge, or the way out of a back end."""
+    """Outgoing side of a daemon: at an edge, or for the calls of a back end."""
 
     def __init__(self, system: System, zone: str) -> None:
         self.system = system
@@ -111,7 +111,7 @@
     def call(
         self, service: str, context: CallContext, repeatable: bool, done: CallDone
     ) -> "OutgoingCall":
-        """Begin a call; ``done`` gets its outcome and what is left of its spare attempts."""
+        """Start a call; ``done`` receives its outcome and unused spare attempts."""
         bucket = self.buckets.get(service)
         if bucket is None:
             bucket = self.buckets[service] = RetryBucket(0.1, self.system.env.now)
@@ -124,7 +124,7 @@
 
 
 class OutgoingCall:
-    """Carries out the effects of one call."""
+    """Carries out the effects of one outgoing call."""
 
     def __init__(
         self, caller: Caller, logic: CallStateMachine, context: CallContext, done: CallDone
@@ -145,9 +145,9 @@
                 self.send(effect)
             elif isinstance(effect, SetTimer):
                 self.timer += 1
-                armed = self.timer
+                timer_id = self.timer
                 delay = max(0.0, effect.at - system.env.now)
-                system.after(delay, lambda armed=armed: self.fire(armed))  # type: ignore[misc]
+                system.after(delay, lambda timer_id=timer_id: self.on_timer(timer_id))  # type: ignore[misc]
             elif isinstance(effect, CancelAttempt):
                 daemon = system.daemons[effect.endpoint.name]
                 token = self.tokens[effect.attempt]
@@ -155,7 +155,7 @@
             elif isinstance(effect, Finish):
                 self.timer += 1
                 if isinstance(effect.outcome, Refused):
-                    self.note_refusal(effect.outcome)
+                    self.record_refusal(effect.outcome)
                 self.done(effect.outcome, effect.spare_returned)
 
     def send(self, effect: SendAttempt) -> None:
@@ -185,20 +185,20 @@
 
         system.after(LINK_SECONDS, lambda: daemon.arrive(token, context, replied))
 
-    def note_refusal(self, outcome: Refused) -> None:
-        """Record a call that was given up."""
+    def record_refusal(self, outcome: Refused) -> None:
+        """Record a refused call."""
         importance = int(self.context.importance)
-        place = f"to {self.logic.service}"
+        target = f"to {self.logic.service}"
         now = self.caller.system.env.now
-        self.caller.system.record.refused.append((now, place, importance, outcome.reason.value))
+        self.caller.system.record.refused.append((now, target, importance, outcome.reason.value))
 
-    def fire(self, armed: int) -> None:
-        """Take the timer unless another replaced it."""
-        if armed == self.timer:
+    def on_timer(self, timer_id: int) -> None:
+        """Handle the timer unless it was replaced."""
+        if timer_id == self.timer:
             self.apply(self.logic.on_timer(self.caller.system.env.now))
 
     def cancel(self) -> None:
-        """Give up."""
+        """Cancel the call."""
         self.apply(self.logic.cancel(self.caller.system.env.now))
 
 
@@ -216,7 +216,7 @@
 
 
 class Daemon(Caller):
-    """A daemon with its gate and the back end beside it."""
+    """A daemon with its gate and back end."""
 
     def __init__(self, system: System, endpoint: Endpoint) -> None:
         super().__init__(system, endpoint.zone)
@@ -231,12 +231,12 @@
         system.after(system.rng.random() * TICK_SECONDS, self.tick)
 
     def tick(self) -> None:
-        """Let the gate see the time."""
+        """Tick the gate periodically."""
         self.apply_gate(self.gate.tick(self.system.env.now))
         self.system.after(TICK_SECONDS, self.tick)
 
     def arrive(self, token: int, context: CallContext, reply: ReplyDone) -> None:
-        """Take a call off the link."""
+        """Handle a call received over the link."""
         if not self.alive:
             reply(Failed(FailureReason.LINK_BROKEN, 0.1), 0, None)
             return
@@ -245,7 +245,7 @@
         self.apply_gate(self.gate.arrive(token, context, self.system.env.now))
 
     def apply_gate(self, effects: list[GateEffect]) -> None:
-        """Carry out the gate's effects."""
+        """Carry out the effects of the gate."""
         now = self.system.env.now
         record = self.system.record
         for effect in effects:
@@ -265,39 +265,39 @@
                 job.reply(Refused(effect.reason, effect.retry_after), spare, load)
 
     def run_back_end(self) -> None:
-        """Start jobs in the back end's own slots."""
+        """Start queued jobs in the back end's own slots."""
         slots = self.model.real_slots or self.model.slots
         while self.back_end_queue and self.busy < slots:
             job = self.back_end_queue.pop(0)
             self.busy += 1
             mean = self.model.seconds * self.system.slowdown[self.model.name]
             seconds = self.rng.gammavariate(4.0, mean / 4.0)
-            self.system.after(seconds, lambda job=job: self.call_on(job))  # type: ignore[misc]
+            self.system.after(seconds, lambda job=job: self.make_calls(job))  # type: ignore[misc]
 
-    def call_on(self, job: Job) -> None:
-        """Call the services below, one after the other or all at once."""
+    def make_calls(self, job: Job) -> None:
+        """Call the downstream services, sequentially or in parallel."""
         if job.over:
             return
         pending = list(self.model.calls)
         if not pending:
             self.end(job, ANSWER)
             return
-        left = [len(pending)]
+        remaining = [len(pending)]
         account = str(job.token)
 
-        def begin(service: str, repeats: int) -> None:
-            share = self.accounts.lend(account)
+        def start_call(service: str, retries: int) -> None:
+            lent = self.accounts.lend(account)
             if self.accounts.is_repeat(account, service):
-                if share < 1:
+                if lent < 1:
                     self.end(job, Failed(FailureReason.BACKEND_BROKEN, 0.1))
                     return
-                share -= 1
+                lent -= 1
             elapsed = self.system.env.now - job.arrived
             context = CallContext(
                 root=job.context.root,
                 importance=job.context.importance,
                 remaining_seconds=job.context.remaining_seconds - elapsed,
-                spare_attempts=share,
+                spare_attempts=lent,
                 depth=job.context.depth,
                 caller=job.context.caller,
                 session=job.context.session,
@@ -305,32 +305,32 @@
             )
 
             def done(outcome: Outcome, spare: int) -> None:
-                self.accounts.give_back(account, share, spare)
+                self.accounts.give_back(account, lent, spare)
                 if job.over:
                     return
                 if result_of(outcome) is not CallResult.OK:
                     self.accounts.on_call_failed(account, service)
-                    if repeats > 0:
-                        begin(service, repeats - 1)
+                    if retries > 0:
+                        start_call(service, retries - 1)
                         return
                     self.end(job, Failed(FailureReason.BACKEND_BROKEN, 0.1))
                     return
-                left[0] -= 1
-                if left[0] == 0:
+                remaining[0] -= 1
+                if remaining[0] == 0:
                     self.end(job, ANSWER)
                 elif not self.model.parallel:
-                    begin(pending.pop(0), self.model.own_repeats)
+                    start_call(pending.pop(0), self.model.backend_retries)
 
             job.calls.append(self.call(service, context, True, done))
 
         if self.model.parallel:
             for service in pending:
-                begin(service, self.model.own_repeats)
+                start_call(service, self.model.backend_retries)
         else:
-            begin(pending.pop(0), self.model.own_repeats)
+            start_call(pending.pop(0), self.model.backend_retries)
 
     def end(self, job: Job, outcome: Outcome) -> None:
-        """Answer a job and free its slot."""
+        """Answer a job and release its slot."""
         self.release(job)
         spare = self.accounts.close(str(job.token))
         self.jobs.pop(job.token, None)
@@ -354,7 +354,7 @@
         self.run_back_end()
 
     def cancel(self, token: int) -> None:
-        """Take a cancellation off the link."""
+        """Handle a cancellation received over the link."""
         job = self.jobs.pop(token, None)
         if job is None or not self.alive:
             return
@@ -367,7 +367,7 @@
         self.apply_gate(self.gate.finish(token, CallResult.CANCELLED, now))
 
     def crash(self) -> None:
-        """Lose everything; callers see their links break."""
+        """Lose all state; the links of callers break."""
         self.alive = False
         jobs, self.jobs = list(self.jobs.values()), {}
         self.back_end_queue.clear()
@@ -378,7 +378,7 @@
         self.busy = 0
 
     def restart(self) -> None:
-        """Come back empty."""
+        """Restart without state."""
         self.alive = True
         self.accounts = RetryAccounts()
         self.gate = Gate(self.endpoint.slots, self.rng, self.system.env.now)
--- a/tests/simulation/test_consistent_rank.py
+++ b/tests/simulation/test_consistent_rank.py
@@ -1,4 +1,4 @@
-"""Every hop of a root request ranks it alike, so no hop undoes what another decided."""
+"""All hops of a root request compute the same rank, and so make the same decision."""
 
 from collections import defaultdict
 
@@ -19,17 +19,19 @@
 @pytest.mark.parametrize(
     "deployment", [BRAZOS_RIDGE, MANILA, FAN_OUT], ids=lambda deployment: deployment.name
 )
-def test_all_hops_see_one_rank(deployment: Deployment, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_all_hops_compute_the_same_rank(
+    deployment: Deployment, monkeypatch: pytest.MonkeyPatch
+) -> None:
     ranks: dict[str, list[int]] = defaultdict(list)
     arrive = Gate.arrive
 
-    def noted(
-        self: Gate, token: int, context: CallContext, now: float, floor: float = 0.0
+    def record_rank(
+        self: Gate, token: int, context: CallContext, now: float, path_threshold: float = 0.0
     ) -> list[GateEffect]:
         ranks[context.root].append(rank_of(context))
-        return arrive(self, token, context, now, floor)
+        return arrive(self, token, context, now, path_threshold)
 
-    monkeypatch.setattr(Gate, "arrive", noted)
+    monkeypatch.setattr(Gate, "arrive", record_rank)
     world.run(
         RunSpecification(
             deployment=deployment,
@@ -38,6 +40,6 @@
             client=ClientPolicy(attempts=1),
         )
     )
-    several = [seen for seen in ranks.values() if len(seen) > 1]
+    several = [of_root for of_root in ranks.values() if len(of_root) > 1]
     assert len(several) > 10
-    assert all(len(set(seen)) == 1 for seen in several)
+    assert all(len(set(of_root)) == 1 for of_root in several)
--- a/tests/simulation/test_retry_bound.py
+++ b/tests/simulation/test_retry_bound.py
@@ -1,8 +1,7 @@
-"""Attempts of one root request stay within the declared bound over the whole graph.
+"""Attempts of one root request stay within its retry budget over the whole call graph.
 
-A root request that enters once may cause at most ``budget`` attempts more than the calls its graph
-asks for, whatever fails; each of them can at most repeat the calls below it. A client that repeats
-at another daemon enters again, with a budget of its own, and is counted by its entries.
+Each entry of a root request may cause at most ``BUDGET`` attempts beyond the calls of its graph,
+and each of these repeats at most the calls below it. A client retry counts as another entry.
 """
 
 import random
@@ -24,8 +23,8 @@
 SETTLED_SECONDS = 8.0
 
 
-def chain(own_repeats: int) -> list[ServiceModel]:
-    """Return 25 services, each calling the next."""
+def chain(backend_retries: int) -> list[ServiceModel]:
+    """Return a chain of services, each calling the next."""
     return [
         ServiceModel(
             f"s{level}",
@@ -33,17 +32,21 @@
             slots=8,
             seconds=0.004,
             calls=(f"s{level + 1}",) if level < DEPTH else (),
-            own_repeats=own_repeats,
+            backend_retries=backend_retries,
         )
         for level in range(1, DEPTH + 1)
     ]
 
 
-def tree(own_repeats: int) -> list[ServiceModel]:
-    """Return three levels: a root calls three branches, each of which calls three leaves."""
+def tree(backend_retries: int) -> list[ServiceModel]:
+    """Return three levels: a root calls three branches, and each of them three leaves."""
     return [
-        ServiceModel("s1", 2, 12, 0.004, ("s2",) * 3, parallel=True, own_repeats=own_repeats),
-        ServiceModel("s2", 2, 24, 0.004, ("s3",) * 3, parallel=True, own_repeats=own_repeats),
+        ServiceModel(
+            "s1", 2, 12, 0.004, ("s2",) * 3, parallel=True, backend_retries=backend_retries
+        ),
+        ServiceModel(
+            "s2", 2, 24, 0.004, ("s3",) * 3, parallel=True, backend_retries=backend_retries
+        ),
         ServiceModel("s3", 2, 48, 0.004),
     ]
 
@@ -51,7 +54,7 @@
 def run(
     system: System, deepest: str, crashes: list[tuple[float, str]]
 ) -> tuple[Counter[str], Counter[str]]:
-    """Send roots, each repeated by its client at other edges; return attempts and entries."""
+    """Send root requests with client retries at other edges; return attempts and entries."""
     entries: Counter[str] = Counter()
 
     def enter(root: str, attempt: int) -> None:
@@ -75,10 +78,12 @@
 
 
 crash_times = st.floats(0.0, 1.0)
-HARD = settings(max_examples=25, deadline=None, suppress_health_check=list(HealthCheck))
+SLOW_TEST_SETTINGS = settings(
+    max_examples=25, deadline=None, suppress_health_check=list(HealthCheck)
+)
 
 
-@HARD
+@SLOW_TEST_SETTINGS
 @given(
     seed=st.integers(0, 2**16),
     crashes=st.lists(st.tuples(crash_times, st.integers(1, DEPTH), st.integers(0, 1)), max_size=30),
@@ -94,7 +99,7 @@
         assert count <= entries[root] * (1 + BUDGET)
 
 
-@HARD
+@SLOW_TEST_SETTINGS
 @given(
     seed=st.integers(0, 2**16),
     crashes=st.lists(st.tuples(crash_times, st.integers(1, 3), st.integers(0, 1)), max_size=12),
@@ -115,8 +120,8 @@
         assert retried_branches <= 3 * count * BUDGET
 
 
-def test_back_ends_that_repeat_by_themselves_do_not_multiply_attempts() -> None:
-    """Daemons anywhere are killed and the deepest ones most; each back end repeats twice."""
+def test_retries_by_back_ends_do_not_multiply_attempts() -> None:
+    """Daemons crash at random, the deepest most often, and each back end retries twice."""
     worst = 0.0
     for seed in (3, 5, 11, 15):
         rng = random.Random(seed)
@@ -124,7 +129,7 @@
             (rng.random(), f"s{rng.randint(1, DEPTH)}-{rng.randint(0, 1)}") for _ in range(20)
         ]
         crashes += [(0.02 * step, f"s{DEPTH}-{step % 2}") for step in range(50)]
-        attempts, entries = run(System(chain(own_repeats=2), 3, seed), f"s{DEPTH}", crashes)
+        attempts, entries = run(System(chain(backend_retries=2), 3, seed), f"s{DEPTH}", crashes)
         assert attempts
         worst = max(worst, *(count / entries[root] for root, count in attempts.items()))
     assert worst <= 1 + BUDGET
--- a/tests/simulation/test_wasted_work.py
+++ b/tests/simulation/test_wasted_work.py
@@ -1,7 +1,7 @@
-"""Requests that would be refused further down their path don't run further up.
+"""Requests that a downstream service would refuse are not run upstream.
 
-The deep service is overloaded, the services in front of it are not: without thresholds of the path
-a request runs in front and is refused below.
+Only the deepest service is overloaded; without path thresholds, requests run in the services before
+it and are refused there.
 """
 
 import pytest
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("demand", [4.0, 10.0])
-def test_little_work_is_done_for_requests_that_are_refused_below(demand: float) -> None:
+def test_little_work_is_wasted_on_requests_refused_downstream(demand: float) -> None:
     slow = SlowService(
         time=OVERLOAD_BEGIN,
         service=BRAZOS_RIDGE.deep_service,
@@ -60,7 +60,7 @@
     return events
 
 
-def test_runs_of_requests_without_an_answer_count_as_wasted() -> None:
+def test_work_for_unanswered_requests_counts_as_wasted() -> None:
     events = [
         *root(1.0, "a", [(1.3, CallResult.ANSWERED)]),
         *root(1.1, "b", [(1.2, CallResult.REFUSED), (1.9, CallResult.FAILED)]),
--- a/tests/simulation/wasted_work.py
+++ b/tests/simulation/wasted_work.py
@@ -1,4 +1,4 @@
-"""Running time of back ends that went into requests which their callers did not get whole."""
+"""Running time that back ends spent on requests that were not answered."""
 
 from finchshed.proof.history import RunBegan, RunEnded
 from finchshed.proof.history_file import History
@@ -6,7 +6,7 @@
 
 
 def wasted_fraction(history: History) -> float:
-    """Return the wasted part, 0 to 1, of all running time of a history."""
+    """Return the fraction of the running time in a history that was wasted."""
     records = request_records(history)
     began: dict[str, RunBegan] = {}
     total = 0.0
