--- /dev/null
+++ b/src/finchshed/admission/path_thresholds.py
@@ -0,0 +1,202 @@
+"""Admission thresholds of downstream services, propagated upstream along the call path.
+
+A back end that isn't overloaded may call one that is. Admitting a request that is refused
+downstream wastes the work done so far (*subsequent overload*; Zhou et al., *Overload Control for
+Scaling WeChat Microservices*, SoCC 2018, section 3.2). Each daemon therefore learns which services
+the requests of each route call, and reports the highest threshold of those calls to its own
+callers. Passed on hop by hop, the threshold reaches the edge, where such a request is refused
+before it costs anything.
+
+Each threshold carries the age of the report it comes from, so it expires at the same time on every
+hop once the gate that set it stops reporting.
+"""
+
+from collections.abc import Callable, Mapping
+from typing import TypeAlias
+
+import msgspec
+
+from finchshed.admission.rank import decayed_threshold
+from finchshed.common.moving_average import moving_average
+from finchshed.common.units import MILLISECONDS
+
+DEPENDENCY_WEIGHT = 0.05
+"""Weight of one answered request in the call statistics of its route."""
+
+REQUIRED_FRACTION = 0.9
+"""A call counts as made by every request of a route if at least this fraction makes it."""
+
+CACHE_SECONDS = 0.01
+"""How long computed thresholds are reused."""
+
+
+DECAY_START_SECONDS = 0.3
+"""Report age up to which a threshold applies in full."""
+
+DECAY_START_MILLISECONDS = int(DECAY_START_SECONDS * MILLISECONDS)
+"""The same in milliseconds, the unit in which ages are sent."""
+
+DECAY_END_SECONDS = 1.0
+"""Report age at which a threshold has expired; it decays linearly from
+:data:`DECAY_START_SECONDS` on."""
+
+
+def remaining_weight(age: float) -> float:
+    """Return the fraction of a threshold that still applies ``age`` seconds after its report."""
+    if age <= DECAY_START_SECONDS:
+        return 1.0
+    return max(0.0, (DECAY_END_SECONDS - age) / (DECAY_END_SECONDS - DECAY_START_SECONDS))
+
+
+class PathThreshold(msgspec.Struct, frozen=True, array_like=True, gc=False):
+    """A threshold that applies downstream, and the age of the report it comes from."""
+
+    threshold: int
+    age_ms: int
+
+    def aged(self, seconds: float) -> "PathThreshold":
+        """Return the threshold ``seconds`` later."""
+        return PathThreshold(self.threshold, self.age_ms + int(seconds * MILLISECONDS))
+
+    @property
+    def value(self) -> float:
+        """The threshold after decay: requests of a lower rank are refused."""
+        if self.age_ms <= DECAY_START_MILLISECONDS:
+            return float(self.threshold)
+        return decayed_threshold(self.threshold, remaining_weight(self.age_ms / MILLISECONDS))
+
+
+NO_THRESHOLD = PathThreshold(0, 0)
+NO_PATH_THRESHOLDS: Mapping[str, PathThreshold] = {}
+
+ThresholdLookup: TypeAlias = Callable[[str, str, float], PathThreshold]
+"""Returns the threshold for calls to a service (first) and route (second) at a given time."""
+
+
+class CalledRoute(msgspec.Struct, frozen=True, gc=False):
+    """A route of a downstream service."""
+
+    service: str
+    route: str
+
+
+class _ActiveRequest(msgspec.Struct, gc=False):
+    """A request in progress and the number of calls it has made to each downstream route."""
+
+    route: str
+    called: dict[CalledRoute, int] = msgspec.field(default_factory=dict)
+
+
+class _RouteProfile(msgspec.Struct):
+    """Call statistics of a route, and its cached threshold.
+
+    Attributes
+    ----------
+    fractions
+        Fraction of requests that call each downstream route.
+    counts
+        Mean number of calls to a downstream route by the requests that call it.
+    """
+
+    fractions: dict[CalledRoute, float] = msgspec.field(default_factory=dict)
+    counts: dict[CalledRoute, float] = msgspec.field(default_factory=dict)
+    answered: bool = False
+    threshold: PathThreshold = NO_THRESHOLD
+    computed_at: float = float("-inf")
+
+
+class PathThresholds:
+    """Learns which downstream routes each served route calls, and which thresholds apply there.
+
+    Parameters
+    ----------
+    threshold_of
+        Looks up the threshold of a service and route in the local routing table.
+    """
+
+    def __init__(self, threshold_of: ThresholdLookup) -> None:
+        self._threshold_of = threshold_of
+        self._active: dict[str, _ActiveRequest] = {}
+        self._profiles: dict[str, _RouteProfile] = {}
+        self._report = NO_PATH_THRESHOLDS
+        self._report_at = float("-inf")
+
+    def on_start(self, request: str, route: str) -> None:
+        """Record that the back end starts ``request``, a unique identifier."""
+        self._active[request] = _ActiveRequest(route)
+
+    def on_call(self, request: str, service: str, route: str) -> float:
+        """Record a downstream call made for ``request`` and return its weight in demand estimates.
+
+        The first call has the weight of all calls expected of the request, so that demand is not
+        underestimated if the request ends early. Calls up to that number then weigh nothing, and
+        those beyond it one each.
+        """
+        active = self._active.get(request)
+        if active is None:
+            return 1.0
+        called = CalledRoute(service, route)
+        made = active.called.get(called, 0)
+        active.called[called] = made + 1
+        profile = self._profiles.get(active.route)
+        expected = 1.0 if profile is None else max(1.0, profile.counts.get(called, 1.0))
+        if made == 0:
+            return expected
+        return min(1.0, max(0.0, made + 1 - expected))
+
+    def on_end(self, request: str, *, answered: bool) -> None:
+        """Record the end of a request; only an answered one has made all of its calls."""
+        active = self._active.pop(request, None)
+        if active is None or not answered:
+            return
+        profile = self._profiles.get(active.route)
+        if profile is None:
+            if not active.called:
+                return
+            profile = self._profiles[active.route] = _RouteProfile()
+        self._learn(profile, active.called)
+
+    def threshold(self, route: str, now: float) -> float:
+        """Return the rank below which requests are refused downstream; 0 if none is known."""
+        profile = self._profiles.get(route)
+        return 0.0 if profile is None else self._threshold_for(profile, now).value
+
+    def report(self, now: float) -> Mapping[str, PathThreshold]:
+        """Return the thresholds to report to callers, by route; routes without one are omitted."""
+        if not self._profiles or now - self._report_at < CACHE_SECONDS:
+            return self._report
+        found = {
+            route: self._threshold_for(profile, now) for route, profile in self._profiles.items()
+        }
+        self._report = {
+            route: threshold for route, threshold in found.items() if threshold.value > 0.0
+        }
+        self._report_at = now
+        return self._report
+
+    def _learn(self, profile: _RouteProfile, called: Mapping[CalledRoute, int]) -> None:
+        first = not profile.answered
+        profile.answered = True
+        for route, made in called.items():
+            if route not in profile.fractions:
+                profile.fractions[route] = 1.0 if first else 0.0
+            count = profile.counts.get(route, float(made))
+            profile.counts[route] = moving_average(count, made, DEPENDENCY_WEIGHT)
+        for route, fraction in profile.fractions.items():
+            target = 1.0 if route in called else 0.0
+            profile.fractions[route] = moving_average(fraction, target, DEPENDENCY_WEIGHT)
+
+    def _threshold_for(self, profile: _RouteProfile, now: float) -> PathThreshold:
+        """Return the highest threshold among the calls that requests of a route require."""
+        if now - profile.computed_at < CACHE_SECONDS:
+            return profile.threshold
+        highest = NO_THRESHOLD
+        for called, fraction in profile.fractions.items():
+            if fraction < REQUIRED_FRACTION:
+                continue
+            threshold = self._threshold_of(called.service, called.route, now)
+            if threshold.value > highest.value:
+                highest = threshold
+        profile.threshold = highest
+        profile.computed_at = now
+        return highest
--- a/src/finchshed/control/operators/responses.py
+++ b/src/finchshed/control/operators/responses.py
@@ -12,7 +12,7 @@
 from finchshed.distribution.status import DaemonState, DistributionStatus
 from finchshed.ledger.ledger import Ledger
 from finchshed.quarantine.messages import CrashRecord
-from finchshed.quarantine.register import Judgement
+from finchshed.quarantine.register import Assessment
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 
@@ -79,7 +79,7 @@
 
 
 def quarantine_response(
-    judgements: Iterable[tuple[CrashRecord, Judgement]],
+    judgements: Iterable[tuple[CrashRecord, Assessment]],
 ) -> pb.QuarantineResponse:
     """Return the requests suspected of crashing back ends."""
     return pb.QuarantineResponse(
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon import metrics
@@ -25,9 +25,9 @@
 from finchshed.daemon.serving.ledger_port import fingerprint_of
 from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.daemon.signatures import SignatureFactory
-from finchshed.retry.budgets import RetryBudgets
+from finchshed.retry.buckets import RetryBuckets
 from finchshed.retry.policy import retry_after
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.table import RoutingTable
 from finchshed.runtime import clock
 
@@ -90,7 +90,7 @@
         self._paths = paths
         self._rng = rng
         self._catalogue = Catalogue()
-        self._retries = RetryBudgets(self._catalogue.policy)
+        self._retries = RetryBuckets(self._catalogue.policy)
         self._pins = SessionPins()
         self._joinable: dict[JoinKey, tuple[OutgoingCall, str]] = {}
         self.in_progress = 0
@@ -102,7 +102,7 @@
 
     def set_daemon_count(self, daemons: int) -> None:
         """Set the number of daemons, including this one, that share the retry budgets."""
-        self._retries.share_with(daemons)
+        self._retries.set_daemon_count(daemons)
 
     def expire_sessions(self) -> None:
         """Drop sessions that exceeded their idle timeout."""
@@ -182,9 +182,9 @@
             self._pin(request, call.endpoint)
         return call
 
-    def _caller_logic(self, request: Request, signature: LazySignature) -> CallerLogic:
+    def _caller_logic(self, request: Request, signature: LazySignature) -> CallStateMachine:
         """Return the state machine that selects endpoints and decides on retries."""
-        return CallerLogic(
+        return CallStateMachine(
             self._table,
             self._retries.bucket(request.service, clock.now()),
             request.service,
@@ -195,7 +195,7 @@
             route=request.route,
             target_seconds=request.target_seconds,
             signature=signature,
-            judge=partial(self._quarantine.check, signature),
+            assess=partial(self._quarantine.check, signature),
         )
 
     def _on_finished(
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -21,7 +21,7 @@
 from finchshed.daemon.serving.served_requests import ServedRequests
 from finchshed.http.message import InboundRequest, Response
 from finchshed.retry.policy import retry_after
-from finchshed.routing.weights import WeightedChoice
+from finchshed.routing.weighted_round_robin import WeightedRoundRobin
 from finchshed.runtime import clock
 from finchshed.tenancy.lease import KeyLease
 
@@ -61,7 +61,7 @@
         self._authenticator = HostAuthenticator(names, served, lease, rng)
         self._request_builder = HostRequestBuilder(names, own_service)
         self._identity_header = names.request.encode("ascii")
-        self._weighted_choices: dict[str, WeightedChoice] = {}
+        self._weighted_choices: dict[str, WeightedRoundRobin] = {}
         self._catalogue = Catalogue()
 
     def configure(self, catalogue: Catalogue) -> None:
@@ -175,8 +175,8 @@
         identity = request.header(self._identity_header)
         log_refusal(identity, route, refused, self._catalogue.revision, tenant)
 
-    def _weighted_choice_of(self, route: HostRoute) -> WeightedChoice:
+    def _weighted_choice_of(self, route: HostRoute) -> WeightedRoundRobin:
         current = self._weighted_choices.get(route.name)
         if current is not None and current.destinations == route.destinations:
             return current
-        return WeightedChoice(route.destinations, self._rng)
+        return WeightedRoundRobin(route.destinations, self._rng)
--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from finchshed.admission.rank import position_of, position_under
+from finchshed.admission.rank import position_of, position_within_class
 from finchshed.common.context import CallContext
 from finchshed.common.outcomes import Headers
 from finchshed.common.units import MILLISECONDS
@@ -144,5 +144,5 @@
         tenant.importance,
         remaining,
         spare,
-        position=position_under(route.importance, position_of(identity)),
+        position=position_within_class(route.importance, position_of(identity)),
     )
--- a/src/finchshed/daemon/ingress/key_lease_renewal.py
+++ b/src/finchshed/daemon/ingress/key_lease_renewal.py
@@ -35,7 +35,7 @@
     def configure(self, catalogue: Catalogue) -> None:
         """Apply a new configuration."""
         self.lease.seconds = catalogue.policy.key_trust_seconds
-        self.lease.on_in_force(catalogue.revision)
+        self.lease.on_revision_applied(catalogue.revision)
         if catalogue.tenants and self._timer is None:
             self._renew()
         elif not catalogue.tenants and self._timer is not None:
@@ -51,7 +51,7 @@
         # Not the event loop's time, which is constant during one iteration.
         now = clock.now()
         self._log_validity_change(now)
-        self._client.renew_lease(self.lease.next_question(now))
+        self._client.renew_lease(self.lease.start_renewal(now))
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(RENEW_SECONDS, self._renew)
 
--- a/src/finchshed/daemon/quarantine.py
+++ b/src/finchshed/daemon/quarantine.py
@@ -13,7 +13,7 @@
 from finchshed.daemon import metrics
 from finchshed.distribution.client import ControlClient
 from finchshed.quarantine.messages import CrashNews, CrashRecord
-from finchshed.quarantine.register import FREE, Judgement, QuarantineRegister, Suspicion
+from finchshed.quarantine.register import FREE, Assessment, QuarantineRegister, Suspicion
 from finchshed.runtime import clock
 
 LazySignature: TypeAlias = Callable[[], str]
@@ -51,14 +51,14 @@
         self._expire_due = 0.0
         client.on_crash_news = self._on_control_news
 
-    def check(self, signature: LazySignature) -> Judgement:
+    def check(self, signature: LazySignature) -> Assessment:
         """Return whether a request is free, suspect or quarantined.
 
         The signature isn't computed while the register is empty.
         """
         if not self._register:
             return FREE
-        return self._register.judge(signature(), clock.now())
+        return self._register.assess(signature(), clock.now())
 
     def crash_record(self, signature: LazySignature) -> CrashRecord | None:
         """Return the crash record of a request, to attach to its reply, or None."""
@@ -156,7 +156,7 @@
         refused = [
             record
             for record in changed
-            if self._register.judge(record.signature, now).suspicion is Suspicion.QUARANTINED
+            if self._register.assess(record.signature, now).suspicion is Suspicion.QUARANTINED
         ]
         self._log(refused, cause)
         if len(refused) < len(changed):
@@ -166,7 +166,7 @@
     def _log(self, changed: Sequence[CrashRecord], cause: str) -> None:
         """Log changed records, quarantined requests first, up to ``MAX_LOGGED_RECORDS`` lines."""
         now = clock.now()
-        judged = [(record, self._register.judge(record.signature, now)) for record in changed]
+        judged = [(record, self._register.assess(record.signature, now)) for record in changed]
         judged.sort(key=lambda item: item[1].suspicion is not Suspicion.QUARANTINED)
         for record, judgement in judged[:MAX_LOGGED_RECORDS]:
             logger.info(
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -9,7 +9,7 @@
 
 from finchshed.admission.effects import GateEffect, Start
 from finchshed.admission.load_report import LoadReport
-from finchshed.admission.paths import PathThresholds
+from finchshed.admission.path_thresholds import PathThresholds
 from finchshed.common.outcomes import Outcome, RefusalReason, Refused
 from finchshed.common.results import CallResult, result_of
 from finchshed.daemon.backend.client import BackendClient
@@ -29,7 +29,7 @@
 from finchshed.daemon.serving.suspect_queue import SuspectDecision, SuspectQueue
 from finchshed.daemon.settings import DaemonSettings
 from finchshed.daemon.signatures import SignatureFactory
-from finchshed.limit.concurrency import slots_to_use
+from finchshed.limit.concurrency import usable_slots
 from finchshed.link.listener import AcceptedLink
 from finchshed.link.messages import Call
 from finchshed.quarantine.register import Suspicion
@@ -136,7 +136,7 @@
         self._admission.service = service
         self._admission.instance = instance
         if slots:
-            self._gate.set_slots(slots_to_use(slots))
+            self._gate.set_slots(usable_slots(slots))
 
     def refuse_queued(self) -> None:
         """Refuse queued calls routed by host, so that their callers try another endpoint."""
--- a/src/finchshed/emulator/daemons/incoming.py
+++ b/src/finchshed/emulator/daemons/incoming.py
@@ -21,7 +21,7 @@
 from finchshed.retry.account import RetryAccounts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.retry.policy import retry_after
-from finchshed.routing.caller import CallerLogic
+from finchshed.routing.caller import CallStateMachine
 from finchshed.routing.table import RoutingTable
 
 
@@ -158,7 +158,7 @@
             bucket = self._buckets[service] = RetryBucket(
                 self._policy.retry_ratio, self._process.now
             )
-        logic = CallerLogic(
+        logic = CallStateMachine(
             self._table,
             bucket,
             service,
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -28,8 +28,14 @@
 )
 from finchshed.proof.history import Admission, AttemptSent
 from finchshed.retry.policy import retry_after
-from finchshed.routing.caller import CallerLogic
-from finchshed.routing.caller_effects import CallerEffect, Finish, SendAttempt, SetTimer, Withdraw
+from finchshed.routing.caller import CallStateMachine
+from finchshed.routing.caller_effects import (
+    CallerEffect,
+    CancelAttempt,
+    Finish,
+    SendAttempt,
+    SetTimer,
+)
 
 SHED_REASONS: Final = frozenset(
     {RefusalReason.OVERLOAD, RefusalReason.QUEUE_FULL, RefusalReason.DEADLINE}
@@ -61,7 +67,7 @@
     def __init__(
         self,
         daemon: CallingProcess,
-        logic: CallerLogic,
+        logic: CallStateMachine,
         request: SimulatedRequest,
         context: CallContext,
         on_finish: OnFinish,
@@ -92,7 +98,7 @@
                 self._send(effect)
             elif isinstance(effect, SetTimer):
                 self._set_timer(effect.at)
-            elif isinstance(effect, Withdraw):
+            elif isinstance(effect, CancelAttempt):
                 self._withdraw(effect)
             else:
                 self._finish(effect)
@@ -119,7 +125,7 @@
         self._attempts[number] = (attempt, link)
         link.send(attempt)
 
-    def _withdraw(self, effect: Withdraw) -> None:
+    def _withdraw(self, effect: CancelAttempt) -> None:
         held = self._attempts.pop(effect.attempt, None)
         # An attempt that was not sent is told to the state machine a moment later.
         if held is not None:
--- a/tests/retry/test_account.py
+++ b/tests/retry/test_account.py
@@ -1,4 +1,4 @@
-"""Retry accounts conserve spare attempts."""
+"""Lending and giving back never create spare attempts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -21,10 +21,10 @@
     assert 0 <= accounts.close("a") + sum(lent) <= given_spare
 
 
-def test_what_is_lent_at_close_is_lost() -> None:
+def test_open_loans_are_lost_at_close() -> None:
     accounts = RetryAccounts()
     accounts.open("a", 3)
-    share = accounts.lend("a")
-    assert accounts.close("a") == 3 - share
-    accounts.give_back("a", share, share)
+    lent = accounts.lend("a")
+    assert accounts.close("a") == 3 - lent
+    accounts.give_back("a", lent, lent)
     assert len(accounts) == 0
