--- a/tests/control/test_member_changes.py
+++ b/tests/control/test_member_changes.py
@@ -25,6 +25,6 @@
 
 def test_one_that_left() -> None:
     before = Membership((member("c1"), member("c2")))
-    assert describe_change(before, before.without(NodeIdentity("c2", "1"))) == (
+    assert describe_change(before, before.without_member(NodeIdentity("c2", "1"))) == (
         "c2#1 voter -> none"
     )
