--- a/src/finchshed/control/daemons/directory_service.py
+++ b/src/finchshed/control/daemons/directory_service.py
@@ -83,12 +83,12 @@
         while True:
             await asyncio.sleep(REPORT_INTERVAL_SECONDS)
             now = _now()
-            self._send_report(DirectoryReport(self._reported_registrations(now)))
+            self._send_report(DirectoryReport(self._local_registrations(now)))
             expired = self._directory.expire(now)
             if expired:
                 self._broadcast(DirectoryUpdate(forgotten=expired))
 
-    def _reported_registrations(self, now: float) -> tuple[Registration, ...]:
+    def _local_registrations(self, now: float) -> tuple[Registration, ...]:
         since = now - LOCAL_ANNOUNCE_SECONDS
         self._last_announced = {
             address: at for address, at in self._last_announced.items() if at >= since
--- a/src/finchshed/control/daemons/ledger_service.py
+++ b/src/finchshed/control/daemons/ledger_service.py
@@ -106,9 +106,10 @@
     async def _cancel(self, request: LedgerBegin) -> None:
         """Cancel a begin request that may still commit although its daemon was refused.
 
-        Retried until there is a quorum, because the key would otherwise stay begun by an attempt
-        that never runs. If :data:`MAX_CONCURRENT_CANCELS` are running already, or after
-        :data:`MAX_CANCEL_ATTEMPTS`, the key stays begun and resends get "outcome unknown".
+        Retried until there is a quorum, because the key would otherwise stay begun for its whole
+        window by an attempt that never runs. If :data:`MAX_CONCURRENT_CANCELS` are running
+        already, or after :data:`MAX_CANCEL_ATTEMPTS`, the cancel is abandoned: resends then get
+        "outcome unknown".
         """
         if self._running_cancels >= MAX_CONCURRENT_CANCELS:
             return
--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -38,7 +38,7 @@
 from finchshed.rpc.generated import finchshed_pb2_grpc as pb_grpc
 
 MAX_CHANGE_ID_CHARACTERS = 200
-"""Longest accepted change identifier, as the store keeps it."""
+"""Longest accepted change identifier; the store retains these."""
 
 MAX_EXPLAINED_DECISIONS = 1_000
 """Maximum number of a daemon's decisions in one response."""
--- a/src/finchshed/control/raft/node_messages.py
+++ b/src/finchshed/control/raft/node_messages.py
@@ -22,7 +22,7 @@
 
 
 class RaftMessage(msgspec.Struct, frozen=True, tag="raft"):
-    """Raft message."""
+    """Message between two Raft nodes; the envelope names its sender and receiver."""
 
     envelope: Envelope
 
--- a/src/finchshed/daemon/ingress/host_requests.py
+++ b/src/finchshed/daemon/ingress/host_requests.py
@@ -52,7 +52,7 @@
         self._deadline_header = names.deadline.encode("ascii")
 
     def configure(self, *, has_tenants: bool) -> None:
-        """Set which headers are dropped; tenant headers are if tenants are declared."""
+        """Set the headers to drop; if tenants are declared, these include tenant headers."""
         self._dropped_headers = self._reserved_headers
         if has_tenants:
             self._dropped_headers |= self._names.of_tenants()
