--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -89,13 +89,13 @@
     state = _shared_state(settings, names)
     follower_runner = _follower_runner(state, follower_listener)
     quarantine = Quarantine(follower_runner.client, state.crash_news.send)
-    serving = _serving_parts(state, follower_runner, quarantine)
-    linked = _link_parts(state, follower_runner, quarantine, serving)
-    backend_state = _backend_state_parts(state, follower_runner, serving, linked)
+    serving = _serving_components(state, follower_runner, quarantine)
+    link_components = _link_components(state, follower_runner, quarantine, serving)
+    backend_state = _backend_state_components(state, follower_runner, serving, link_components)
     client = follower_runner.client
-    ingress = _ingress_parts(state, client, quarantine, linked, not_ready_reason)
+    ingress = _ingress_components(state, client, quarantine, link_components, not_ready_reason)
     return DaemonComponents(
-        state, follower_runner, quarantine, serving, linked, backend_state, ingress
+        state, follower_runner, quarantine, serving, link_components, backend_state, ingress
     )
 
 
@@ -138,7 +138,7 @@
     return FollowerRunner(identity, addresses, listener, state.rng, folder, connect=connect)
 
 
-def _serving_parts(
+def _serving_components(
     state: SharedState, follower_runner: FollowerRunner, quarantine: Quarantine
 ) -> ServingComponents | None:
     settings = state.settings
@@ -153,7 +153,9 @@
     callee = Callee(
         settings,
         backend=backend,
-        guarded=AtMostOnceRunner(settings, ControlLedger(follower_runner.client.ledger), state.rng),
+        at_most_once=AtMostOnceRunner(
+            settings, ControlLedger(follower_runner.client.ledger), state.rng
+        ),
         served=state.served,
         paths=state.paths,
         rng=state.rng,
@@ -167,7 +169,7 @@
     return ServingComponents(backend, callee)
 
 
-def _link_parts(
+def _link_components(
     state: SharedState,
     follower_runner: FollowerRunner,
     quarantine: Quarantine,
@@ -203,21 +205,21 @@
     return LinkComponents(links, listener, platform, KnownEndpoints(state.table, links))
 
 
-def _backend_state_parts(
+def _backend_state_components(
     state: SharedState,
     follower_runner: FollowerRunner,
     serving: ServingComponents | None,
-    linked: LinkComponents,
+    link_components: LinkComponents,
 ) -> BackendStateComponents:
     local_hints = LocalMachineHints(state.settings.endpoint, clock.now())
-    announcer = DrainAnnouncer(state.drain, state.identity, local_hints, linked.listener)
+    announcer = DrainAnnouncer(state.drain, state.identity, local_hints, link_components.listener)
     if serving is None:
         return BackendStateComponents(announcer, None, None)
     monitor = BackendHealthMonitor(
         serving.backend, announcer.on_backend_draining, announcer.on_backend_returned
     )
     state.events.subscribe_answers(monitor.on_answer)
-    registered = _registered_backend(state, follower_runner, serving, linked, announcer)
+    registered = _registered_backend(state, follower_runner, serving, link_components, announcer)
     return BackendStateComponents(announcer, monitor, registered)
 
 
@@ -225,7 +227,7 @@
     state: SharedState,
     follower_runner: FollowerRunner,
     serving: ServingComponents,
-    linked: LinkComponents,
+    link_components: LinkComponents,
     announcer: DrainAnnouncer,
 ) -> RegisteredBackend | None:
     settings = state.settings
@@ -244,7 +246,7 @@
         identity=state.identity,
         drain=state.drain,
         announcer=announcer,
-        listener=linked.listener,
+        listener=link_components.listener,
         client=follower_runner.client,
         backend=serving.backend,
         events=state.events,
@@ -252,16 +254,16 @@
     )
 
 
-def _ingress_parts(
+def _ingress_components(
     state: SharedState,
     client: ControlClient,
     quarantine: Quarantine,
-    linked: LinkComponents,
+    link_components: LinkComponents,
     not_ready_reason: Callable[[], RefusalReason | None],
 ) -> IngressComponents:
     caller = Caller(
         state.table,
-        linked.links,
+        link_components.links,
         state.served,
         state.paths,
         state.rng,
--- a/src/finchshed/daemon/backend/client.py
+++ b/src/finchshed/daemon/backend/client.py
@@ -1,7 +1,7 @@
 """Interface of the client of the back end; implemented over HTTP by :mod:`http_client`.
 
-Each request ends in exactly one result: a complete answer, or the reason there is none. Only
-:class:`BackendUnreached` guarantees that the request did not run.
+Each request ends in exactly one result: a complete answer, or the reason there is none. Without an
+answer, only :class:`BackendUnreached` guarantees that the request did not run.
 """
 
 from collections.abc import Callable
--- a/src/finchshed/daemon/backend/request.py
+++ b/src/finchshed/daemon/backend/request.py
@@ -88,19 +88,19 @@
     )
 
 
-def outcome_from_result(result: BackendResult, wait: float) -> Outcome:
-    """Return the outcome of a result; ``wait`` is the retry delay in seconds."""
+def outcome_from_result(result: BackendResult, retry_delay: float) -> Outcome:
+    """Return the outcome of a result; ``retry_delay`` is in seconds."""
     if isinstance(result, BackendAnswer):
         if result.ran:
             return Answered(result.status, result.headers, result.body, result.has_length)
-        return Refused(RefusalReason.BACKEND_REFUSED, wait)
+        return Refused(RefusalReason.BACKEND_REFUSED, retry_delay)
     if isinstance(result, BackendUnreached):
-        return Refused(RefusalReason.CONNECT_FAILED, wait, result.detail)
+        return Refused(RefusalReason.CONNECT_FAILED, retry_delay, result.detail)
     if isinstance(result, BackendTimedOut):
-        return Failed(FailureReason.DEADLINE, wait)
+        return Failed(FailureReason.DEADLINE, retry_delay)
     if isinstance(result, BackendAnswerTooLarge):
-        return Failed(FailureReason.ANSWER_TOO_LARGE, wait)
-    return Failed(FailureReason.BACKEND_BROKEN, wait, result.detail)
+        return Failed(FailureReason.ANSWER_TOO_LARGE, retry_delay)
+    return Failed(FailureReason.BACKEND_BROKEN, retry_delay, result.detail)
 
 
 def with_downstream_failure(outcome: Outcome, has_failed_call: bool) -> Outcome:
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -92,7 +92,9 @@
         link = peer.link
         if link is None:
             if clock.now() < peer.retry_not_before or self._closing:
-                attempt.on_unsent(RefusalReason.CONNECT_FAILED, "the link is down")
+                attempt.on_unsent(
+                    RefusalReason.CONNECT_FAILED, f"the link to {endpoint.address} is down"
+                )
                 return
             self._open(peer)
         elif link.state is LinkState.OPEN:
@@ -158,7 +160,10 @@
         if peer is None:
             return
         if hello.service != peer.endpoint.service or hello.node != peer.endpoint.name:
-            link.close("wrong peer")
+            link.close(
+                f"the peer is {hello.node} of {hello.service}, "
+                f"not {peer.endpoint.name} of {peer.endpoint.service}"
+            )
             return
         peer.failures = 0
         self._owner.peer_up(peer.endpoint.name, hello.incarnation)
--- a/src/finchshed/daemon/calling/platform_hints.py
+++ b/src/finchshed/daemon/calling/platform_hints.py
@@ -1,7 +1,7 @@
 """Applies the platform's list of machines scheduled for removal.
 
-The list is delayed, so an entry may refer to an earlier machine at the same address. An entry
-applies only to an incarnation linked for longer than that delay.
+The list is delayed, so an entry may refer to an earlier machine at the same address. It applies
+only to an incarnation that was linked before the machine can have been listed.
 """
 
 from finchshed.distribution.messages import Hints
--- a/src/finchshed/daemon/calling/session_pins.py
+++ b/src/finchshed/daemon/calling/session_pins.py
@@ -56,12 +56,12 @@
         session = session_key(request)
         if not session:
             return ""
-        held = self._sessions.get(session)
-        if held is not None and held.admitted:
-            return held.endpoint
+        pin = self._sessions.get(session)
+        if pin is not None and pin.admitted:
+            return pin.endpoint
         if request.session_at and table.is_usable(request.session_at, request.service, now):
             return request.session_at
-        return "" if held is None else held.endpoint
+        return "" if pin is None else pin.endpoint
 
     def on_request_sent(
         self, request: Request, endpoint: str, idle_seconds: float, now: float
@@ -88,14 +88,14 @@
     ) -> None:
         """Record the outcome of a request last sent to ``endpoint``, and move the pin if needed."""
         session = session_key(request)
-        held = self._sessions.get(session)
-        if held is None:
+        pin = self._sessions.get(session)
+        if pin is None:
             return
         self._sessions.on_answer(session, now)
         if not isinstance(outcome, Answered):
             return
         self._sessions.admit(session)
-        if endpoint and endpoint != held.endpoint:
+        if endpoint and endpoint != pin.endpoint:
             self._sessions.move(session, endpoint, now)
         validator = first_header_value(outcome.headers, "etag")
         if outcome.status in {STATUS_OK, STATUS_PARTIAL_CONTENT} and is_strong_validator(validator):
@@ -107,9 +107,9 @@
             self._versions.pop(session.identity, None)
 
     def range_conditions(self, request: Request) -> Headers:
-        """Return an If-Range header for a range request within the session's resource version."""
-        edition = self._versions.get(session_key(request))
-        if edition is None or edition.path != request.path or request.method != "GET":
+        """Return an If-Range header that keeps a range request within the session's version."""
+        version = self._versions.get(session_key(request))
+        if version is None or version.path != request.path or request.method != "GET":
             return ()
         if not first_header_value(request.headers, "range"):
             return ()
@@ -117,7 +117,7 @@
             request.headers, "if-match"
         ):
             return ()
-        return (("if-range", edition.validator),)
+        return (("if-range", version.validator),)
 
 
 def is_version_mismatch(request: Request, answer: Answered) -> bool:
@@ -151,8 +151,8 @@
 
 def first_header_value(headers: Headers, name: str) -> str:
     """Return the first value of a header, or an empty string."""
-    for held, value in headers:
-        if held == name:
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return ""
 
--- a/src/finchshed/daemon/components.py
+++ b/src/finchshed/daemon/components.py
@@ -121,6 +121,6 @@
     follower_runner: FollowerRunner
     quarantine: Quarantine
     serving: ServingComponents | None
-    linked: LinkComponents
+    link_components: LinkComponents
     backend_state: BackendStateComponents
     ingress: IngressComponents
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -47,12 +47,14 @@
         self._is_serving = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._listeners = Listeners()
-        parts = build_components(settings, names or HeaderNames(), self, self._not_ready_reason)
-        self._parts = parts
-        self._drain = parts.state.drain
-        self._links = parts.linked.links
-        self._ingress = parts.ingress
-        client = parts.follower_runner.client
+        components = build_components(
+            settings, names or HeaderNames(), self, self._not_ready_reason
+        )
+        self._components = components
+        self._drain = components.state.drain
+        self._links = components.link_components.links
+        self._ingress = components.ingress
+        client = components.follower_runner.client
         client.on_hints = self._on_hints
         client.on_directory = self._on_directory
 
@@ -71,24 +73,24 @@
     @property
     def registered_backend(self) -> RegisteredBackend | None:
         """Processes the back end's heartbeats; None if its endpoint is declared, or on an edge."""
-        return self._parts.backend_state.registered
+        return self._components.backend_state.registered
 
     @property
     def _callee(self) -> Callee | None:
-        serving = self._parts.serving
+        serving = self._components.serving
         return None if serving is None else serving.callee
 
     async def start(self) -> None:
         """Start following the configuration, maintenance, monitoring and the listeners."""
         settings = self._settings
-        parts = self._parts
-        self._spawn(parts.follower_runner.run())
+        components = self._components
+        self._spawn(components.follower_runner.run())
         self._spawn(self._maintain())
-        monitor = parts.backend_state.monitor
+        monitor = components.backend_state.monitor
         if monitor is not None and self.registered_backend is None:
             self._spawn(monitor.run())
-        make_link = parts.linked.listener.make_protocol
-        await self._listeners.open(settings.link_address, make_link, parts.state.credentials)
+        make_link = components.link_components.listener.make_protocol
+        await self._listeners.open(settings.link_address, make_link, components.state.credentials)
         if settings.host_address:
             make_connection = self._ingress.host_server.make_protocol
             await self._listeners.open(settings.host_address, make_connection)
@@ -110,7 +112,7 @@
         self._ingress.host_server.closing = True
         serving_seconds = min(settings.drain_serving_seconds, settings.drain_notice_seconds)
         await asyncio.sleep(serving_seconds)
-        self._parts.backend_state.announcer.announce()
+        self._components.backend_state.announcer.announce()
         await asyncio.sleep(settings.drain_notice_seconds - serving_seconds)
         self._listeners.close()
         await wait_while(self._is_busy, settings.drain_seconds)
@@ -124,7 +126,7 @@
 
     def add_control_addresses(self, addresses: Iterable[str]) -> None:
         """Add addresses of control nodes."""
-        self._parts.follower_runner.client.add_addresses(addresses)
+        self._components.follower_runner.client.add_addresses(addresses)
 
     def take_effect(self, previous: Configuration, current: Configuration) -> None:
         """Apply the configuration ``current``."""
@@ -133,7 +135,7 @@
         logger.info(
             "configuration revision {} is active, replacing {}", current.revision, previous.revision
         )
-        self._parts.linked.endpoints.set_declared(catalogue.endpoints)
+        self._components.link_components.endpoints.set_declared(catalogue.endpoints)
         ingress = self._ingress
         ingress.caller.configure(catalogue)
         ingress.service_handler.catalogue = catalogue
@@ -151,7 +153,7 @@
         """Request a peer's configuration, on a link in either direction."""
         if self._links.fetch_configuration(peer, revision):
             return
-        for link in self._parts.linked.listener.links():
+        for link in self._components.link_components.listener.links():
             if link.peer is not None and link.peer.node == peer:
                 link.fetch(revision)
                 return
@@ -178,7 +180,7 @@
                 self._spawn(self.registered_backend.identify(service.name, service.health_path))
 
     def _on_directory(self, update: DirectoryUpdate) -> None:
-        endpoints = self._parts.linked.endpoints
+        endpoints = self._components.link_components.endpoints
         endpoints.on_update(update)
         self._ingress.caller.set_daemon_count(len(endpoints))
         held = endpoints.registration_of(self._settings.link_address)
@@ -186,8 +188,8 @@
             self.registered_backend.on_own_registration(held)
 
     def _on_hints(self, hints: Hints) -> None:
-        self._parts.linked.platform.on_hints(hints, clock.now())
-        self._parts.backend_state.announcer.on_hints(hints)
+        self._components.link_components.platform.on_hints(hints, clock.now())
+        self._components.backend_state.announcer.on_hints(hints)
 
     # Maintenance.
 
@@ -212,13 +214,13 @@
             if self.registered_backend is not None:
                 self.registered_backend.tick()
             self._ingress.caller.expire_sessions()
-            self._parts.quarantine.tick()
+            self._components.quarantine.tick()
             self._links.close_idle()
             self._links.reopen_failed()
-            if not self._parts.follower_runner.client.is_connected:
+            if not self._components.follower_runner.client.is_connected:
                 # Without control, other daemons are the only source of configuration.
                 self._links.request_revisions()
-            self._parts.linked.listener.close_silent(clock.now())
+            self._components.link_components.listener.close_silent(clock.now())
             if self._callee is not None:
                 self._callee.expire_sessions()
             self._set_gauges()
@@ -238,9 +240,9 @@
         self._ingress.lease_renewal.close()
         self._ingress.quotas.close()
         self._links.close()
-        self._parts.linked.listener.close()
-        if self._parts.serving is not None:
-            await self._parts.serving.backend.close()
+        self._components.link_components.listener.close()
+        if self._components.serving is not None:
+            await self._components.serving.backend.close()
         for task in list(self._tasks):
             task.cancel()
 
--- a/src/finchshed/daemon/decision_log.py
+++ b/src/finchshed/daemon/decision_log.py
@@ -63,7 +63,7 @@
     """Log a finished request at the daemon that received it."""
     if not is_logged(request, outcome):
         return
-    reason, detail, status, retry_after = _fields_of(outcome)
+    reason, detail, status, retry_after_ms = _fields_of(outcome)
     record = RequestEnded(
         time=time.time(),
         id=request.identity or request.context.root,
@@ -76,7 +76,7 @@
         reason=reason,
         detail=detail,
         status=status,
-        retry_after_ms=retry_after,
+        retry_after_ms=retry_after_ms,
         is_call=request.context.is_call,
         revision=revision,
         tenant=request.tenant,
@@ -161,5 +161,7 @@
     """Return reason, detail, status and retry delay in milliseconds."""
     if isinstance(outcome, Answered):
         return "", "", outcome.status, 0.0
-    wait = round(outcome.retry_after * MILLISECONDS, 1) if isinstance(outcome, Refused) else 0.0
-    return str(outcome.reason), outcome.detail, 0, wait
+    retry_after_ms = (
+        round(outcome.retry_after * MILLISECONDS, 1) if isinstance(outcome, Refused) else 0.0
+    )
+    return str(outcome.reason), outcome.detail, 0, retry_after_ms
--- a/src/finchshed/daemon/serving/backend_runs.py
+++ b/src/finchshed/daemon/serving/backend_runner.py
@@ -65,7 +65,7 @@
         endpoint: str,
         *,
         backend: BackendClient,
-        guarded: AtMostOnceRunner,
+        at_most_once: AtMostOnceRunner,
         served: ServedRequests,
         paths: PathThresholds,
         admission: CallAdmission,
@@ -78,7 +78,7 @@
     ) -> None:
         self._endpoint = endpoint
         self._backend = backend
-        self._guarded = guarded
+        self._at_most_once = at_most_once
         self._served = served
         self._paths = paths
         self._admission = admission
@@ -102,7 +102,7 @@
             self._send(inbound)
         else:
             inbound.state = InboundCallState.ASKING_LEDGER
-            self._guarded.begin(inbound, self._send, self._on_finished)
+            self._at_most_once.begin(inbound, self._send, self._on_finished)
 
     def _send(self, inbound: InboundCall) -> None:
         call = inbound.call
@@ -121,8 +121,10 @@
         if not isinstance(result, BackendBroken):
             self._finish(inbound, instance, result)
             return
-        then = partial(self._finish, inbound, instance, result)
-        self._crash_detector.on_interrupted(instance, InterruptedRequest(inbound.signature(), then))
+        resume = partial(self._finish, inbound, instance, result)
+        self._crash_detector.on_interrupted(
+            instance, InterruptedRequest(inbound.signature(), resume)
+        )
 
     def _on_crash(self, instance: str, signatures: list[str]) -> None:
         """Record a crash of the back end while it ran requests with these signatures."""
@@ -149,7 +151,7 @@
         inbound.state = InboundCallState.RECORDING
         # The back end has finished; waiting for the ledger must not occupy the slot.
         self._on_slot_free(inbound, result_of(outcome))
-        self._guarded.record(inbound, outcome, self._on_finished)
+        self._at_most_once.record(inbound, outcome, self._on_finished)
 
     def _report(self, inbound: InboundCall, instance: str, result: BackendResult) -> None:
         """Publish a result to the followers of the back end's state and to the quarantine."""
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -1,7 +1,7 @@
 """Processes calls from other daemons and answers each exactly once.
 
 A call passes :mod:`call_admission` (validity, drain, sessions), the quarantine, the admission gate
-(:mod:`gate_runner`), :mod:`backend_runs`, and :mod:`replies`.
+(:mod:`gate_runner`), :mod:`backend_runner`, and :mod:`replies`.
 """
 
 import random
@@ -19,7 +19,7 @@
 from finchshed.daemon.header_names import HeaderNames
 from finchshed.daemon.quarantine import Quarantine
 from finchshed.daemon.serving.at_most_once import AtMostOnceRunner
-from finchshed.daemon.serving.backend_runs import BackendRunner
+from finchshed.daemon.serving.backend_runner import BackendRunner
 from finchshed.daemon.serving.call_admission import CallAdmission
 from finchshed.daemon.serving.gate_runner import GateRunner
 from finchshed.daemon.serving.inbound_call import InboundCall
@@ -44,7 +44,7 @@
     ----------
     backend
         Client of the back end.
-    guarded
+    at_most_once
         Runs non-repeatable calls at most once.
     served
         Requests the back end is serving, with their retry accounts.
@@ -67,7 +67,7 @@
         settings: DaemonSettings,
         *,
         backend: BackendClient,
-        guarded: AtMostOnceRunner,
+        at_most_once: AtMostOnceRunner,
         served: ServedRequests,
         paths: PathThresholds,
         rng: random.Random,
@@ -92,7 +92,7 @@
         self._runner = BackendRunner(
             settings.endpoint,
             backend=backend,
-            guarded=guarded,
+            at_most_once=at_most_once,
             served=served,
             paths=paths,
             admission=self._admission,
--- a/tests/daemon/callee_fixture.py
+++ b/tests/daemon/callee_fixture.py
@@ -32,7 +32,7 @@
     return Callee(
         settings,
         backend=Mock(),
-        guarded=Mock(),
+        at_most_once=Mock(),
         served=served,
         paths=paths,
         rng=random.Random(1),
--- a/tests/daemon/deployment.py
+++ b/tests/daemon/deployment.py
@@ -81,8 +81,8 @@
         sent.update({name.replace("_", "-"): value for name, value in headers.items()})
         url = URL(f"http://{(edge or self.edge).http_address}{path}", encoded=True)
         async with self.session.request(method, url, data=body or None, headers=sent) as response:
-            told = {name.lower(): value for name, value in response.headers.items()}
-            return Answer(response.status, told, await response.read())
+            received = {name.lower(): value for name, value in response.headers.items()}
+            return Answer(response.status, received, await response.read())
 
     async def buy(self, key: str, path: str = "/buy/1") -> Answer:
         """Send a non-repeatable request."""
--- a/tests/daemon/test_admitted_fraction.py
+++ b/tests/daemon/test_admitted_fraction.py
@@ -1,4 +1,4 @@
-"""Calls made for an admitted request inherit the lowest admitted fraction of its path."""
+"""Calls result for an admitted request inherit the lowest admitted fraction of its path."""
 
 from unittest.mock import Mock
 
@@ -23,10 +23,10 @@
     paths.on_start("earlier", ROUTE)
     paths.on_call("earlier", "ledger", "host/entry/")
     paths.on_end("earlier", answered=True)
-    made = make_callee(served, paths)
-    made.start_serving()
-    made.set_instance("i-1", "sales", 8)
-    return made
+    result = make_callee(served, paths)
+    result.start_serving()
+    result.set_instance("i-1", "sales", 8)
+    return result
 
 
 @pytest.mark.parametrize(("received", "inherited"), [(1.0, 0.5), (0.7, 0.5), (0.3, 0.3)])
--- a/tests/daemon/test_host_requests.py
+++ b/tests/daemon/test_host_requests.py
@@ -163,9 +163,9 @@
     fixture.served.open(parent, 1e12, "r1")
     fixture.ask("/c/1", finchshed_request="r1.x")
     fixture.ask("/c/1", finchshed_request="r9.x")
-    call, stranger = (request.context for request in fixture.caller.requests[1:])
+    call, unrelated = (request.context for request in fixture.caller.requests[1:])
     assert (call.root, call.importance, call.is_call) == ("r1", Importance.CRITICAL, True)
-    assert (stranger.root, stranger.importance, stranger.is_call) == (
+    assert (unrelated.root, unrelated.importance, unrelated.is_call) == (
         "r9.x",
         Importance.NORMAL,
         False,
--- a/tests/daemon/test_peer_replies.py
+++ b/tests/daemon/test_peer_replies.py
@@ -110,8 +110,8 @@
         lines.send(peer.reply_to(call, digest=digest))
 
     async with edge_of(corrupt) as system:
-        responses = await system.ask("/a")
-    assert responses[:2] == (502, "answer_corrupt")
+        response = await system.ask("/a")
+    assert response[:2] == (502, "answer_corrupt")
 
 
 async def test_a_cut_line_ends_its_link_and_every_call_on_it_as_unknown() -> None:
@@ -141,17 +141,17 @@
             lines.send(peer.reply_to(call))
 
     async with edge_of(malformed) as system:
-        responses = await system.ask("/bad")
+        response = await system.ask("/bad")
         after = await _ask_until_answered(system)
-    assert responses[:2] == (502, "link_broken")
+    assert response[:2] == (502, "link_broken")
     assert after == (200, "", b"/after")
 
 
 async def _ask_until_answered(system: System) -> tuple[int, str, bytes]:
     """Repeat a request that is refused until the link is reopened."""
     for _ in range(200):
-        responses = await system.ask("/after")
-        if responses[0] != 503:
-            return responses
+        response = await system.ask("/after")
+        if response[0] != 503:
+            return response
         await asyncio.sleep(0.02)
     raise AssertionError("the link was not reopened in 200 attempts")
--- a/tests/daemon/test_planned_stop.py
+++ b/tests/daemon/test_planned_stop.py
@@ -135,10 +135,10 @@
         late = await reader.read()
         assert not first.done()
         release.set()
-        told = await first
+        response = await first
         assert await system.edge.stopped() == 0
         writer.close()
-    assert (told.status, told.body) == (200, b"/held")
+    assert (response.status, response.body) == (200, b"/held")
     assert late.startswith(b"HTTP/1.1 200 ")
     assert late.endswith(b"connection: close\r\n\r\n/late")
 
@@ -165,10 +165,10 @@
         url = f"http://{system.daemons[0].http_address}/none"
         async with system.session.get(url) as response:
             assert response.status == 404
-        told = await system.ask("/outer")
+        response = await system.ask("/outer")
         assert await system.daemons[0].stopped() == 0
-    assert told.status == 200
-    assert told.body.startswith((b"200 inner", b"503"))
+    assert response.status == 200
+    assert response.body.startswith((b"200 inner", b"503"))
 
 
 async def test_a_drain_past_its_time_sends_sessions_to_other_endpoints() -> None:
@@ -177,10 +177,10 @@
         assert (await system.ask("/session/a", finchshed_session="s1")).status == 200
         own = 0 if system.backends[0].received else 1
         system.daemons[own].signal(signal.SIGTERM)
-        told = []
+        responses = []
         while system.daemons[own].process.returncode is None:  # type: ignore[union-attr]
-            told.append(await system.ask("/session/a", finchshed_session="s1"))
+            responses.append(await system.ask("/session/a", finchshed_session="s1"))
             await asyncio.sleep(0.02)
-        told.append(await system.ask("/session/a", finchshed_session="s1"))
+        responses.append(await system.ask("/session/a", finchshed_session="s1"))
         assert system.backends[1 - own].received
-    assert {answered.status for answered in told} == {200}
+    assert {response.status for response in responses} == {200}
--- a/tests/daemon/test_sessions.py
+++ b/tests/daemon/test_sessions.py
@@ -116,8 +116,8 @@
         assert len(system.backends[own].received) == 9
         assert await system.daemons[own].stopped() == 0
         moved = await ask_part(system)
-    assert {answered.status for answered in [*new, *kept, moved]} == {206}
-    assert b"".join(answered.body for answered in kept) == VERSIONS["7"]
+    assert {response.status for response in [*new, *kept, moved]} == {206}
+    assert b"".join(response.body for response in kept) == VERSIONS["7"]
 
 
 async def test_a_surge_of_its_own_class_does_not_cut_a_session() -> None:
@@ -127,12 +127,12 @@
 
     async with deployment(slow) as system:
         assert (await ask_part(system)).status == 206
-        surge = [
+        overload = [
             asyncio.ensure_future(system.ask(f"/s{number}", finchshed_deadline_ms="1500"))
             for number in range(600)
         ]
         responses = [await ask_part(system, part * PART) for part in range(8)]
-        others = await asyncio.gather(*surge)
+        others = await asyncio.gather(*overload)
     assert {(response.status, response.reason) for response in responses} == {(206, "")}
     assert b"".join(response.body for response in responses) == VERSIONS["7"]
     assert any(response.ran == "no" for response in others)
@@ -144,9 +144,9 @@
         running = [await ask_part(system, PART, session=f"s{number}") for number in range(4)]
         await asyncio.sleep(1.3)
         later = await ask_part(system, session="s9")
-    assert [answered.status for answered in opened] == [206] * 4 + [429] * 2
-    assert {answered.reason for answered in opened[4:]} == {"session_limit"}
-    assert {answered.status for answered in running} == {206}
+    assert [response.status for response in opened] == [206] * 4 + [429] * 2
+    assert {response.reason for response in opened[4:]} == {"session_limit"}
+    assert {response.status for response in running} == {206}
     assert later.status == 206
 
 
