--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -162,7 +162,7 @@
             self._is_pinned = False
         if isinstance(outcome, Answered):
             self._answer = outcome
-        if not self._allows_retry(outcome, now) or not self._pay_for_another(outcome, now):
+        if not self._allows_retry(outcome, now) or not self._consume_retry_budget(outcome, now):
             return self._finish(outcome)
         if is_redirect(outcome):
             return self._send(now)
@@ -251,7 +251,7 @@
             target_seconds=self._target_seconds,
         )
 
-    def _pay_for_another(self, outcome: Outcome, now: float) -> bool:
+    def _consume_retry_budget(self, outcome: Outcome, now: float) -> bool:
         if is_redirect(outcome) and self._redirects < MAX_REDIRECTS:
             self._redirects += 1
             return True
--- a/tests/proof/broken.py
+++ b/tests/proof/broken.py
@@ -51,7 +51,7 @@
         self._tried.clear()
         return True
 
-    patch.setattr(CallStateMachine, "_pay_for_another", pay)
+    patch.setattr(CallStateMachine, "_consume_retry_budget", pay)
 
 
 def importance_is_ignored(patch: pytest.MonkeyPatch) -> None:
