--- a/src/finchshed/admission/demand_threshold.py
+++ b/src/finchshed/admission/demand_threshold.py
@@ -44,7 +44,7 @@
 """The threshold rises only above this utilization, because the demand estimates are noisy."""
 
 MIN_ADMITTED_FRACTION = 0.04
-"""Lower bound of the admitted fraction, so that one arrival stands for at most 25."""
+"""Lower bound of the admitted fraction, so that one arrival counts as at most 25."""
 
 SERVICE_TIME_WEIGHT = 0.02
 """Weight of one finished request in the mean service time of its class."""
--- a/src/finchshed/admission/fairness.py
+++ b/src/finchshed/admission/fairness.py
@@ -55,7 +55,7 @@
 
     def __len__(self) -> int:
         """Return the number of callers counted in the current period, summed over the classes."""
-        return sum(len(held.current.counts) for held in self._classes.values())
+        return sum(len(class_counts.current.counts) for class_counts in self._classes.values())
 
     def place(self, caller: str, importance: Importance, root: str, now: float) -> int:
         """Return the position of a root request; without a caller it is the hash of the root."""
--- a/src/finchshed/routing/ejection.py
+++ b/src/finchshed/routing/ejection.py
@@ -29,7 +29,7 @@
         return
     view.consecutive_failures = 0
     allowed = max(1, int(len(pool) * MAX_EJECTED_FRACTION)) if len(pool) > 1 else 0
-    if pool.ejected(now) >= allowed:
+    if pool.count_ejected(now) >= allowed:
         return
     duration = EJECTION_BACKOFF.bound(view.ejections)
     view.ejections += 1
--- a/src/finchshed/routing/endpoint.py
+++ b/src/finchshed/routing/endpoint.py
@@ -104,9 +104,9 @@
         self._report_at = float("-inf")
         self._penalty = 0.0
         self._penalty_at = 0.0
-        self.declare(endpoint)
+        self.update_endpoint(endpoint)
 
-    def declare(self, endpoint: Endpoint) -> None:
+    def update_endpoint(self, endpoint: Endpoint) -> None:
         """Apply a changed configuration of the endpoint."""
         self.endpoint = endpoint
         self.set_drain_source(DrainSource.CONFIGURATION, endpoint.state is EndpointState.LEAVING)
--- a/src/finchshed/routing/pool.py
+++ b/src/finchshed/routing/pool.py
@@ -184,9 +184,9 @@
         sent to the service.
         """
         lowest = float(self._lowest_importance)
-        cutoffs = 0.0
-        ages = 0
-        limiting = 0
+        cutoff_sum = 0.0
+        age_sum = 0
+        with_threshold = 0
         reported = 0
         views = 0
         for view in self._available_views():
@@ -197,16 +197,16 @@
             threshold = view.path_threshold(route, now)
             cutoff = cutoff_of(threshold.value)
             if cutoff > lowest:
-                limiting += 1
-                ages += threshold.age_ms
-            cutoffs += max(cutoff, lowest)
-        if not limiting or reported < views * MIN_REPORTED_FRACTION:
+                with_threshold += 1
+                age_sum += threshold.age_ms
+            cutoff_sum += max(cutoff, lowest)
+        if not with_threshold or reported < views * MIN_REPORTED_FRACTION:
             return NO_THRESHOLD
         # The mean has already decayed; a higher age would make the receiver decay it again.
-        age_ms = min(ages // limiting, DECAY_START_MILLISECONDS)
-        return PathThreshold(rank_of_cutoff(cutoffs / reported), age_ms)
+        age_ms = min(age_sum // with_threshold, DECAY_START_MILLISECONDS)
+        return PathThreshold(rank_of_cutoff(cutoff_sum / reported), age_ms)
 
-    def ejected(self, now: float) -> int:
+    def count_ejected(self, now: float) -> int:
         """Return the number of currently ejected endpoints."""
         return sum(1 for view in self._views.values() if view.ejected_until > now)
 
--- a/src/finchshed/routing/table.py
+++ b/src/finchshed/routing/table.py
@@ -65,7 +65,7 @@
         removed = set(self._views)
         for endpoint in endpoints:
             removed.discard(endpoint.name)
-            self._declare(endpoint, now)
+            self._add_or_update(endpoint, now)
         for name in removed:
             self._pools[self._views.pop(name).endpoint.service].remove(name)
         self._loaded = True
@@ -209,7 +209,7 @@
             view.set_drain_source(source, is_set)
             self._refresh(view, now)
 
-    def _declare(self, endpoint: Endpoint, now: float) -> None:
+    def _add_or_update(self, endpoint: Endpoint, now: float) -> None:
         view = self._views.get(endpoint.name)
         if view is not None and view.endpoint is endpoint:
             return
@@ -221,7 +221,7 @@
             self._pools[view.endpoint.service].remove(endpoint.name)
             self._put(EndpointView(endpoint, now), now)
         elif view.endpoint != endpoint:
-            view.declare(endpoint)
+            view.update_endpoint(endpoint)
             self._refresh(view, now)
 
     def _put(self, view: EndpointView, now: float) -> EndpointView:
--- a/tests/simulation/test_distribution.py
+++ b/tests/simulation/test_distribution.py
@@ -47,9 +47,9 @@
     faults.end()
     for daemon in simulation.daemons:
         if daemon.zone == "z1" and daemon.follower.revision < expected:
-            held = daemon.follower.revision
+            revision = daemon.follower.revision
             raise ViolationError(
-                f"{daemon.name} is at {held}, {expected} is {FOLLOW_SECONDS} s old"
+                f"{daemon.name} is at {revision}, {expected} is {FOLLOW_SECONDS} s old"
             )
 
 
--- a/tests/tenancy/lease_simulation.py
+++ b/tests/tenancy/lease_simulation.py
@@ -173,8 +173,8 @@
             self._apply_delta(message)
 
     def _apply_delta(self, delta: Delta) -> None:
-        held = self.configuration.revision
-        if delta.revision > held and is_applicable(delta, held):
+        current = self.configuration.revision
+        if delta.revision > current and is_applicable(delta, current):
             self.configuration = apply_delta(self.configuration, delta)
             self.lease.on_revision_applied(delta.revision)
 
