--- a/src/finchshed/admission/gate.py
+++ b/src/finchshed/admission/gate.py
@@ -18,7 +18,7 @@
 from finchshed.admission.load_report import LoadReport
 from finchshed.admission.path_thresholds import NO_PATH_THRESHOLDS, PathThreshold
 from finchshed.admission.queue_threshold import QueueThreshold
-from finchshed.admission.rank import rank_of, session_rank
+from finchshed.admission.rank import admitted_rank, rank_of
 from finchshed.admission.request_queue import QueuedRequest, RequestQueue
 from finchshed.admission.threshold_rule import Threshold, ThresholdRule
 from finchshed.common.context import CallContext
@@ -62,7 +62,7 @@
     now
         Time of creation, seconds.
     threshold_rule
-        What sets the threshold.
+        Rule by which the admission threshold is computed.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
             self._record_start(token, rank, now)
             return [Start(token)]
         if rank < self._threshold.value and not context.is_admitted:
-            # Requests of an admitted session are queued regardless of the threshold.
+            # Requests of an admitted session or call tree are queued regardless of the threshold.
             return [self._refuse(token, RefusalReason.OVERLOAD)]
         return self._enqueue(self._queued_request(token, rank, context, now), now)
 
@@ -181,7 +181,7 @@
         self._order += 1
         is_by_demand = self._rule is ThresholdRule.BY_DEMAND
         return QueuedRequest(
-            rank=session_rank(rank) if is_by_demand else rank,
+            rank=admitted_rank(rank) if is_by_demand else rank,
             admission_rank=rank,
             order=self._order,
             token=token,
--- a/src/finchshed/admission/rank.py
+++ b/src/finchshed/admission/rank.py
@@ -1,9 +1,9 @@
 """Admission rank of a request: an integer; requests of a lower rank are shed first.
 
-The rank holds, from its highest bits down, the importance class, whether the request belongs to a
-running session, and a position that is the same on every hop of one root request. The position
-is a hash, as in DAGOR (Zhou et al., *Overload Control for Scaling WeChat Microservices*, SoCC
-2018), so that all hops of a request make the same decision.
+The rank holds, from its highest bits down, the importance class, whether the request belongs to an
+admitted session or call tree, and a position that is the same on every hop of one root request. As
+in DAGOR (Zhou et al., *Overload Control for Scaling WeChat Microservices*, SoCC 2018), the position
+is a hash, so that all hops of a request make the same decision.
 
 Thresholds are ranks too. They are applied in :mod:`finchshed.admission.gate` and
 :mod:`finchshed.routing.table`.
@@ -53,8 +53,8 @@
     return rank | _SESSION_BIT if context.is_admitted else rank
 
 
-def session_rank(rank: int) -> int:
-    """Return the rank that a request of an admitted session has at the same position."""
+def admitted_rank(rank: int) -> int:
+    """Return the rank of an already admitted request at the same position."""
     return rank | _SESSION_BIT
 
 
--- a/src/finchshed/quarantine/register.py
+++ b/src/finchshed/quarantine/register.py
@@ -62,7 +62,7 @@
     """Runs only at its designated endpoint, without other suspects."""
 
     QUARANTINED = "quarantined"
-    """Is refused."""
+    """Is refused until the quarantine period ends."""
 
 
 class Assessment(msgspec.Struct, frozen=True, gc=False):
