--- a/src/finchshed/admission/fairness.py
+++ b/src/finchshed/admission/fairness.py
@@ -57,7 +57,7 @@
         """Return the number of callers counted in the current period, summed over the classes."""
         return sum(len(class_counts.current.counts) for class_counts in self._classes.values())
 
-    def place(self, caller: str, importance: Importance, root: str, now: float) -> int:
+    def assign_position(self, caller: str, importance: Importance, root: str, now: float) -> int:
         """Return the position of a root request; without a caller it is the hash of the root."""
         position = position_of(root)
         if not caller:
--- a/src/finchshed/bench/decisions.py
+++ b/src/finchshed/bench/decisions.py
@@ -173,7 +173,7 @@
         logic = CallStateMachine(table, bucket, "s1", context, repeatable=True, rng=rng)
         send = logic.begin(0.0)[0]
         if isinstance(send, SendAttempt):
-            logic.on_outcome(send.attempt, ANSWER, send.lent_attempts, REPORT, 0.01)
+            logic.on_outcome(send.attempt, ANSWER, send.allocated_attempts, REPORT, 0.01)
 
     return step
 
@@ -186,8 +186,8 @@
 
     def step() -> None:
         held.open("one", 3)
-        lent = held.lend("one")
-        held.give_back("one", lent, lent)
+        lent = held.allocate("one")
+        held.refund("one", lent, lent)
         held.close("one")
 
     return step
@@ -197,8 +197,8 @@
     """Return a step: the fair position of one request beside ``callers`` callers."""
     fair = FairPositions(0.0)
     for number in range(callers):
-        fair.place(f"caller-{number}", Importance.NORMAL, "root", 0.0)
-    return lambda: _drop(fair.place("caller-1", Importance.NORMAL, "root", 0.0))
+        fair.assign_position(f"caller-{number}", Importance.NORMAL, "root", 0.0)
+    return lambda: _drop(fair.assign_position("caller-1", Importance.NORMAL, "root", 0.0))
 
 
 def session_step(sessions: int) -> Step:
--- a/src/finchshed/daemon/calling/outgoing_call.py
+++ b/src/finchshed/daemon/calling/outgoing_call.py
@@ -138,12 +138,12 @@
             metrics.RETRIES.labels(self.request.service).inc()
         attempt = Attempt(
             request=self.request,
-            lent_attempts=effect.lent_attempts,
+            lent_attempts=effect.allocated_attempts,
             admitted_fraction=effect.admitted_fraction,
             deadline=self._deadline,
             on_reply=lambda reply: self._on_reply(number, reply),
             on_unsent=lambda reason, detail: self._on_unsent(
-                number, effect.lent_attempts, reason, detail
+                number, effect.allocated_attempts, reason, detail
             ),
         )
         self._attempt = attempt
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -166,7 +166,7 @@
             caller=caller,
             session=request.header(_SESSION) if matched.route.session else "",
             key=request.header(_IDEMPOTENCY_KEY),
-            position=self._fair_positions.place(
+            position=self._fair_positions.assign_position(
                 caller, matched.route.importance, root, clock.now()
             ),
         )
--- a/src/finchshed/daemon/serving/served_requests.py
+++ b/src/finchshed/daemon/serving/served_requests.py
@@ -72,11 +72,11 @@
 
     def lend(self, account: str) -> int:
         """Lend retries to one call of the request; return how many."""
-        return self._accounts.lend(account)
+        return self._accounts.allocate(account)
 
     def give_back(self, account: str, lent: int, spare_attempts: int) -> None:
         """Return the unused part of ``lent`` retries to the account."""
-        self._accounts.give_back(account, lent, spare_attempts)
+        self._accounts.refund(account, lent, spare_attempts)
 
     def on_call_failed(self, account: str, call: str) -> None:
         """Record that a call made for the request failed."""
--- a/src/finchshed/emulator/daemons/incoming.py
+++ b/src/finchshed/emulator/daemons/incoming.py
@@ -88,7 +88,9 @@
             request.caller,
             request.session,
             request.key,
-            self._fair.place(request.caller, request.importance, request.root, self._process.now),
+            self._fair.assign_position(
+                request.caller, request.importance, request.root, self._process.now
+            ),
         )
 
         def finished(outcome: Outcome, _spare: int) -> None:
@@ -124,7 +126,7 @@
             answer(Refused(RefusalReason.CANCELLED, retry_after(0.0, self._process.random)))
             return nothing
         self._callee.call_on_began(request.account, request)
-        lent = self._accounts.lend(request.account)
+        lent = self._accounts.allocate(request.account)
         context = CallContext(
             request.root,
             request.importance,
@@ -139,7 +141,7 @@
 
         def finished(outcome: Outcome, spare: int) -> None:
             self.in_progress -= 1
-            self._accounts.give_back(request.account, lent, spare)
+            self._accounts.refund(request.account, lent, spare)
             if result_of(outcome) is not CallResult.OK:
                 self._accounts.on_call_failed(request.account, request.call)
             answer(outcome)
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -108,13 +108,13 @@
         self._was_sent = True
         self.endpoint = effect.endpoint.name
         remaining = self._deadline - self._process.now
-        context = self._context.for_attempt(remaining, effect.lent_attempts)
+        context = self._context.for_attempt(remaining, effect.allocated_attempts)
         attempt = SimulatedAttempt(
             self._request,
             context,
             self._deadline,
             lambda reply: self._replied(number, reply),
-            lambda reason: self._unsent(number, effect.lent_attempts, reason),
+            lambda reason: self._unsent(number, effect.allocated_attempts, reason),
         )
         self._recorder.note(
             AttemptSent(
--- a/src/finchshed/retry/account.py
+++ b/src/finchshed/retry/account.py
@@ -1,9 +1,9 @@
 """Retry budget of a root request, divided among the calls of its call graph.
 
-A root request gets a fixed number of spare attempts. Each hop lends part of its balance to a call
-and gets back what the call did not use; what a crashed process held is lost. The retries of one
-root request therefore never exceed the initial number, however deep or wide the call graph. All
-amounts are in attempts.
+A root request gets a fixed number of spare attempts. Each hop allocates part of its balance to a
+call and is refunded what the call did not use; what a crashed process held is lost. The retries of
+one root request therefore never exceed the initial number, however deep or wide the call graph.
+All amounts are in attempts.
 """
 
 from collections import OrderedDict
@@ -20,11 +20,11 @@
 
 class _Account(msgspec.Struct, gc=False):
     balance: int
-    lent: int = 0
+    allocated: int = 0
     failed_calls: set[str] | None = None
 
 
-def lent_attempts(balance: int) -> int:
+def allocated_attempts(balance: int) -> int:
     """Return how many of ``balance`` spare attempts one call gets: half, rounded up.
 
     The other half is kept for concurrent calls, and for retries by this hop if the callee crashes.
@@ -55,28 +55,28 @@
             self._accounts.popitem(last=False)
         self._accounts[account] = _Account(balance=spare_attempts)
 
-    def lend(self, account: str) -> int:
-        """Move part of the balance to one call and return it; 0 if the account is not open."""
+    def allocate(self, account: str) -> int:
+        """Allocate part of the balance to one call; 0 if the account is not open."""
         entry = self._accounts.get(account)
         if entry is None:
             return 0
-        lent = lent_attempts(entry.balance)
-        entry.balance -= lent
-        entry.lent += lent
-        return lent
+        allocated = allocated_attempts(entry.balance)
+        entry.balance -= allocated
+        entry.allocated += allocated
+        return allocated
 
-    def give_back(self, account: str, lent: int, spare_attempts: int) -> None:
+    def refund(self, account: str, allocated: int, spare_attempts: int) -> None:
         """Return the unused spare attempts of a call to the balance.
 
-        At most ``lent`` is returned, whatever the answer claims, and nothing if the account has
-        been closed meanwhile.
+        At most ``allocated`` is refunded, whatever the answer claims, and nothing if the account
+        has been closed meanwhile.
         """
         entry = self._accounts.get(account)
         if entry is None:
             return
-        lent = min(lent, entry.lent)
-        entry.lent -= lent
-        entry.balance += max(0, min(spare_attempts, lent))
+        allocated = min(allocated, entry.allocated)
+        entry.allocated -= allocated
+        entry.balance += max(0, min(spare_attempts, allocated))
 
     def on_call_failed(self, account: str, call: str) -> None:
         """Record that a call made by the request was not answered; ``call`` identifies it."""
@@ -105,6 +105,6 @@
         return call in entry.failed_calls or len(entry.failed_calls) >= MAX_FAILED_CALLS
 
     def close(self, account: str) -> int:
-        """Close an account and return its balance; attempts still lent out are lost."""
+        """Close an account and return its balance; allocations still open are lost."""
         entry = self._accounts.pop(account, None)
         return 0 if entry is None else entry.balance
--- a/src/finchshed/retry/bucket.py
+++ b/src/finchshed/retry/bucket.py
@@ -8,7 +8,7 @@
 DEFAULT_CAPACITY = 20.0
 """Maximum number of tokens: the burst of retries allowed after an idle period."""
 
-DEFAULT_INFLOW_PER_SECOND = 0.5
+DEFAULT_REFILL_PER_SECOND = 0.5
 """Tokens added each second regardless of successes."""
 
 CALL_SUCCESS_FRACTION = 0.2
@@ -26,7 +26,7 @@
         Time of creation, seconds.
     capacity
         Maximum number of tokens.
-    inflow_per_second
+    refill_per_second
         Tokens added each second.
     """
 
@@ -35,18 +35,18 @@
         ratio: float,
         now: float,
         capacity: float = DEFAULT_CAPACITY,
-        inflow_per_second: float = DEFAULT_INFLOW_PER_SECOND,
+        refill_per_second: float = DEFAULT_REFILL_PER_SECOND,
     ) -> None:
         self.ratio = ratio
         self._capacity = capacity
-        self._inflow = inflow_per_second
+        self._refill = refill_per_second
         self._tokens = capacity / 2
         self._updated = now
 
-    def set_bounds(self, capacity: float, inflow_per_second: float) -> None:
+    def set_bounds(self, capacity: float, refill_per_second: float) -> None:
         """Apply changed bounds; excess tokens are lost."""
         self._capacity = capacity
-        self._inflow = inflow_per_second
+        self._refill = refill_per_second
         self._tokens = min(self._tokens, capacity)
 
     def on_success(self, *, is_call: bool = False) -> None:
@@ -62,7 +62,7 @@
         """Take one token for a retry; return whether there was one."""
         elapsed = max(0.0, now - self._updated)
         self._updated = now
-        self._tokens = min(self._capacity, self._tokens + elapsed * self._inflow)
+        self._tokens = min(self._capacity, self._tokens + elapsed * self._refill)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/finchshed/retry/buckets.py
+++ b/src/finchshed/retry/buckets.py
@@ -1,7 +1,7 @@
 """Retry buckets of all services that one daemon calls, configured by the policy."""
 
 from finchshed.configuration.resources import Policy
-from finchshed.retry.bucket import DEFAULT_CAPACITY, DEFAULT_INFLOW_PER_SECOND, RetryBucket
+from finchshed.retry.bucket import DEFAULT_CAPACITY, DEFAULT_REFILL_PER_SECOND, RetryBucket
 
 MIN_CAPACITY = 1.0
 """Each daemon may make one retry after an idle period, however many share the burst."""
@@ -51,4 +51,4 @@
         if burst > 0.0:
             bucket.set_bounds(max(MIN_CAPACITY, burst / self._daemons), 0.0)
         else:
-            bucket.set_bounds(DEFAULT_CAPACITY, DEFAULT_INFLOW_PER_SECOND)
+            bucket.set_bounds(DEFAULT_CAPACITY, DEFAULT_REFILL_PER_SECOND)
--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -24,7 +24,7 @@
 from finchshed.common.results import CallResult, result_of
 from finchshed.configuration.resources import Endpoint
 from finchshed.quarantine.register import FREE, MAX_CRASHES_FOR_RETRY, Assessment, Suspicion
-from finchshed.retry.account import lent_attempts
+from finchshed.retry.account import allocated_attempts
 from finchshed.retry.bucket import RetryBucket
 from finchshed.retry.policy import (
     ERROR_RETRY_TIME_FACTOR,
@@ -66,7 +66,7 @@
     service
         Service that is called.
     context
-        Context of the call, with the spare attempts lent to it.
+        Context of the call, with the spare attempts allocated to it.
     repeatable
         Whether the request may be executed more than once.
     rng
@@ -115,7 +115,7 @@
         self._deadline = 0.0
         self._attempt = 0
         self._redirects = 0
-        self._lent = 0
+        self._allocated = 0
         self._sent_at = 0.0
         self._current: Endpoint | None = None
         self._tried: set[str] = set()
@@ -153,8 +153,8 @@
         result = result_of(outcome)
         self._table.on_reply(self._current.name, load, result, now - self._sent_at, now)
         self._current = None
-        self._spare += max(0, min(spare_returned, self._lent))
-        self._lent = 0
+        self._spare += max(0, min(spare_returned, self._allocated))
+        self._allocated = 0
         self._last_outcome = outcome
         if isinstance(outcome, Failed):
             self._failed = outcome
@@ -214,8 +214,8 @@
         self._attempt += 1
         self._current = chosen
         self._tried.add(chosen.name)
-        self._lent = lent_attempts(self._spare)
-        self._spare -= self._lent
+        self._allocated = allocated_attempts(self._spare)
+        self._spare -= self._allocated
         self._sent_at = now
         report_age, in_flight = self._table.report_age_and_in_flight(chosen.name, now)
         self._table.on_sent(chosen.name, now)
@@ -223,7 +223,7 @@
         send = SendAttempt(
             attempt=self._attempt,
             endpoint=chosen,
-            lent_attempts=self._lent,
+            allocated_attempts=self._allocated,
             report_age=report_age,
             in_flight=in_flight,
             admitted_fraction=fraction,
@@ -265,7 +265,7 @@
         assert endpoint is not None
         self._table.on_reply(endpoint.name, None, result, now - self._sent_at, now)
         self._current = None
-        self._lent = 0
+        self._allocated = 0
         return [CancelAttempt(self._attempt, endpoint)]
 
     def _refused(self, reason: RefusalReason) -> Refused:
--- a/src/finchshed/routing/caller_effects.py
+++ b/src/finchshed/routing/caller_effects.py
@@ -13,7 +13,7 @@
 
     Attributes
     ----------
-    lent_attempts
+    allocated_attempts
         Spare attempts passed on in its context.
     report_age, in_flight
         State of the endpoint when it was chosen, for the log: seconds since its load report
@@ -24,7 +24,7 @@
 
     attempt: int
     endpoint: Endpoint
-    lent_attempts: int
+    allocated_attempts: int
     report_age: float = -1.0
     in_flight: int = 0
     admitted_fraction: float = 1.0
@@ -44,7 +44,7 @@
 
 
 class Finish(msgspec.Struct, frozen=True, gc=False):
-    """End the call. ``spare_returned`` of the attempts lent to it are unused."""
+    """End the call. ``spare_returned`` of its allocated attempts are unused."""
 
     outcome: Outcome
     spare_returned: int
--- a/tests/admission/test_fairness.py
+++ b/tests/admission/test_fairness.py
@@ -24,27 +24,31 @@
     now = 0.0
     for number, (caller, pause) in enumerate(arrivals):
         now += pause
-        assert 0 <= fair.place(caller, Importance.NORMAL, f"r{number}", now) < POSITIONS
+        assert 0 <= fair.assign_position(caller, Importance.NORMAL, f"r{number}", now) < POSITIONS
 
 
 def test_excess_of_a_caller_gets_lower_positions() -> None:
     fair = FairPositions(0.0)
     for number in range(40):
-        fair.place(f"c{number % 20}", Importance.NORMAL, f"r{number}", 0.02 * number)
-    first = [fair.place("greedy", Importance.NORMAL, f"g{number}", 1.0) for number in range(2)]
-    later = [fair.place("greedy", Importance.NORMAL, f"h{number}", 1.0) for number in range(40)]
+        fair.assign_position(f"c{number % 20}", Importance.NORMAL, f"r{number}", 0.02 * number)
+    first = [
+        fair.assign_position("greedy", Importance.NORMAL, f"g{number}", 1.0) for number in range(2)
+    ]
+    later = [
+        fair.assign_position("greedy", Importance.NORMAL, f"h{number}", 1.0) for number in range(40)
+    ]
     assert min(first) >= POSITIONS // 2
     assert max(later) < POSITIONS // 2
     assert later[-1] == 0
-    assert fair.place("greedy", Importance.CRITICAL, "other class", 1.0) >= POSITIONS // 2
-    assert fair.place("modest", Importance.NORMAL, "r", 1.0) >= POSITIONS // 2
-    assert fair.place("greedy", Importance.NORMAL, "after a pause", 4.0) >= POSITIONS // 2
+    assert fair.assign_position("greedy", Importance.CRITICAL, "other class", 1.0) >= POSITIONS // 2
+    assert fair.assign_position("modest", Importance.NORMAL, "r", 1.0) >= POSITIONS // 2
+    assert fair.assign_position("greedy", Importance.NORMAL, "after a pause", 4.0) >= POSITIONS // 2
 
 
 def test_number_of_tracked_callers_is_bounded() -> None:
     fair = FairPositions(0.0)
     for number in range(MAX_CALLERS + 10):
-        fair.place(f"c{number}", Importance.NORMAL, "r", 0.0)
+        fair.assign_position(f"c{number}", Importance.NORMAL, "r", 0.0)
     assert len(fair) == MAX_CALLERS
 
 
@@ -77,7 +81,9 @@
         apply(gate.tick(now), now)
         is_greedy[token] = rng.random() < 50 / 70
         caller = "greedy" if is_greedy[token] else f"modest-{rng.randrange(20)}"
-        position = positions.place(caller, Importance.NORMAL, f"r{token}", now) if fair else -1
+        position = (
+            positions.assign_position(caller, Importance.NORMAL, f"r{token}", now) if fair else -1
+        )
         context = CallContext(f"r{token}", Importance.NORMAL, 1.0, caller=caller, position=position)
         sent[is_greedy[token]] += 1
         apply(gate.arrive(token, context, now), now)
--- a/tests/retry/test_account.py
+++ b/tests/retry/test_account.py
@@ -1,4 +1,4 @@
-"""Lending and giving back never create spare attempts."""
+"""Spare attempts are never created by allocations and refunds."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,24 +7,24 @@
 
 
 @given(st.integers(0, 16), st.lists(st.tuples(st.booleans(), st.integers(-2, 20)), max_size=40))
-def test_balance_and_lent_never_exceed_what_was_given(
-    given_spare: int, steps: list[tuple[bool, int]]
+def test_balance_and_allocations_never_exceed_the_initial_budget(
+    initial: int, steps: list[tuple[bool, int]]
 ) -> None:
     accounts = RetryAccounts()
-    accounts.open("a", given_spare)
-    lent: list[int] = []
-    for lend, claimed in steps:
-        if lend:
-            lent.append(accounts.lend("a"))
-        elif lent:
-            accounts.give_back("a", lent.pop(), claimed)
-    assert 0 <= accounts.close("a") + sum(lent) <= given_spare
+    accounts.open("a", initial)
+    allocated: list[int] = []
+    for is_allocation, claimed in steps:
+        if is_allocation:
+            allocated.append(accounts.allocate("a"))
+        elif allocated:
+            accounts.refund("a", allocated.pop(), claimed)
+    assert 0 <= accounts.close("a") + sum(allocated) <= initial
 
 
-def test_open_loans_are_lost_at_close() -> None:
+def test_open_allocations_are_lost_at_close() -> None:
     accounts = RetryAccounts()
     accounts.open("a", 3)
-    lent = accounts.lend("a")
-    assert accounts.close("a") == 3 - lent
-    accounts.give_back("a", lent, lent)
+    allocated = accounts.allocate("a")
+    assert accounts.close("a") == 3 - allocated
+    accounts.refund("a", allocated, allocated)
     assert len(accounts) == 0
--- a/tests/retry/test_bucket.py
+++ b/tests/retry/test_bucket.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchshed.retry.bucket import DEFAULT_CAPACITY, DEFAULT_INFLOW_PER_SECOND, RetryBucket
+from finchshed.retry.bucket import DEFAULT_CAPACITY, DEFAULT_REFILL_PER_SECOND, RetryBucket
 from finchshed.retry.policy import (
     RETRY_AFTER_BASE_SECONDS,
     RETRY_AFTER_MAX_SECONDS,
@@ -18,7 +18,7 @@
     st.floats(0.0, 1.0),
     st.lists(st.tuples(st.booleans(), st.floats(0.0, 0.5)), max_size=300),
 )
-def test_retries_stay_below_a_share_of_successes(
+def test_retries_stay_below_a_fraction_of_successes(
     ratio: float, steps: list[tuple[bool, float]]
 ) -> None:
     bucket = RetryBucket(ratio, 0.0)
@@ -32,8 +32,8 @@
             bucket.on_success()
         else:
             retries += bucket.take(now)
-    inflow = DEFAULT_INFLOW_PER_SECOND * now
-    assert retries <= DEFAULT_CAPACITY / 2 + ratio * successes + inflow + 1e-6
+    refill = DEFAULT_REFILL_PER_SECOND * now
+    assert retries <= DEFAULT_CAPACITY / 2 + ratio * successes + refill + 1e-6
 
 
 def test_retry_after_times_are_spread_evenly() -> None:
--- a/tests/routing/test_caller.py
+++ b/tests/routing/test_caller.py
@@ -47,7 +47,7 @@
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
     answer = Answered(200, (), b"")
-    assert logic.on_outcome(send.attempt, answer, send.lent_attempts, None, 0.1) == [
+    assert logic.on_outcome(send.attempt, answer, send.allocated_attempts, None, 0.1) == [
         Finish(answer, 3)
     ]
 
@@ -59,7 +59,7 @@
         assert isinstance(first, SendAttempt)
         assert first.endpoint.name == "e1"
         refused = Refused(reason, 1.0)
-        timer = logic.on_outcome(first.attempt, refused, first.lent_attempts, None, 0.1)[0]
+        timer = logic.on_outcome(first.attempt, refused, first.allocated_attempts, None, 0.1)[0]
         assert isinstance(timer, SetTimer)
         second = logic.on_timer(timer.at)[0]
         assert isinstance(second, SendAttempt)
@@ -71,24 +71,24 @@
     first = logic.begin(0.0)[0]
     assert isinstance(first, SendAttempt)
     refused = Refused(RefusalReason.QUEUE_FULL, 1.0)
-    timer = logic.on_outcome(first.attempt, refused, first.lent_attempts, None, 0.1)[0]
+    timer = logic.on_outcome(first.attempt, refused, first.allocated_attempts, None, 0.1)[0]
     assert isinstance(timer, SetTimer)
     second = logic.on_timer(timer.at)[0]
     assert isinstance(second, SendAttempt)
     assert second.endpoint != first.endpoint
     answer = Answered(200, (), b"")
-    assert logic.on_outcome(second.attempt, answer, second.lent_attempts, None, 0.2) == [
+    assert logic.on_outcome(second.attempt, answer, second.allocated_attempts, None, 0.2) == [
         Finish(answer, 2)
     ]
 
 
-def test_attempts_lent_to_a_failed_attempt_are_lost() -> None:
+def test_allocated_attempts_of_a_failed_attempt_are_lost() -> None:
     logic = caller(1, 3)
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
     failed = Failed(FailureReason.OUTCOME_UNKNOWN, 1.0)
     finish = logic.on_outcome(send.attempt, failed, 0, None, 0.1)
-    assert finish == [Finish(failed, 3 - send.lent_attempts)]
+    assert finish == [Finish(failed, 3 - send.allocated_attempts)]
 
 
 def test_failed_request_is_not_retried_unless_repeatable() -> None:
@@ -119,7 +119,7 @@
     second = logic.on_timer(timer.at)[0]
     assert isinstance(second, SendAttempt)
     refused = Refused(RefusalReason.OVERLOAD, 1.0)
-    finish = logic.on_outcome(second.attempt, refused, second.lent_attempts, None, 0.99)[-1]
+    finish = logic.on_outcome(second.attempt, refused, second.allocated_attempts, None, 0.99)[-1]
     assert isinstance(finish, Finish)
     assert isinstance(finish.outcome, Failed)
     assert finish.outcome.retry_after == 1.0
@@ -129,7 +129,7 @@
     """Begin a call whose first attempt is answered by ``first``; return the second attempt."""
     send = logic.begin(0.0)[0]
     assert isinstance(send, SendAttempt)
-    timer = logic.on_outcome(send.attempt, first, send.lent_attempts, None, now)[0]
+    timer = logic.on_outcome(send.attempt, first, send.allocated_attempts, None, now)[0]
     assert isinstance(timer, SetTimer)
     second = logic.on_timer(timer.at)[0]
     assert isinstance(second, SendAttempt)
@@ -144,7 +144,7 @@
     logic = caller(2, 3)
     second = retry_after_answer(logic, ERROR, 0.05)
     answer = Answered(200, (), b"")
-    assert logic.on_outcome(second.attempt, answer, second.lent_attempts, None, 0.2) == [
+    assert logic.on_outcome(second.attempt, answer, second.allocated_attempts, None, 0.2) == [
         Finish(answer, 2)
     ]
 
@@ -174,6 +174,6 @@
     for logic, answer, now in cases:
         send = logic.begin(0.0)[0]
         assert isinstance(send, SendAttempt)
-        effect = logic.on_outcome(send.attempt, answer, send.lent_attempts, None, now)[0]
+        effect = logic.on_outcome(send.attempt, answer, send.allocated_attempts, None, now)[0]
         assert isinstance(effect, Finish)
         assert effect.outcome == answer
--- a/tests/simulation/system.py
+++ b/tests/simulation/system.py
@@ -167,7 +167,7 @@
             root=self.context.root,
             importance=self.context.importance,
             remaining_seconds=self.context.remaining_seconds - elapsed,
-            spare_attempts=effect.lent_attempts,
+            spare_attempts=effect.allocated_attempts,
             depth=self.context.depth + 1,
             caller=self.context.caller,
             session=self.context.session,
@@ -286,7 +286,7 @@
         account = str(job.token)
 
         def start_call(service: str, retries: int) -> None:
-            lent = self.accounts.lend(account)
+            lent = self.accounts.allocate(account)
             if self.accounts.is_repeat(account, service):
                 if lent < 1:
                     self.end(job, Failed(FailureReason.BACKEND_BROKEN, 0.1))
@@ -305,7 +305,7 @@
             )
 
             def done(outcome: Outcome, spare: int) -> None:
-                self.accounts.give_back(account, lent, spare)
+                self.accounts.refund(account, lent, spare)
                 if job.over:
                     return
                 if result_of(outcome) is not CallResult.OK:
