--- a/src/finchshed/daemon/signatures.py
+++ b/src/finchshed/daemon/signatures.py
@@ -45,8 +45,8 @@
 class SignatureFactory:
     """Computes signatures that are identical at every daemon.
 
-    The caller-service header is included for calls only: a root request carries the service of
-    the machine it entered at, and its client may retry it at any other.
+    The header with the calling service is included for calls only: a root request carries the
+    service of the machine it entered at, and its client may retry it at any other.
     """
 
     def __init__(self, names: HeaderNames) -> None:
