--- a/src/finchshed/distribution/hub.py
+++ b/src/finchshed/distribution/hub.py
@@ -122,7 +122,7 @@
         subscriber = self._subscribers.get(number)
         if subscriber is None:
             return ()
-        subscriber.heard_at = now
+        subscriber.last_message_at = now
         crossed = (
             subscriber.sent_revision > revision
             and now - subscriber.sent_at < self.limits.repeat_seconds
@@ -137,7 +137,7 @@
         subscriber = self._subscribers.get(number)
         if subscriber is None:
             return ()
-        subscriber.heard_at = now
+        subscriber.last_message_at = now
         subscriber.add_lease_request(question, self._next_ticket)
         return () if self._waits_for_confirmation else (self._request_confirmation(),)
 
@@ -239,7 +239,9 @@
 
     def _drop_silent(self, now: float) -> list[HubEffect]:
         limit = now - self.limits.silence_seconds
-        silent = [number for number, subscriber in self._subscribers if subscriber.heard_at < limit]
+        silent = [
+            number for number, subscriber in self._subscribers if subscriber.last_message_at < limit
+        ]
         for number in silent:
             self.unsubscribe(number)
         return [Close(number) for number in silent]
--- a/src/finchshed/distribution/subscribers.py
+++ b/src/finchshed/distribution/subscribers.py
@@ -24,7 +24,7 @@
         Revision of the latest delta sent.
     in_force
         Revision that the daemon reported as in force.
-    heard_at, sent_at
+    last_message_at, sent_at
         Times of the latest message received and of the latest delta sent, in seconds.
     ticket
         Ticket of the first quorum read that confirms the subscription; None once confirmed.
@@ -40,7 +40,7 @@
     identity: Subscribe
     sent_revision: int
     in_force: int
-    heard_at: float
+    last_message_at: float
     sent_at: float
     ticket: int | None
     is_full: bool = False
@@ -102,7 +102,7 @@
         subscriber = self._by_number.get(number)
         if subscriber is None:
             return
-        subscriber.heard_at = now
+        subscriber.last_message_at = now
         if subscriber.in_force != revision:
             subscriber.in_force = revision
             self._add_to_report(number, subscriber, connected=True)
--- a/src/finchshed/quota/daemon_share.py
+++ b/src/finchshed/quota/daemon_share.py
@@ -163,7 +163,8 @@
     def retry_after_seconds(self, tenant: str, now: float) -> float:
         """Return the delay after which a refused caller may retry.
 
-        Successive calls return increasing delays, so callers come back at the permitted rate.
+        The delay grows with each call, up to :data:`RETRY_AFTER_SECONDS_MAX`, so that callers
+        come back at the permitted rate.
         """
         share = self._shares.get(tenant)
         limit = self._limits.get(tenant)
--- a/tests/configuration/test_whole_changes.py
+++ b/tests/configuration/test_whole_changes.py
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize(
-    ("puts", "told"),
+    ("puts", "expected_problem"),
     [
         ((SALES, route("/", Destination("nobody"))), "nobody"),
         ((SALES, route("/"), route("/")), "more than once"),
@@ -117,11 +117,13 @@
         ((route("/"),), "sales"),
     ],
 )
-def test_a_contradiction_is_told_and_changes_nothing(puts: tuple[Resource, ...], told: str) -> None:
+def test_a_contradiction_is_told_and_changes_nothing(
+    puts: tuple[Resource, ...], expected_problem: str
+) -> None:
     store = store_at(5)
     result = store.apply(whole("wrong", 6, 5, *puts))
     assert isinstance(result, Invalid)
-    assert told in " ".join(result.problems)
+    assert expected_problem in " ".join(result.problems)
     assert store.version == 5
 
 
