--- a/src/finchshed/configuration/declarations.py
+++ b/src/finchshed/configuration/declarations.py
@@ -160,10 +160,10 @@
         With one line per problem, giving file, key, value and the allowed values.
     """
     if not folder.is_dir():
-        raise DeclarationError([f"{folder}: not a folder, allowed is a folder with *.toml files"])
+        raise DeclarationError([f"{folder}: allowed is a folder with *.toml files"])
     paths = sorted(folder.glob("*.toml"))
     if not paths:
-        raise DeclarationError([f"{folder}: contains no *.toml file"])
+        raise DeclarationError([f"{folder}: holds no *.toml file"])
     reader = _Reader()
     for path in paths:
         reader.read_file(path)
--- a/src/finchshed/control/node.py
+++ b/src/finchshed/control/node.py
@@ -177,7 +177,7 @@
     def _health(self) -> Health:
         if self._log.in_contact():
             return Health(healthy=True)
-        return Health(healthy=False, detail="no contact with a leader that has a quorum")
+        return Health(healthy=False, detail="no leader with a quorum is known")
 
     def _on_committed(self, committed: CommittedRevision) -> None:
         self._feed.on_committed(committed)
--- a/src/finchshed/control/operators/access.py
+++ b/src/finchshed/control/operators/access.py
@@ -48,7 +48,7 @@
         metadata = dict(context.invocation_metadata() or ())
         value = str(metadata.get(AUTHORIZATION_KEY, ""))
         if not value.startswith(BEARER_PREFIX):
-            detail = "metadata key 'authorization' must be 'Bearer TOKEN' with an operator's token"
+            detail = "give an operator's token in the metadata key 'authorization'"
             await abort(context, grpc.StatusCode.UNAUTHENTICATED, detail)
         digest = hashlib.sha256(value.removeprefix(BEARER_PREFIX).encode()).hexdigest()
         name = self._operator_of(digest)
--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -94,10 +94,7 @@
         await self._authenticator.read_barrier(context)
         operator = await self._authenticator.authenticate(context)
         if not 0 < len(request.change_id) <= MAX_CHANGE_ID_CHARACTERS:
-            problem = (
-                f"change_id has {len(request.change_id)} characters, "
-                f"allowed are 1 to {MAX_CHANGE_ID_CHARACTERS}"
-            )
+            problem = f"change_id: allowed are 1 to {MAX_CHANGE_ID_CHARACTERS} characters"
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, problem)
         problems: list[str] = []
         puts = resources_from_messages(request.puts, problems)
@@ -118,7 +115,7 @@
             await abort(
                 context,
                 grpc.StatusCode.INTERNAL,
-                f"unexpected result of change {change.change_id}: {result}",
+                "unexpected result of a change",
             )
         logger.info("change {} by operator {}: {}", change.change_id, operator, result)
         return result_to_message(result)
@@ -131,7 +128,7 @@
         await self._authenticator.authenticate(context)
         result = self._machine.store.result_of(request.change_id)
         if result is None:
-            detail = f"no result is retained for change {request.change_id!r}"
+            detail = f"no result of change {request.change_id!r} is retained"
             await abort(context, grpc.StatusCode.NOT_FOUND, detail)
         return result_to_message(result)
 
@@ -192,10 +189,7 @@
         operator = await self._authenticator.authenticate(context)
         replacement = MemberReplacement(request.remove, request.add, request.standby)
         if max(len(request.remove), len(request.add)) > MAX_NAME_CHARACTERS:
-            detail = (
-                f"remove, add: names have {len(request.remove)} and {len(request.add)} characters, "
-                f"allowed are up to {MAX_NAME_CHARACTERS}"
-            )
+            detail = f"remove, add: allowed are up to {MAX_NAME_CHARACTERS} characters"
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, detail)
         await self._record_action(context, operator, "replace-member", replacement.describe())
         try:
@@ -229,10 +223,7 @@
         """Lift the quarantine of a request."""
         operator = await self._authenticator.authenticate(context)
         if len(request.signature) > MAX_NAME_CHARACTERS:
-            problem = (
-                f"signature has {len(request.signature)} characters, "
-                f"allowed are up to {MAX_NAME_CHARACTERS}"
-            )
+            problem = f"signature: allowed are {MAX_NAME_CHARACTERS} characters"
             await abort(context, grpc.StatusCode.INVALID_ARGUMENT, problem)
         await self._record_action(context, operator, "lift quarantine", request.signature)
         if not self._distribution.quarantine.lift(request.signature):
--- a/src/finchshed/control/raft/forwarding.py
+++ b/src/finchshed/control/raft/forwarding.py
@@ -63,7 +63,7 @@
             return await self._host.propose(command)
         reply = await self._forward(ForwardedCommand(self._next_request_id(), command))
         if reply.result is None:
-            raise OutcomeUnknownError("the leader's reply to a command has no result")
+            raise OutcomeUnknownError("the leader answered without a result")
         return reply.result
 
     async def change_membership(self, change: MembershipChange) -> None:
--- a/src/finchshed/control/raft/host.py
+++ b/src/finchshed/control/raft/host.py
@@ -174,7 +174,7 @@
         data = encode_entry(LogEntry(time.time(), command))
         result = await self._submit(lambda token: Propose(token, data))
         if result is None:
-            raise InvariantError(f"committed {type(command).__name__} has no result")
+            raise InvariantError("a committed command has no result")
         return result
 
     async def change_membership(self, change: MembershipChange) -> None:
@@ -237,7 +237,7 @@
             case CommitOutcomeUnknown():
                 self._pending.fail(
                     effect.token,
-                    OutcomeUnknownError("leadership was lost before the entry was committed"),
+                    OutcomeUnknownError("leadership ended"),
                 )
             case RequestRefused():
                 self._pending.fail(effect.token, RequestRejectedError(effect.cause))
--- a/src/finchshed/daemon/backend/answer_reader.py
+++ b/src/finchshed/daemon/backend/answer_reader.py
@@ -43,10 +43,10 @@
         """Return the answer, or the reason why it isn't a valid answer to ``request``."""
         headers_by_name = dict(raw_headers)
         if not self._answers_request(request, headers_by_name):
-            return BackendBroken("the answer belongs to another request")
+            return BackendBroken("the answer is another request's")
         is_success = STATUS_OK <= status < STATUS_MULTIPLE_CHOICES
         if request.request_id and self._seal and is_success and self._seal not in headers_by_name:
-            return BackendBroken(f"the answer lacks the header {self._seal.decode('ascii')}")
+            return BackendBroken("the answer lacks the back end's seal")
         return BackendAnswer(
             status=status,
             headers=end_to_end_headers(raw_headers),
--- a/src/finchshed/daemon/backend/http_client.py
+++ b/src/finchshed/daemon/backend/http_client.py
@@ -93,9 +93,7 @@
         if connection is not None:
             exchange.send_on(connection)
         elif self.connections >= self._max_connections:
-            exchange.fail_later(
-                BackendUnreached(f"all {self._max_connections} connections are in use")
-            )
+            exchange.fail_later(BackendUnreached("no connection is free"))
         else:
             self._connecting += 1
             task = self.loop.create_task(self._connect(exchange))
@@ -206,11 +204,7 @@
         message = self._backend.encode(self._request)
         if message is None or connection.state is not ConnectionState.IDLE:
             connection.abort()
-            detail = (
-                "line break or NUL in the request head"
-                if message is None
-                else "connection closed before the send"
-            )
+            detail = "malformed header" if message is None else "connection closed before the send"
             self.fail_later(BackendUnreached(detail))
             return
         self._connection = connection
@@ -235,7 +229,7 @@
     def _on_timeout(self) -> None:
         connection = self._connection
         if connection is None:
-            self.finish(BackendUnreached("timed out before the send"))
+            self.finish(BackendUnreached("no time left to send"))
             return
         self.finish(BackendTimedOut())
         connection.abort()
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -155,7 +155,7 @@
     ) -> Callable[[], None]:
         call, existing_fingerprint = existing
         if existing_fingerprint != fingerprint:
-            detail = "a different request with this identity is in progress"
+            detail = "another request of this identity is in progress"
             on_outcome(Refused(RefusalReason.KEY_REUSED, self._retry_after(), detail))
             return _no_op
         metrics.JOINED.inc()
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -92,9 +92,7 @@
         link = peer.link
         if link is None:
             if clock.now() < peer.retry_not_before or self._closing:
-                attempt.on_unsent(
-                    RefusalReason.CONNECT_FAILED, f"the link to {endpoint.address} is down"
-                )
+                attempt.on_unsent(RefusalReason.CONNECT_FAILED, "the link is down")
                 return
             self._open(peer)
         elif link.state is LinkState.OPEN:
@@ -160,10 +158,7 @@
         if peer is None:
             return
         if hello.service != peer.endpoint.service or hello.node != peer.endpoint.name:
-            link.close(
-                f"the peer is {hello.node} of {hello.service}, "
-                f"not {peer.endpoint.name} of {peer.endpoint.service}"
-            )
+            link.close("wrong peer")
             return
         peer.failures = 0
         self._owner.peer_up(peer.endpoint.name, hello.incarnation)
@@ -280,7 +275,7 @@
     def _send_on(self, link: PeerLink, attempt: Attempt) -> None:
         remaining = attempt.deadline - clock.now()
         if remaining <= 0.0:
-            attempt.on_unsent(RefusalReason.DEADLINE, "the deadline passed before the send")
+            attempt.on_unsent(RefusalReason.DEADLINE, "no time left to send")
             return
         request = attempt.request
         context = request.context.for_attempt(
@@ -303,6 +298,6 @@
             attempt.link = link
             attempt.call_number = number
         elif result is SendResult.FULL:
-            attempt.on_unsent(RefusalReason.QUEUE_FULL, "the link's send buffer is full")
+            attempt.on_unsent(RefusalReason.QUEUE_FULL, "the link is full")
         else:
             attempt.on_unsent(RefusalReason.CONNECT_FAILED, "the link is closed")
--- a/src/finchshed/daemon/calling/outgoing_call.py
+++ b/src/finchshed/daemon/calling/outgoing_call.py
@@ -165,7 +165,7 @@
         if isinstance(outcome, Answered) and digest_of(outcome.body) != reply.digest:
             outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after())
         elif isinstance(outcome, Answered) and is_version_mismatch(self.request, outcome):
-            detail = "partial content of a different version than requested"
+            detail = "a part of another edition than asked for"
             outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after(), detail)
         self._report(number, outcome, reply.spare_attempts, reply)
 
--- a/src/finchshed/daemon/serving/at_most_once.py
+++ b/src/finchshed/daemon/serving/at_most_once.py
@@ -118,9 +118,7 @@
             # No grant in time: the attempt is never sent, and the ledger client cancels it.
             finish(
                 inbound,
-                self._refusal(
-                    RefusalReason.LEDGER_UNAVAILABLE, "the ledger did not answer in time"
-                ),
+                self._refusal(RefusalReason.LEDGER_UNAVAILABLE, "no answer in time"),
             )
 
     def _on_granted(
@@ -137,15 +135,13 @@
             send(inbound)
             return
         self._cancel(inbound)
-        finish(inbound, self._refusal(reason, "not sent after the ledger's grant"))
+        finish(inbound, self._refusal(reason, "the grant was not used"))
 
     def _replayed(self, inbound: InboundCall, answer: Answered) -> Outcome:
         replayed = stored_answer(answer, self._fingerprint(inbound))
         if replayed is not None:
             return replayed
-        return self._refusal(
-            RefusalReason.KEY_REUSED, "the idempotency key was used for a different request"
-        )
+        return self._refusal(RefusalReason.KEY_REUSED, "the key was used for another request")
 
     def _cancel(self, inbound: InboundCall) -> None:
         self._ledger.cancel(inbound.ledger_key, inbound.attempt, CANCEL_TIMEOUT_SECONDS)
--- a/src/finchshed/daemon/serving/call_admission.py
+++ b/src/finchshed/daemon/serving/call_admission.py
@@ -70,9 +70,7 @@
             return self.refusal(RefusalReason.REQUEST_TOO_LARGE)
         ledger_key = "" if route.repeatable else scoped_key(call.context.key, service.name)
         if ledger_key is None:
-            return self.refusal(
-                RefusalReason.KEY_INVALID, "the idempotency key must be a version 7 UUID"
-            )
+            return self.refusal(RefusalReason.KEY_INVALID, "a UUID of version 7 is needed")
         session = call.context.session if route.session else ""
         if self._drain.is_announced and not (session and self.sessions.get(session)):
             return self.refusal(RefusalReason.DRAINING)
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -165,7 +165,7 @@
         inbound.signature = self._signatures.lazy_signature(call)
         judgement = self._quarantine.check(inbound.signature)
         if judgement.suspicion is Suspicion.QUARANTINED:
-            detail = f"{judgement.crashes} back ends crashed while running it"
+            detail = f"{judgement.crashes} back ends ended under it"
             self._refuse(inbound, Refused(RefusalReason.QUARANTINED, judgement.seconds, detail))
         elif judgement.suspicion is Suspicion.SUSPECT:
             self._enter_suspect(inbound)
--- a/src/finchshed/routing/caller.py
+++ b/src/finchshed/routing/caller.py
@@ -233,7 +233,7 @@
     def _choose(self, now: float) -> Endpoint | Refused:
         assessment = self._assess()
         if assessment.suspicion is Suspicion.QUARANTINED:
-            detail = f"request has crashed {assessment.crashes} back ends"
+            detail = f"{assessment.crashes} back ends ended under it"
             return Refused(RefusalReason.QUARANTINED, assessment.seconds, detail)
         if assessment.suspicion is Suspicion.SUSPECT:
             return self._table.choose_designated(self.service, self._signature(), now)
