--- a/src/finchshed/control/raft/node_links.py
+++ b/src/finchshed/control/raft/node_links.py
@@ -236,7 +236,7 @@
             on_open=self._on_inbound_open,
             on_close=self._on_inbound_close,
             max_line_bytes=MAX_LINE_BYTES,
-            expects_greeting=True,
+            requires_handshake=True,
             networks=self._networks,
         )
 
@@ -255,7 +255,7 @@
             logger.warning("peer link from {} rejected: {}", link.peer_address, mismatch)
             link.abort()
         elif isinstance(message, PeerHello):
-            link.greeted()
+            link.complete_handshake()
             self._hello_by_link[link] = message
             self.distribution_addresses[message.node] = message.distribution_address
             self._redial_now(link.peer_address)
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -124,7 +124,7 @@
     def request_revisions(self) -> None:
         """Request the revisions of all peers at once, ahead of their next heartbeats."""
         for link in list(self._by_link):
-            link.ask_revision()
+            link.request_revision()
 
     def close_idle(self) -> None:
         """Close links without a call for longer than ``link_idle_seconds``."""
--- a/src/finchshed/distribution/server.py
+++ b/src/finchshed/distribution/server.py
@@ -159,7 +159,7 @@
             self._on_message,
             on_close=self._on_close,
             max_line_bytes=MAX_REQUEST_BYTES,
-            expects_greeting=True,
+            requires_handshake=True,
             networks=self._networks,
         )
 
@@ -208,7 +208,7 @@
             )
             connection.abort()
             return
-        connection.greeted()
+        connection.complete_handshake()
         self._last_number += 1
         self._numbers[connection] = self._last_number
         self._connections[self._last_number] = connection
--- a/src/finchshed/link/compression.py
+++ b/src/finchshed/link/compression.py
@@ -21,7 +21,7 @@
 """Size of zlib's tables, 1 to 9: with the window 24 KiB a sending direction. A daemon has over a
 hundred of them; with 64 KiB each it took 13 MB more than without compression."""
 
-PIECE_BYTES = 1 << 20
+MAX_CHUNK_BYTES = 1 << 20
 """What is received is expanded in pieces of at most so many bytes, so that sizes are checked on the
 way; chosen, not measured."""
 
@@ -43,8 +43,8 @@
     def __init__(self) -> None:
         self._stream = zlib.decompressobj(WINDOW_BITS)
 
-    def expand(self, data: bytes) -> Iterator[bytes]:
-        """Yield what ``data`` stands for, in pieces of ``PIECE_BYTES`` at most.
+    def decompress(self, data: bytes) -> Iterator[bytes]:
+        """Yield what ``data`` stands for, in pieces of ``MAX_CHUNK_BYTES`` at most.
 
         Raises
         ------
@@ -53,7 +53,7 @@
         """
         while data:
             try:
-                piece = self._stream.decompress(data, PIECE_BYTES)
+                piece = self._stream.decompress(data, MAX_CHUNK_BYTES)
             except zlib.error as error:
                 raise ProtocolError(f"malformed compressed bytes: {error}") from error
             if self._stream.eof:
--- a/src/finchshed/link/heartbeats.py
+++ b/src/finchshed/link/heartbeats.py
@@ -6,7 +6,7 @@
 import asyncio
 from collections.abc import Callable
 
-from finchshed.link.silence import SilenceDetector, SilenceVerdict
+from finchshed.link.silence import LivenessAction, SilenceDetector
 
 
 class LinkHeartbeats:
@@ -78,9 +78,9 @@
     def _check(self) -> None:
         now = self._loop.time()
         verdict = self._detector.check(now, self._is_busy())
-        if verdict is SilenceVerdict.BROKEN:
+        if verdict is LivenessAction.BROKEN:
             self._on_silent()
             return
-        if verdict is SilenceVerdict.SEND_HEARTBEAT:
+        if verdict is LivenessAction.SEND_HEARTBEAT:
             self._send(now)
         self._schedule()
--- a/src/finchshed/link/lines.py
+++ b/src/finchshed/link/lines.py
@@ -22,10 +22,10 @@
 """Longest line, bytes: a body of 64 MiB in base64 and its
 headers."""
 
-FIRST_LINE_BYTES = 16 << 10
+MAX_HANDSHAKE_LINE_BYTES = 16 << 10
 """Longest line, bytes, of a peer that hasn't said who it is; chosen, not measured."""
 
-GREETING_SECONDS = 5.0
+HANDSHAKE_TIMEOUT_SECONDS = 5.0
 """Seconds after which a peer that hasn't said who it is is closed; chosen, not measured."""
 
 
@@ -48,9 +48,10 @@
         Called when the connection is made and lost. ``on_close`` gets the error, or None.
     max_line_bytes
         A longer line closes the connection.
-    expects_greeting
-        Whether the peer has to say who it is: until :meth:`greeted` is called lines are taken up
-        to ``FIRST_LINE_BYTES``, and the connection is closed after ``GREETING_SECONDS``.
+    requires_handshake
+        Whether the peer must identify itself first. Until :meth:`complete_handshake` is called,
+        lines are limited to ``MAX_HANDSHAKE_LINE_BYTES``; the connection is closed if that takes
+        longer than ``HANDSHAKE_TIMEOUT_SECONDS``.
     networks
         A connection from elsewhere is closed at once, with ``on_close`` alone called; None: any.
     """
@@ -63,7 +64,7 @@
         on_close: Callable[["LineProtocol[ReceivedT]", Exception | None], None] | None = None,
         max_line_bytes: int = DEFAULT_MAX_LINE_BYTES,
         *,
-        expects_greeting: bool = False,
+        requires_handshake: bool = False,
         networks: PeerNetworks | None = None,
     ) -> None:
         self._decoder = _decoder_of(received_type)
@@ -73,7 +74,7 @@
         self._rest = bytearray()
         self._error: Exception | None = None
         self._max_line_bytes = max_line_bytes
-        self._awaits_greeting = expects_greeting
+        self._awaits_greeting = requires_handshake
         self._networks = networks
         self._compressor: LineCompressor | None = None
         self._decompressor: LineDecompressor | None = None
@@ -98,7 +99,7 @@
             return
         if self._awaits_greeting:
             loop = asyncio.get_running_loop()
-            loop.call_later(GREETING_SECONDS, self._require_greeting)
+            loop.call_later(HANDSHAKE_TIMEOUT_SECONDS, self._require_greeting)
         if self._on_open is not None:
             self._on_open(self)
 
@@ -118,15 +119,15 @@
         else:
             self._expand(self._decompressor, data)
 
-    def compress_sent(self) -> None:
+    def start_compressing(self) -> None:
         """Compress the lines sent from now on; the peer knows it."""
         self._compressor = LineCompressor()
 
-    def expect_compressed(self) -> None:
+    def start_decompressing(self) -> None:
         """Read what comes behind the line handed on just now as compressed: the peer said so."""
         self._decompressor = LineDecompressor()
 
-    def greeted(self) -> None:
+    def complete_handshake(self) -> None:
         """Let longer lines in: the peer said who it is."""
         self._awaits_greeting = False
 
@@ -161,7 +162,7 @@
 
     def _expand(self, decompressor: LineDecompressor, data: bytes) -> None:
         try:
-            for piece in decompressor.expand(data):
+            for piece in decompressor.decompress(data):
                 self._split(piece)
                 if not self.is_open:
                     return
@@ -205,7 +206,7 @@
         return self.is_open
 
     def _check_size(self, line: bytes | bytearray) -> bool:
-        limit = FIRST_LINE_BYTES if self._awaits_greeting else self._max_line_bytes
+        limit = MAX_HANDSHAKE_LINE_BYTES if self._awaits_greeting else self._max_line_bytes
         if len(line) <= limit:
             return True
         self._fail(ProtocolError(f"line longer than {limit} bytes"))
@@ -213,7 +214,7 @@
 
     def _require_greeting(self) -> None:
         if self._awaits_greeting:
-            self._fail(ProtocolError(f"no greeting within {GREETING_SECONDS} s"))
+            self._fail(ProtocolError(f"no greeting within {HANDSHAKE_TIMEOUT_SECONDS} s"))
 
     def _fail(self, error: ProtocolError) -> None:
         self._error = error
--- a/src/finchshed/link/listener.py
+++ b/src/finchshed/link/listener.py
@@ -121,7 +121,7 @@
         else:
             raise ProtocolError(f"{type(message).__name__} has no place on a calling peer's link")
 
-    def lost(self) -> None:
+    def on_closed(self) -> None:
         """Report the calls in progress as given up."""
         calls = self.calls
         self.calls = set()
@@ -135,12 +135,12 @@
         if fault := unproven(self.lines.transport, claims):
             raise ProtocolError(fault)
         self.peer = message
-        self.lines.greeted()
+        self.lines.complete_handshake()
         hello = self._owner.hello(message.epoch)
         self.lines.send(msgspec.structs.replace(hello, compressed=message.compressed))
         if message.compressed:
-            self.lines.compress_sent()
-            self.lines.expect_compressed()
+            self.lines.start_compressing()
+            self.lines.start_decompressing()
         news = self._owner.crash_news()
         if news is not None:
             self.send_crash_news(news)
@@ -214,7 +214,7 @@
             self._on_message,
             on_open=self._on_open,
             on_close=self._on_close,
-            expects_greeting=True,
+            requires_handshake=True,
         )
 
     def links(self) -> list[AcceptedLink]:
@@ -260,7 +260,7 @@
         if isinstance(error, ProtocolError):
             logger.warning("link from {} closed: {}", lines.peer_address, error)
             LINKS_REFUSED.labels("protocol").inc()
-        link.lost()
+        link.on_closed()
 
     def _refuse(self, lines: LineProtocol[PeerMessage], cause: str) -> None:
         LINKS_REFUSED.labels(cause).inc()
--- a/src/finchshed/link/peer.py
+++ b/src/finchshed/link/peer.py
@@ -179,7 +179,7 @@
             self._on_message,
             on_open=self._on_open,
             on_close=self._on_close,
-            expects_greeting=True,
+            requires_handshake=True,
         )
 
     def _on_open(self, lines: LineProtocol[PeerMessage]) -> None:
@@ -230,10 +230,10 @@
             logger.warning("link to {} closed: {}", self.address, fault)
             self._end("protocol")
             return
-        lines.greeted()
+        lines.complete_handshake()
         if self.peer is None and self._asks_compression and hello.compressed:
-            lines.compress_sent()
-            lines.expect_compressed()
+            lines.start_compressing()
+            lines.start_decompressing()
         news = self._owner.crash_news() if self.peer is None else None
         self.state = LinkState.OPEN
         self.peer = hello
@@ -268,7 +268,7 @@
         if self._lines is not None:
             self._lines.send_encoded(encode_line(message))
 
-    def ask_revision(self) -> None:
+    def request_revision(self) -> None:
         """Send a heartbeat now: its answer tells the revision the peer holds."""
         self._heartbeats.send_now()
 
--- a/src/finchshed/link/silence.py
+++ b/src/finchshed/link/silence.py
@@ -9,7 +9,7 @@
 import enum
 
 
-class SilenceVerdict(enum.Enum):
+class LivenessAction(enum.Enum):
     """What is to be done at a check."""
 
     WAIT = "wait"
@@ -62,15 +62,15 @@
         self._due_at = now + wait
         return wait
 
-    def check(self, now: float, is_busy: bool) -> SilenceVerdict:
+    def check(self, now: float, is_busy: bool) -> LivenessAction:
         """Judge the link."""
         if self._awaited_since is not None:
             if now - self._due_at > self._silence_seconds / 2:
                 # This process itself stood still: the peer's lines may wait unread.
                 self._awaited_since = now
             if now - self._awaited_since >= self._silence_seconds:
-                return SilenceVerdict.BROKEN
+                return LivenessAction.BROKEN
         interval = self._heartbeat_seconds if is_busy else self._idle_heartbeat_seconds
         if now - self._received_at >= interval / 2:
-            return SilenceVerdict.SEND_HEARTBEAT
-        return SilenceVerdict.WAIT
+            return LivenessAction.SEND_HEARTBEAT
+        return LivenessAction.WAIT
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -16,7 +16,7 @@
 )
 from finchshed.link import lines
 from finchshed.link.encoding import encode_line
-from finchshed.link.lines import FIRST_LINE_BYTES
+from finchshed.link.lines import MAX_HANDSHAKE_LINE_BYTES
 from finchshed.link.networks import PeerNetworks
 from tests.control.group import free_addresses
 from tests.link.strategies import NESTED
@@ -73,7 +73,8 @@
 
 
 @pytest.mark.parametrize(
-    "data", [REPLY + HELLO + REPLY, b"x" * (FIRST_LINE_BYTES + 1), NESTED, b"{}\n" + HELLO + REPLY]
+    "data",
+    [REPLY + HELLO + REPLY, b"x" * (MAX_HANDSHAKE_LINE_BYTES + 1), NESTED, b"{}\n" + HELLO + REPLY],
 )
 async def test_a_breach_closes_the_connection(data: bytes) -> None:
     async with listening() as listener:
@@ -82,7 +83,7 @@
 
 
 async def test_a_node_that_says_nothing_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lines, "GREETING_SECONDS", 0.1)
+    monkeypatch.setattr(lines, "HANDSHAKE_TIMEOUT_SECONDS", 0.1)
     async with listening() as listener:
         assert await listener.send(b"")
 
--- a/tests/distribution/test_server.py
+++ b/tests/distribution/test_server.py
@@ -25,7 +25,7 @@
 from finchshed.distribution.server import Answer, HubServer
 from finchshed.link import lines
 from finchshed.link.encoding import encode_line
-from finchshed.link.lines import FIRST_LINE_BYTES
+from finchshed.link.lines import MAX_HANDSHAKE_LINE_BYTES
 from finchshed.link.networks import PeerNetworks
 from tests.link.strategies import NESTED, garbage
 
@@ -148,7 +148,7 @@
     [
         (InForce(1),),
         (LedgerBegin(1, "k", "a", "n"),),
-        (b"x" * (FIRST_LINE_BYTES + 1),),
+        (b"x" * (MAX_HANDSHAKE_LINE_BYTES + 1),),
         (NESTED,),
         (SUBSCRIBE, SUBSCRIBE),
         (SUBSCRIBE, b"[]\n"),
@@ -187,7 +187,7 @@
 async def test_a_connection_that_does_not_subscribe_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lines, "GREETING_SECONDS", 0.2)
+    monkeypatch.setattr(lines, "HANDSHAKE_TIMEOUT_SECONDS", 0.2)
     async with serving() as (_, (good, bad)):
         await good.send(Subscribe("good", "1", "licence", "z1", 0))
         await bad.ended()
--- a/tests/distribution/test_strangers.py
+++ b/tests/distribution/test_strangers.py
@@ -68,7 +68,7 @@
     server: tuple[Hub, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hub, port = server
-    monkeypatch.setattr(lines, "GREETING_SECONDS", 0.2)
+    monkeypatch.setattr(lines, "HANDSHAKE_TIMEOUT_SECONDS", 0.2)
     reader, _ = await asyncio.open_connection("127.0.0.1", port)
     _, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(SUBSCRIBE)
--- a/tests/forms/codecs.py
+++ b/tests/forms/codecs.py
@@ -241,7 +241,7 @@
     link, wire = open_link(PeerMessage, lambda _link, _message: None)
     first, *others = [FORMS["daemon_link"].read(line) for line in lines]
     link.send(first)
-    link.compress_sent()
+    link.start_compressing()
     for message in others:
         link.send(message)
     return wire.sent
@@ -254,7 +254,7 @@
     def take(link: LineProtocol[Any], message: Any) -> None:
         lines.append(encode_line(message))
         if len(lines) == 1:
-            link.expect_compressed()
+            link.start_decompressing()
 
     link, wire = open_link(PeerMessage, take)
     link.data_received(data)
--- a/tests/link/test_compression.py
+++ b/tests/link/test_compression.py
@@ -10,7 +10,7 @@
 from finchshed.admission.load_report import LoadReport
 from finchshed.common.errors import ProtocolError
 from finchshed.common.outcomes import Answered
-from finchshed.link.compression import PIECE_BYTES, LineCompressor, LineDecompressor
+from finchshed.link.compression import MAX_CHUNK_BYTES, LineCompressor, LineDecompressor
 from finchshed.link.digests import digest_of
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import LineProtocol
@@ -41,7 +41,7 @@
     lines: LineProtocol[PeerMessage] = LineProtocol(PeerMessage, lambda *_: None)
     transport.connect(lines)
     lines.send(ASKING_HELLO)
-    lines.compress_sent()
+    lines.start_compressing()
     return lines, transport
 
 
@@ -60,7 +60,7 @@
 
     def _take(self, lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
         if not self.received:
-            lines.expect_compressed()
+            lines.start_decompressing()
         self.received.append(message)
 
 
@@ -113,10 +113,10 @@
 
 
 def test_what_expands_far_is_handed_on_in_pieces() -> None:
-    compressed = LineCompressor().compress(b"x" * (3 * PIECE_BYTES + 1))
-    pieces = list(LineDecompressor().expand(compressed))
-    assert max(len(piece) for piece in pieces) <= PIECE_BYTES
-    assert sum(len(piece) for piece in pieces) == 3 * PIECE_BYTES + 1
+    compressed = LineCompressor().compress(b"x" * (3 * MAX_CHUNK_BYTES + 1))
+    pieces = list(LineDecompressor().decompress(compressed))
+    assert max(len(piece) for piece in pieces) <= MAX_CHUNK_BYTES
+    assert sum(len(piece) for piece in pieces) == 3 * MAX_CHUNK_BYTES + 1
 
 
 def test_like_lines_take_a_third_of_their_bytes_or_less() -> None:
--- a/tests/link/test_listener.py
+++ b/tests/link/test_listener.py
@@ -14,7 +14,7 @@
 from finchshed.distribution.messages import Delta, Fetch
 from finchshed.link.digests import digest_of
 from finchshed.link.encoding import encode_line
-from finchshed.link.lines import FIRST_LINE_BYTES
+from finchshed.link.lines import MAX_HANDSHAKE_LINE_BYTES
 from finchshed.link.listener import AcceptedLink, LinkListener
 from finchshed.link.messages import (
     Call,
@@ -146,7 +146,7 @@
         (Ping(epoch=EPOCH), HELLO, call(1)),
         (Hello("", "1", EPOCH, "s", "z", 1), call(1)),
         (Hello("n1", "1", "", "s", "z", 1), call(1)),
-        (b"x" * (FIRST_LINE_BYTES + 1), HELLO, call(1)),
+        (b"x" * (MAX_HANDSHAKE_LINE_BYTES + 1), HELLO, call(1)),
         (b"{}\n", HELLO, call(1)),
         (HELLO, Fetch(-1), call(1)),
         (HELLO, Ping(epoch=EPOCH, revision=1 << 63), call(1)),
@@ -170,7 +170,7 @@
     async def scenario() -> None:
         owner = Owner()
         peer = Peer(make_listener(owner))
-        peer.send(HELLO, call(1, body=b"x" * 10 * FIRST_LINE_BYTES))
+        peer.send(HELLO, call(1, body=b"x" * 10 * MAX_HANDSHAKE_LINE_BYTES))
         assert len(owner.received) == 1
 
     asyncio.run(scenario())
--- a/tests/tls/test_connections.py
+++ b/tests/tls/test_connections.py
@@ -39,7 +39,7 @@
             Word,
             lambda lines, word: lines.send(word) and None,
             on_open=self.opened.append,
-            expects_greeting=True,
+            requires_handshake=True,
         )
 
 
@@ -120,7 +120,7 @@
     async with listening(both) as listener:
         client = await dial(listener, both, CertificateRole.CONTROL)
         assert await client.say("x" * 10_000) == Word("x" * 10_000)
-        listener.opened[0].greeted()
+        listener.opened[0].complete_handshake()
         assert await client.say("y" * 5_000_000) == Word("y" * 5_000_000)
         client.lines.abort()
 
--- a/tests/tls/test_peer_link.py
+++ b/tests/tls/test_peer_link.py
@@ -22,7 +22,7 @@
 
     def answer(lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
         assert isinstance(message, Hello)
-        lines.greeted()
+        lines.complete_handshake()
         lines.send(Hello("e1", "1", message.epoch, "s", "a", 1))
 
     def make() -> LineProtocol[PeerMessage]:
