--- a/src/finchshed/cli/help.py
+++ b/src/finchshed/cli/help.py
@@ -23,7 +23,7 @@
     return "\n".join([*lines, *_exit_codes(MEANINGS)])
 
 
-def of_program(name: str, program: Program) -> str:
+def program_help(name: str, program: Program) -> str:
     """Return the help of a program, with every option of its settings."""
     lines = [
         f"usage: finchshed {name} --settings FILE [--OPTION=VALUE]",
@@ -38,11 +38,11 @@
         description = describe.description_of(field.type)
         if description:
             lines.append(f"      {description}")
-        lines.append(f"      allowed: {describe.allowed(field.name, field.type)}")
+        lines.append(f"      allowed: {describe.allowed_values(field.name, field.type)}")
     return "\n".join(lines)
 
 
-def of_group(name: str, command: Command, subcommands: Mapping[str, Callable[..., Any]]) -> str:
+def group_help(name: str, command: Command, subcommands: Mapping[str, Callable[..., Any]]) -> str:
     """Return the help of a command that has sub-commands, with its exit codes."""
     usage = f"usage: finchshed {name} COMMAND [ARGUMENTS] [--FLAG=VALUE]"
     lines = [usage, "", command.summary, ""]
@@ -53,7 +53,7 @@
     return "\n".join([*lines, "", *_exit_codes({**MEANINGS, **further})])
 
 
-def of_function(name: str, function: Callable[..., Any]) -> str:
+def function_help(name: str, function: Callable[..., Any]) -> str:
     """Return the help of one command, from its signature and docstring."""
     parameters = inspect.signature(function).parameters.values()
     usage = " ".join(_usage_of(parameter) for parameter in parameters)
--- a/src/finchshed/cli/main.py
+++ b/src/finchshed/cli/main.py
@@ -52,7 +52,7 @@
 
 def _run_program(name: str, program: Program, arguments: list[str]) -> int:
     if HELP_FLAGS.intersection(arguments):
-        return _show(help_texts.of_program(name, program))
+        return _show(help_texts.program_help(name, program))
     parsed = parse(_program_arguments, arguments, name)
     flags = dict(parsed.named)
     path = flags.pop("settings", None)
@@ -70,7 +70,7 @@
     if subcommands is None:
         return _call(name, target, arguments)
     if not arguments or arguments[0] in HELP_FLAGS:
-        text = help_texts.of_group(name, command, subcommands)
+        text = help_texts.group_help(name, command, subcommands)
         return _show(text, ExitCode.OK if arguments else ExitCode.USAGE)
     sub_name, *rest = arguments
     if sub_name not in subcommands:
@@ -81,7 +81,7 @@
 
 def _call(name: str, function: Callable[..., Any], arguments: list[str]) -> int:
     if {"--help", "-h"}.intersection(arguments):
-        return _show(help_texts.of_function(name, function))
+        return _show(help_texts.function_help(name, function))
     parsed = parse(function, arguments, name)
     return _exit_code(function(*parsed.positional, **parsed.named))
 
--- a/src/finchshed/cli/parsing.py
+++ b/src/finchshed/cli/parsing.py
@@ -17,7 +17,7 @@
 from fire import decorators
 
 from finchshed.common.errors import SettingsError
-from finchshed.settings.describe import allowed
+from finchshed.settings.describe import allowed_values
 from finchshed.settings.hints import hint_for
 
 FIRE_SEPARATOR = "--"
@@ -127,7 +127,7 @@
         try:
             bound.arguments[key] = _convert(value, hints[key], kind)
         except msgspec.ValidationError:
-            words = allowed(key, hints[key])
+            words = allowed_values(key, hints[key])
             problems.append(f"flag --{key}: {key} = {value}: allowed is {words}")
     if problems:
         raise SettingsError(problems)
--- a/src/finchshed/control/program.py
+++ b/src/finchshed/control/program.py
@@ -10,7 +10,7 @@
     """Run a control node until a stop is requested; return the process's exit code."""
 
     async def main(control: ProcessControl) -> None:
-        node = ControlNode(settings, BackgroundTasks(control.faults.report_broken))
+        node = ControlNode(settings, BackgroundTasks(control.faults.report_violation))
         await node.start()
         await control.stop_requested.wait()
         await node.stop()
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -163,7 +163,7 @@
     def start_serving(self, basis: ServingBasis) -> None:
         """Start accepting requests and calls."""
         logger.info("accepting calls, based on {}", basis)
-        garbage.settle()
+        garbage.freeze_existing_objects()
         metrics.SERVING.set(1)
         self._is_serving = True
         if self._settings.http_address:
--- a/src/finchshed/daemon/decision_log.py
+++ b/src/finchshed/daemon/decision_log.py
@@ -39,7 +39,7 @@
 
 def is_logged(request: Request, outcome: Outcome) -> bool:
     """Return whether a request with ``outcome`` is logged: failures always, successes sampled."""
-    if not log_stream.is_on():
+    if not log_stream.is_enabled():
         return False
     return is_failure(outcome) or log_stream.is_sampled(request.context.root)
 
@@ -90,7 +90,7 @@
     identity: str, route: HostRoute | None, refused: Refused, revision: int, tenant: str = ""
 ) -> None:
     """Log a request by host that was refused before a service was selected."""
-    if not log_stream.is_on():
+    if not log_stream.is_enabled():
         return
     record = RequestEnded(
         time=time.time(),
@@ -122,7 +122,7 @@
     """Log a finished call at the daemon that served it."""
     failed = is_failure(outcome)
     context = inbound.call.context
-    if not log_stream.is_on() or not (failed or log_stream.is_sampled(context.root)):
+    if not log_stream.is_enabled() or not (failed or log_stream.is_sampled(context.root)):
         return
     reason, detail, status, _ = _fields_of(outcome)
     now = clock.now()
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -106,15 +106,15 @@
             message, account, "", lambda outcome: respond(host_response(outcome))
         )
 
-    def refused(self, refused: Refused) -> Response:
+    def refusal_response(self, refused: Refused) -> Response:
         """Return the response to a refused request."""
         return host_response(refused)
 
-    def refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
+    def make_refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
         """Return a refusal for ``reason``."""
         return Refused(reason, retry_after(0.0, self._rng), detail)
 
-    def malformed(self, detail: str, status: int) -> Response:
+    def malformed_response(self, detail: str, status: int) -> Response:
         """Return the response to a malformed or disallowed request."""
         return malformed_host_response(detail, status)
 
@@ -123,13 +123,13 @@
     ) -> AdmittedHostRequest | Refused:
         reason = self._not_ready_reason()
         if reason is not None:
-            return self.refusal(reason)
+            return self.make_refusal(reason)
         if route is None:
-            return self.refusal(RefusalReason.UNKNOWN_ROUTE, f"host {host!r}")
+            return self.make_refusal(RefusalReason.UNKNOWN_ROUTE, f"host {host!r}")
         identity = request.header(self._identity_header)
         if not identity:
             detail = f"the header {self._names.request} is needed"
-            return self.refusal(RefusalReason.REQUEST_INVALID, detail)
+            return self.make_refusal(RefusalReason.REQUEST_INVALID, detail)
         tenant = self._authenticator.authenticate(request, identity, route)
         if isinstance(tenant, Refused):
             return tenant
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -88,18 +88,18 @@
         """Admit or refuse a request by its head, before its body is read."""
         reason = self._not_ready_reason()
         if reason is not None:
-            return self.refusal(reason)
+            return self.make_refusal(reason)
         service_name = request.header(_SERVICE)
         matched = self.catalogue.match(service_name, request.target)
         if matched is None:
-            return self.refusal(RefusalReason.UNKNOWN_ROUTE, f"service {service_name!r}")
+            return self.make_refusal(RefusalReason.UNKNOWN_ROUTE, f"service {service_name!r}")
         if not matched.route.repeatable:
             key = request.header(_IDEMPOTENCY_KEY)
             if not key:
-                return self.refusal(RefusalReason.KEY_MISSING, "an idempotency key is needed")
+                return self.make_refusal(RefusalReason.KEY_MISSING, "an idempotency key is needed")
             if issued_at(key) is None:
                 detail = "the idempotency key must be a UUID of version 7"
-                return self.refusal(RefusalReason.KEY_INVALID, detail)
+                return self.make_refusal(RefusalReason.KEY_INVALID, detail)
         return AdmittedServiceRequest(matched, self._served.get(request.header(_ACCOUNT)))
 
     def max_body_bytes(self, admitted: AdmittedServiceRequest) -> int:
@@ -141,15 +141,15 @@
         account = "" if served is None else served.account
         return self._caller.call(message, account, _join_identity(request, served), on_outcome)
 
-    def refused(self, refused: Refused) -> Response:
+    def refusal_response(self, refused: Refused) -> Response:
         """Return the response to a refused request."""
         return service_response(refused)
 
-    def refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
+    def make_refusal(self, reason: RefusalReason, detail: str = "") -> Refused:
         """Return a refusal for ``reason``."""
         return Refused(reason, retry_after(0.0, self._rng), detail)
 
-    def malformed(self, detail: str, status: int) -> Response:
+    def malformed_response(self, detail: str, status: int) -> Response:
         """Return the response to a malformed or disallowed request."""
         return malformed_service_response(detail, status)
 
--- a/src/finchshed/http/connection.py
+++ b/src/finchshed/http/connection.py
@@ -43,7 +43,7 @@
         self._held: list[bytes] = []
         self._is_advancing = False
         self.is_lingering = False
-        self.active_at = owner.now
+        self.last_active_at = owner.now
         self.unsent_bytes = 0
 
     @property
@@ -51,14 +51,14 @@
         """Whether a request is being read or answered, or an answer is on its way out."""
         if self._answering is not None or self._reading is not None or self._queued:
             return True
-        return self.write_buffer() > 0
+        return self.write_buffer_size() > 0
 
     @property
     def is_answering(self) -> bool:
         """Whether a whole request waits for its answer."""
         return self._answering is not None
 
-    def write_buffer(self) -> int:
+    def write_buffer_size(self) -> int:
         """Return the bytes that wait to be sent."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
@@ -101,7 +101,7 @@
         """Parse what came in (asyncio callback)."""
         if self.is_lingering:
             return
-        self.active_at = self._owner.now
+        self.last_active_at = self._owner.now
         if self._answering is not None:
             # The next request came before the answer to this one: it waits unparsed.
             self._held.append(data)
@@ -183,9 +183,9 @@
             return
         if exchange.size > exchange.limit:
             exchange.refusal = self._too_large(exchange.limit)
-        elif not self._owner.spool.take(len(body)):
+        elif not self._owner.spool.reserve(len(body)):
             detail = "bodies held reach their limit"
-            exchange.refusal = self._owner.handler.refusal(RefusalReason.OVERLOAD, detail)
+            exchange.refusal = self._owner.handler.make_refusal(RefusalReason.OVERLOAD, detail)
         else:
             exchange.keep(body)
 
@@ -215,7 +215,7 @@
         handler = self._owner.handler
         if exchange.refusal is not None or exchange.admitted is None:
             assert exchange.refusal is not None
-            self._respond(exchange, handler.refused(exchange.refusal))
+            self._respond(exchange, handler.refusal_response(exchange.refusal))
             return
         give_up = handler.handle(
             exchange.request, exchange.admitted, lambda response: self._respond(exchange, response)
@@ -257,7 +257,7 @@
 
     def _too_large(self, limit: int) -> Refused:
         detail = f"limit: {limit} bytes"
-        return self._owner.handler.refusal(RefusalReason.REQUEST_TOO_LARGE, detail)
+        return self._owner.handler.make_refusal(RefusalReason.REQUEST_TOO_LARGE, detail)
 
     def _on_expect(self, exchange: Exchange[RequestT]) -> None:
         if self._answering is not None or self._transport is None:
@@ -279,7 +279,7 @@
         if self._transport is None:
             return
         if self._answering is None:
-            response = self._owner.handler.malformed(detail, status)
+            response = self._owner.handler.malformed_response(detail, status)
             self._transport.write(encode_response(response, is_head=False, closes=True))
         self._end_sending(is_lingering=True)
 
@@ -294,5 +294,5 @@
             self._transport.close()
 
     def _release(self, exchange: Exchange[RequestT]) -> None:
-        self._owner.spool.give_back(exchange.spooled)
+        self._owner.spool.release(exchange.spooled)
         exchange.spooled = 0
--- a/src/finchshed/http/exchange.py
+++ b/src/finchshed/http/exchange.py
@@ -37,13 +37,13 @@
     ) -> Callable[[], None]:
         """Answer a whole request; ``respond`` is called once. Return what gives it up."""
 
-    def refused(self, refused: Refused) -> Response:
+    def refusal_response(self, refused: Refused) -> Response:
         """Return the response that tells a refusal."""
 
-    def refusal(self, reason: RefusalReason, detail: str) -> Refused:
+    def make_refusal(self, reason: RefusalReason, detail: str) -> Refused:
         """Return the refusal of a request whose body can't be taken."""
 
-    def malformed(self, detail: str, status: int) -> Response:
+    def malformed_response(self, detail: str, status: int) -> Response:
         """Return the response to bytes that are no request, or no allowed one."""
 
 
--- a/src/finchshed/http/server.py
+++ b/src/finchshed/http/server.py
@@ -87,16 +87,16 @@
             connection.close()
 
     def _check(self, connection: InboundConnection[RequestT]) -> None:
-        unsent = connection.write_buffer()
+        unsent = connection.write_buffer_size()
         if unsent != connection.unsent_bytes:
             connection.unsent_bytes = unsent
-            connection.active_at = self.now
-        idle = self.now - connection.active_at
+            connection.last_active_at = self.now
+        idle = self.now - connection.last_active_at
         if unsent:
             if idle > self.limits.write_seconds:
                 connection.abort()
         elif connection.is_answering:
-            connection.active_at = self.now
+            connection.last_active_at = self.now
         elif idle > self._longest_idle(connection):
             connection.close()
 
--- a/src/finchshed/http/simple.py
+++ b/src/finchshed/http/simple.py
@@ -23,7 +23,7 @@
 
 AnswerFunction: TypeAlias = Callable[[InboundRequest], "Response | Awaitable[Response]"]
 
-STATUS_OF_REFUSAL = {
+STATUS_BY_REASON = {
     RefusalReason.REQUEST_TOO_LARGE: STATUS_CONTENT_TOO_LARGE,
     RefusalReason.OVERLOAD: STATUS_SERVICE_UNAVAILABLE,
 }
@@ -84,16 +84,16 @@
             task.add_done_callback(self._tasks.discard)
         return _nothing
 
-    def refused(self, refused: Refused) -> Response:
+    def refusal_response(self, refused: Refused) -> Response:
         """Return the response that tells a refusal."""
-        status = STATUS_OF_REFUSAL.get(refused.reason, STATUS_BAD_REQUEST)
+        status = STATUS_BY_REASON.get(refused.reason, STATUS_BAD_REQUEST)
         return problem_response(status, refused.detail or refused.reason)
 
-    def refusal(self, reason: RefusalReason, detail: str) -> Refused:
+    def make_refusal(self, reason: RefusalReason, detail: str) -> Refused:
         """Return the refusal of a request whose body can't be taken."""
         return Refused(reason, RETRY_SECONDS, detail)
 
-    def malformed(self, detail: str, status: int) -> Response:
+    def malformed_response(self, detail: str, status: int) -> Response:
         """Return the response to bytes that are no request, or no allowed one."""
         return problem_response(status, detail)
 
--- a/src/finchshed/http/spool.py
+++ b/src/finchshed/http/spool.py
@@ -10,13 +10,13 @@
     limit: int
     held: int = 0
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Count ``size`` bytes; return False, counting nothing, where they don't fit."""
         if self.held + size > self.limit:
             return False
         self.held += size
         return True
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Count ``size`` bytes as no longer held."""
         self.held -= size
--- a/src/finchshed/logs/command.py
+++ b/src/finchshed/logs/command.py
@@ -5,7 +5,7 @@
 
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.common.errors import SettingsError
-from finchshed.logs.reading import Unread, read_lines
+from finchshed.logs.reading import UnreadableLines, read_lines
 from finchshed.logs.request_trace import describe, trace_of
 
 
@@ -15,7 +15,7 @@
     IDENTITY is the one its client gave it. Exit code 1 where no file tells of it.
     """
     _require(files)
-    unread = Unread()
+    unread = UnreadableLines()
     found = trace_of(str(identity), read_lines(files, unread))
     print("\n".join(describe(found)))
     _tell_unread(unread)
@@ -25,7 +25,7 @@
 def ends(*files: str) -> int:
     """Count how the requests in FILES ended, by outcome and reason, the most frequent first."""
     _require(files)
-    unread = Unread()
+    unread = UnreadableLines()
     counted: collections.Counter[str] = collections.Counter()
     for line in read_lines(files, unread):
         if line.event == "request_ended":
@@ -44,7 +44,7 @@
         raise SettingsError(["no log file is named: give one or several"])
 
 
-def _tell_unread(unread: Unread) -> None:
+def _tell_unread(unread: UnreadableLines) -> None:
     if unread.lines:
         print(f"{unread.lines} lines could not be read: cut, or mixed with others")
 
--- a/src/finchshed/logs/reading.py
+++ b/src/finchshed/logs/reading.py
@@ -39,13 +39,13 @@
 
 
 @dataclass(slots=True)
-class Unread:
+class UnreadableLines:
     """Lines that hold no whole record, by file: cut or mixed ones."""
 
     lines: int = 0
 
 
-def read_lines(paths: Iterable[str], unread: Unread) -> Iterator[LogLine]:
+def read_lines(paths: Iterable[str], unread: UnreadableLines) -> Iterator[LogLine]:
     """Yield the records in ``paths``; lines without one are counted in ``unread``.
 
     Raises
--- a/src/finchshed/logs/request_trace.py
+++ b/src/finchshed/logs/request_trace.py
@@ -11,7 +11,7 @@
 
 CALL_SEPARATOR = "."
 
-ADVICE = {
+EXPLANATIONS = {
     "overload": "refused before anything ran: the class was cut at a back end on its way; see the "
     "threshold, queued and limit of call_ended lines of the same time",
     "queue_full": "refused: the queue beside the back end was full of what matters as much or more",
@@ -120,7 +120,7 @@
     record = end.record
     if record.get("outcome") != "answered":
         reason = str(record.get("reason", ""))
-        return f"{record.get('outcome')}, {reason}: {ADVICE.get(reason, 'no advice')}"
+        return f"{record.get('outcome')}, {reason}: {EXPLANATIONS.get(reason, 'no advice')}"
     status = record.get("status", 0)
     failed = [line for line in lines if line is not end and _is_failed_call(line, end)]
     if failed:
--- a/src/finchshed/observability/decisions.py
+++ b/src/finchshed/observability/decisions.py
@@ -113,7 +113,7 @@
     signatures: tuple[str, ...]
 
 
-class Believed(msgspec.Struct, frozen=True, omit_defaults=True, tag="state", tag_field="event"):
+class StateChanged(msgspec.Struct, frozen=True, omit_defaults=True, tag="state", tag_field="event"):
     """The process started, stopped, or believes something else than before."""
 
     time: float
--- a/src/finchshed/observability/instruments.py
+++ b/src/finchshed/observability/instruments.py
@@ -141,7 +141,7 @@
         self.facts = dict(facts)
 
 
-def declared() -> list[Instrument]:
+def registered_instruments() -> list[Instrument]:
     """Return every metric of this process, in the order of declaration."""
     return list(_declared.values())
 
--- a/src/finchshed/observability/invariants.py
+++ b/src/finchshed/observability/invariants.py
@@ -39,14 +39,14 @@
         error = context.get("exception")
         text = str(context.get("message", "unhandled error"))
         if isinstance(error, InvariantError):
-            self.report_broken(error)
+            self.report_violation(error)
             return
         logger.opt(exception=error).error("unexpected error: {}: {!r}", text, error)
         if loop.time() >= self._next_dump:
             self._next_dump = loop.time() + self.DUMP_INTERVAL_SECONDS
             ring.dump(f"unexpected error: {text}: {error!r}")
 
-    def report_broken(self, error: InvariantError) -> None:
+    def report_violation(self, error: InvariantError) -> None:
         """Write the ring out and stop the process; later calls do nothing."""
         if self._stopped:
             return
--- a/src/finchshed/observability/log_stream.py
+++ b/src/finchshed/observability/log_stream.py
@@ -31,12 +31,12 @@
 FAILURE_FRACTION = 0.5
 """Fraction of the burst that only lines about failures may use; chosen, not measured."""
 
-SAMPLED_OF = 32
+SAMPLING_INTERVAL = 32
 """Of the requests that end well, one in so many is logged, the same on every hop; chosen,
 not measured."""
 
 
-class LinesLeftOut(msgspec.Struct, frozen=True, tag="lines_left_out", tag_field="event"):
+class LinesDropped(msgspec.Struct, frozen=True, tag="lines_left_out", tag_field="event"):
     """Says how many lines there were that the budget or the reader left no room for."""
 
     time: float
@@ -78,7 +78,7 @@
         self._buffer = bytearray()
         self._left_out = 0
         self._encoder = msgspec.json.Encoder()
-        self.on_first: Callable[[], None] = _wait_for_flush
+        self.on_pending: Callable[[], None] = _wait_for_flush
 
     @property
     def is_waiting(self) -> bool:
@@ -86,7 +86,7 @@
         return bool(self._buffer)
 
     @property
-    def left_out(self) -> int:
+    def dropped(self) -> int:
         """Lines left out of which no line says so yet."""
         return self._left_out
 
@@ -104,13 +104,13 @@
         self._buffer += line
         self._buffer += b"\n"
         if is_first:
-            self.on_first()
+            self.on_pending()
         return True
 
     def flush(self) -> None:
         """Write what standard output takes now."""
         if self._left_out and len(self._buffer) < self._buffer_limit // 2:
-            line = self._encoder.encode(LinesLeftOut(time.time(), self._left_out))
+            line = self._encoder.encode(LinesDropped(time.time(), self._left_out))
             self._buffer += line + b"\n"
             self._left_out = 0
         if not self._buffer:
@@ -136,7 +136,7 @@
 
 def is_sampled(root: str) -> bool:
     """Return whether a request that ends well is logged, by the identity of its root request."""
-    return xxhash.xxh32_intdigest(root.encode()) % SAMPLED_OF == 0
+    return xxhash.xxh32_intdigest(root.encode()) % SAMPLING_INTERVAL == 0
 
 
 def emit(record: msgspec.Struct, *, is_failure: bool = False) -> None:
@@ -145,7 +145,7 @@
         _stream.offer(record, is_failure=is_failure)
 
 
-def is_on() -> bool:
+def is_enabled() -> bool:
     """Return whether this process writes a stream."""
     return _stream is not None
 
@@ -167,7 +167,7 @@
         _stream = None
 
 
-def flush_on(loop: asyncio.AbstractEventLoop, stream: LogStream) -> None:
+def schedule_flushes(loop: asyncio.AbstractEventLoop, stream: LogStream) -> None:
     """Have the lines of ``stream`` written by timers of ``loop``; none runs while there are none.
 
     To be called by the thread that runs the loop. Lines may come from threads that write to disks.
@@ -181,7 +181,7 @@
     def flush_soon() -> None:
         loop.call_later(FLUSH_SECONDS, flush)
 
-    def on_first() -> None:
+    def on_pending() -> None:
         if loop.is_closed():
             return  # what is said last is written when the stream is closed
         if threading.get_ident() == own_thread:
@@ -190,7 +190,7 @@
             loop.call_soon_threadsafe(flush_soon)
 
     own_thread = threading.get_ident()
-    stream.on_first = on_first
+    stream.on_pending = on_pending
     if stream.is_waiting:
         flush_soon()
 
--- a/src/finchshed/observability/metrics_page.py
+++ b/src/finchshed/observability/metrics_page.py
@@ -20,7 +20,7 @@
     Histogram,
     Info,
     Instrument,
-    declared,
+    registered_instruments,
 )
 from finchshed.observability.process_metrics import RING_RECORDS
 
@@ -32,7 +32,7 @@
 
     def collect(self) -> Iterator[Metric]:
         """Return a metric of the library for each instrument."""
-        return (_metric_of(instrument) for instrument in declared())
+        return (_metric_of(instrument) for instrument in registered_instruments())
 
 
 def render(registry: CollectorRegistry = REGISTRY) -> bytes:
--- a/src/finchshed/observability/ring.py
+++ b/src/finchshed/observability/ring.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from finchshed.observability import log_stream
-from finchshed.observability.decisions import Believed
+from finchshed.observability.decisions import StateChanged
 from finchshed.observability.redaction import redact, redact_field
 
 if TYPE_CHECKING:
@@ -169,7 +169,7 @@
 
 
 def _emit_state(at: float, level: str, module: str | None, text: str) -> None:
-    log_stream.emit(Believed(at, level.lower(), module or "", _cut(text)), is_failure=True)
+    log_stream.emit(StateChanged(at, level.lower(), module or "", _cut(text)), is_failure=True)
 
 
 def _sink(message: "Message") -> None:
--- a/src/finchshed/runtime/garbage.py
+++ b/src/finchshed/runtime/garbage.py
@@ -31,7 +31,7 @@
         gc.enable()
 
 
-def settle() -> None:
+def freeze_existing_objects() -> None:
     """Leave alone what exists; call it when the process begins to serve."""
     gc.freeze()
     gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
--- a/src/finchshed/runtime/process.py
+++ b/src/finchshed/runtime/process.py
@@ -103,14 +103,14 @@
         require_no_io_uring()
         loop_lag = loop.create_task(process_metrics.measure_loop_lag())
         if logs_to_stdout:
-            log_stream.flush_on(loop, log_stream.open_standard_output())
+            log_stream.schedule_flushes(loop, log_stream.open_standard_output())
         task = loop.create_task(main(control))
         _handle_signals(loop, control, task.cancel)
         ring.announce(f"{title}: started")
         loop.run_until_complete(task)
         loop_lag.cancel()
     except InvariantError as error:
-        faults.report_broken(error)
+        faults.report_violation(error)
     except asyncio.CancelledError:
         logger.warning("stopped without waiting")
     except FinchshedError as error:
--- a/src/finchshed/settings/describe.py
+++ b/src/finchshed/settings/describe.py
@@ -28,7 +28,7 @@
     return ""
 
 
-def stem_of(name: str) -> str:
+def name_without_unit(name: str) -> str:
     """Return ``name`` without its unit."""
     for suffix in UNIT_SUFFIXES:
         if name.endswith(suffix):
@@ -55,7 +55,7 @@
     return any((meta.extra or {}).get(GROUPED) for item in elements for meta in _metas(item))
 
 
-def allowed(name: str, field_type: Any) -> str:
+def allowed_values(name: str, field_type: Any) -> str:
     """Return in words what the field called ``name`` may hold."""
     titles = [meta.title for meta in _metas(field_type) if meta.title]
     if titles:
--- a/src/finchshed/settings/loader.py
+++ b/src/finchshed/settings/loader.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded(Generic[SettingsT]):
+class LoadedSettings(Generic[SettingsT]):
     """Checked settings and, by field name, where each value came from."""
 
     value: SettingsT
@@ -65,7 +65,7 @@
 
 def load(
     struct_type: type[SettingsT], path: str | None, flags: Mapping[str, object]
-) -> Loaded[SettingsT]:
+) -> LoadedSettings[SettingsT]:
     """Read the settings file at ``path``, put ``flags`` over it and check the whole.
 
     Parameters
@@ -102,7 +102,7 @@
     origins = {
         name: given[name].origin if name in given else Origin(Source.DEFAULT) for name in fields
     }
-    return Loaded(value=settings, origins=origins)
+    return LoadedSettings(value=settings, origins=origins)
 
 
 def _from_file(
@@ -147,7 +147,7 @@
         try:
             value = msgspec.convert(raw, field_type, strict=not is_flag)
         except msgspec.ValidationError as error:
-            words = describe.allowed(key, field_type)
+            words = describe.allowed_values(key, field_type)
             problems.append(item.wrong_value(key, words + _element(error)))
             continue
         repeated = _repeated_elements(value, describe.is_grouped_list(field_type))
@@ -191,7 +191,7 @@
 
 def _missing(fields: Mapping[str, Any], given: Mapping[str, _Given], source: str) -> list[str]:
     return [
-        f"{source}: {name} is missing: allowed is {describe.allowed(name, field.type)}"
+        f"{source}: {name} is missing: allowed is {describe.allowed_values(name, field.type)}"
         for name, field in fields.items()
         if field.required and name not in given
     ]
--- a/src/finchshed/settings/sample.py
+++ b/src/finchshed/settings/sample.py
@@ -29,7 +29,7 @@
 
 def _comment(field: msgspec.structs.FieldInfo) -> list[str]:
     texts = [describe.description_of(field.type)]
-    texts.append(f"Allowed: {describe.allowed(field.name, field.type)}.")
+    texts.append(f"Allowed: {describe.allowed_values(field.name, field.type)}.")
     return [f"# {line}" for text in texts for line in textwrap.wrap(text, _WIDTH)]
 
 
--- a/tests/daemon/test_host_requests.py
+++ b/tests/daemon/test_host_requests.py
@@ -113,7 +113,7 @@
         request = inbound(target, **headers)
         admitted = self.handler.admit(request)
         if isinstance(admitted, Refused):
-            return self.handler.refused(admitted)
+            return self.handler.refusal_response(admitted)
         then()
         responses: list[Response] = []
         self.handler.handle(request, admitted, responses.append)
@@ -198,8 +198,8 @@
     assert float(dict(refused.headers)["retry-after"]) > 0.0
     fixture.reason = None
     assert fixture.ask("/a/1", finchshed_request="").status == 400
-    too_large = fixture.handler.refusal(RefusalReason.REQUEST_TOO_LARGE, "limit: 10 bytes")
-    assert fixture.handler.refused(too_large).status == 413
-    assert fixture.handler.malformed("limit of the head: 10 bytes", 431).status == 431
+    too_large = fixture.handler.make_refusal(RefusalReason.REQUEST_TOO_LARGE, "limit: 10 bytes")
+    assert fixture.handler.refusal_response(too_large).status == 413
+    assert fixture.handler.malformed_response("limit of the head: 10 bytes", 431).status == 431
     fixture.caller.outcome = Answered(500, (("finchshed-downstream", "1"), ("x", "y")), b"")
     assert fixture.ask("/a/1").headers == (("x", "y"),)
--- a/tests/daemon/test_http_listener.py
+++ b/tests/daemon/test_http_listener.py
@@ -48,13 +48,13 @@
             respond(Response(200, (), admitted.encode() + b" " + request.body))
         return lambda: self.cancelled.append(admitted)
 
-    def refused(self, refused: Refused) -> Response:
+    def refusal_response(self, refused: Refused) -> Response:
         return Response(503, (("finchshed-ran", "no"),), refused.reason.encode())
 
-    def refusal(self, reason: RefusalReason, detail: str) -> Refused:
+    def make_refusal(self, reason: RefusalReason, detail: str) -> Refused:
         return Refused(reason, 0.0, detail)
 
-    def malformed(self, detail: str, status: int) -> Response:
+    def malformed_response(self, detail: str, status: int) -> Response:
         return Response(status, (), b"malformed" if status == 400 else detail.encode())
 
 
--- a/tests/daemon/test_tenants.py
+++ b/tests/daemon/test_tenants.py
@@ -38,7 +38,7 @@
     request = InboundRequest("127.0.0.1", "GET", "/a/1", raw, first)
     admitted = fixture.handler.admit(request)
     if not hasattr(admitted, "route"):
-        return fixture.handler.refused(admitted)  # type: ignore[arg-type]
+        return fixture.handler.refusal_response(admitted)  # type: ignore[arg-type]
     responses: list[Response] = []
     fixture.handler.handle(request, admitted, responses.append)  # type: ignore[arg-type]
     return responses[0]
--- a/tests/forms/codecs.py
+++ b/tests/forms/codecs.py
@@ -31,8 +31,8 @@
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import LineProtocol
 from finchshed.link.messages import PeerMessage
-from finchshed.observability.decisions import BackendEnded, Believed, CallEnded, RequestEnded
-from finchshed.observability.log_stream import LinesLeftOut, LogStream
+from finchshed.observability.decisions import BackendEnded, CallEnded, RequestEnded, StateChanged
+from finchshed.observability.log_stream import LinesDropped, LogStream
 from finchshed.observability.ring import DumpHeader, LogRecord
 from finchshed.storage.framing import scan
 from finchshed.storage.incarnation import DiskIncarnation
@@ -43,7 +43,7 @@
 from finchshed_platform.heartbeats import HeartbeatBody
 from finchshed_platform.node_file import NodeFile
 
-LogEvent = RequestEnded | CallEnded | BackendEnded | Believed | LinesLeftOut
+LogEvent = RequestEnded | CallEnded | BackendEnded | StateChanged | LinesDropped
 
 
 class Form(NamedTuple):
--- a/tests/forms/declared_metrics.py
+++ b/tests/forms/declared_metrics.py
@@ -3,7 +3,7 @@
 import importlib
 import sys
 
-from finchshed.observability.instruments import declared
+from finchshed.observability.instruments import registered_instruments
 from finchshed.observability.metrics_page import render
 
 MODULES = {
@@ -21,7 +21,10 @@
     page = render().decode().splitlines()
     lines = [line for line in page if line.startswith("# TYPE finchshed_")]
     lines += [line.rpartition(" ")[0] for line in page if line.startswith("finchshed_")]
-    labels = [f"{metric.name} labels {' '.join(metric.label_names)}" for metric in declared()]
+    labels = [
+        f"{metric.name} labels {' '.join(metric.label_names)}"
+        for metric in registered_instruments()
+    ]
     print("\n".join(sorted([*lines, *(line.rstrip() for line in labels)])))
 
 
--- a/tests/observability/test_log_stream.py
+++ b/tests/observability/test_log_stream.py
@@ -10,7 +10,7 @@
 import pytest
 
 from finchshed.observability import log_stream
-from finchshed.observability.decisions import Believed
+from finchshed.observability.decisions import StateChanged
 from finchshed.observability.log_stream import LogStream
 
 
@@ -40,8 +40,8 @@
         return [json.loads(line) for line in self.taken.splitlines()]
 
 
-def line(number: int) -> Believed:
-    return Believed(float(number), "info", "tests", f"line {number:06d}")
+def line(number: int) -> StateChanged:
+    return StateChanged(float(number), "info", "tests", f"line {number:06d}")
 
 
 SIZE = len(json.dumps({"event": "state"})) + 70
@@ -83,7 +83,7 @@
         stream.offer(line(number))
         stream.flush()
     assert time.monotonic() - began < 5.0
-    assert stream.left_out > 19_000
+    assert stream.dropped > 19_000
     reader.room = 1 << 20
     stream.flush()
     stream.flush()
@@ -95,11 +95,11 @@
 def test_a_full_pipe_holds_no_process_up() -> None:
     program = (
         "from finchshed.observability import log_stream\n"
-        "from finchshed.observability.decisions import Believed\n"
+        "from finchshed.observability.decisions import StateChanged\n"
         "import sys\n"
         "stream = log_stream.open_standard_output()\n"
         "for number in range(3000):\n"
-        "    log_stream.emit(Believed(0.0, 'info', 'm', 'x' * 200), is_failure=True)\n"
+        "    log_stream.emit(StateChanged(0.0, 'info', 'm', 'x' * 200), is_failure=True)\n"
         "    stream.flush()\n"
         "sys.stderr.write('done')\n"
         "import os; os._exit(0)\n"
@@ -114,12 +114,12 @@
 
 def test_every_hop_samples_the_same_requests() -> None:
     sampled = [root for root in map(str, range(20_000)) if log_stream.is_sampled(root)]
-    assert 0.5 < len(sampled) * log_stream.SAMPLED_OF / 20_000 < 1.5
+    assert 0.5 < len(sampled) * log_stream.SAMPLING_INTERVAL / 20_000 < 1.5
     assert sampled == [root for root in sampled if log_stream.is_sampled(root)]
 
 
 def test_without_a_stream_nothing_is_written() -> None:
-    assert not log_stream.is_on()
+    assert not log_stream.is_enabled()
     log_stream.emit(line(1))
     assert os.get_blocking(sys.__stdout__.fileno()) in {True, False}
 
@@ -133,7 +133,7 @@
         return len(data)
 
     stream = LogStream(take)
-    log_stream.flush_on(loop, stream)
+    log_stream.schedule_flushes(loop, stream)
     await asyncio.sleep(3 * log_stream.FLUSH_SECONDS)
     assert written == []
     stream.offer(line(1))
--- a/tests/runtime/test_garbage.py
+++ b/tests/runtime/test_garbage.py
@@ -38,6 +38,6 @@
 
 def test_settling_collects_nothing() -> None:
     before = collections()
-    garbage.settle()
+    garbage.freeze_existing_objects()
     assert collections() == before
     assert gc.get_threshold()[0] == garbage.YOUNG_THRESHOLD
