--- a/src/finchshed/link/digests.py
+++ b/src/finchshed/link/digests.py
@@ -1,8 +1,8 @@
-"""Digests of bodies that travel between daemons."""
+"""Checksums of request and response bodies sent between daemons."""
 
 import xxhash
 
 
 def digest_of(body: bytes) -> str:
-    """Return xxh3-64 of ``body``, hexadecimal."""
+    """Return the hexadecimal xxh3-64 digest of ``body``."""
     return xxhash.xxh3_64_hexdigest(body)
--- a/src/finchshed/link/encoding.py
+++ b/src/finchshed/link/encoding.py
@@ -1,4 +1,7 @@
-"""Encodes messages of internal links as JSON lines. No I/O: decision modules may use it."""
+"""Encodes link messages as JSON lines.
+
+Performs no I/O, so modules that must stay free of I/O may import it.
+"""
 
 import msgspec
 
@@ -8,7 +11,7 @@
 
 
 def encode_line(message: msgspec.Struct) -> bytes:
-    """Return ``message`` as one line."""
+    """Encode ``message`` as a line feed-terminated JSON value."""
     buffer = bytearray()
     _encoder.encode_into(message, buffer)
     buffer += LINE_FEED
--- a/src/finchshed/link/heartbeats.py
+++ b/src/finchshed/link/heartbeats.py
@@ -1,6 +1,6 @@
-"""Sends the heartbeats of one link and notices its silence: the timer of a silence detector.
+"""Drives a link's silence detector with a timer on the event loop.
 
-Owns the timer. Relies on the link to report what it sends and receives.
+Owns the timer. The link must report the lines it sends and receives.
 """
 
 import asyncio
@@ -10,16 +10,16 @@
 
 
 class LinkHeartbeats:
-    """Looks at a link when a heartbeat may be due.
+    """Checks a link periodically, sends heartbeats and detects a dead peer.
 
     Parameters
     ----------
     is_busy
-        Returns whether calls are in progress.
+        Whether calls are in progress on the link.
     send_heartbeat
-        Sends one, and returns whether the link could.
+        Sends a heartbeat; returns False if the link cannot send.
     on_silent
-        Called once the link is broken by silence; there are no looks after it.
+        Called once when the peer is considered dead; checks stop afterwards.
     """
 
     def __init__(
@@ -36,32 +36,32 @@
         self._is_busy = is_busy
         self._send_heartbeat = send_heartbeat
         self._on_silent = on_silent
-        self._looks_often = False
+        self._uses_short_interval = False
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin with the first line sent: the peer's answer to it is awaited."""
+        """Start checking; call after sending the first line, which the peer must answer."""
         self._detector.on_received(self._loop.time())
         self._detector.on_sent(self._loop.time())
         self._schedule()
 
     def stop(self) -> None:
-        """Look no more."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
     def on_received(self) -> None:
-        """Note that a line came in."""
+        """Record that a line was received."""
         self._detector.on_received(self._loop.time())
 
     def on_call_sent(self, now: float) -> None:
-        """Note that a call was sent, which the peer answers."""
+        """Record that a call was sent; shortens the check interval if needed."""
         self._detector.on_sent(now)
-        if not self._looks_often:
+        if not self._uses_short_interval:
             self._schedule()
 
     def send_now(self) -> None:
-        """Send a heartbeat without waiting until one is due."""
+        """Send a heartbeat immediately."""
         self._send(self._loop.time())
 
     def _send(self, now: float) -> None:
@@ -71,16 +71,16 @@
     def _schedule(self) -> None:
         self.stop()
         is_busy = self._is_busy()
-        self._looks_often = is_busy or self._detector.is_awaiting
-        wait = self._detector.next_check(self._loop.time(), is_busy)
-        self._timer = self._loop.call_later(wait, self._check)
+        self._uses_short_interval = is_busy or self._detector.is_awaiting
+        delay = self._detector.next_check(self._loop.time(), is_busy)
+        self._timer = self._loop.call_later(delay, self._check)
 
     def _check(self) -> None:
         now = self._loop.time()
-        verdict = self._detector.check(now, self._is_busy())
-        if verdict is LivenessAction.BROKEN:
+        action = self._detector.check(now, self._is_busy())
+        if action is LivenessAction.BROKEN:
             self._on_silent()
             return
-        if verdict is LivenessAction.SEND_HEARTBEAT:
+        if action is LivenessAction.SEND_HEARTBEAT:
             self._send(now)
         self._schedule()
--- a/src/finchshed/link/lines.py
+++ b/src/finchshed/link/lines.py
@@ -1,7 +1,7 @@
-"""JSON lines over TCP: the one place where bytes of internal links are read and written.
+"""asyncio protocol for JSON lines over TCP, used by all internal links.
 
-The codec is msgspec's; the framing is a line feed after each JSON value, which JSON never holds
-unescaped. A direction may be compressed from some line on, which the lines before it agree on.
+Messages are encoded with msgspec and terminated by a line feed, which never occurs unescaped in
+JSON. Either direction may switch to compression after a line in which both ends agreed to it.
 """
 
 import asyncio
@@ -19,41 +19,41 @@
 ReceivedT = TypeVar("ReceivedT")
 
 DEFAULT_MAX_LINE_BYTES = 96 << 20
-"""Longest line, bytes: a body of 64 MiB in base64 and its
-headers."""
+"""Maximum line length; fits a 64 MiB body in base64 with its headers."""
 
 MAX_HANDSHAKE_LINE_BYTES = 16 << 10
-"""Longest line, bytes, of a peer that hasn't said who it is; chosen, not measured."""
+"""Maximum line length before the handshake is complete."""
 
 HANDSHAKE_TIMEOUT_SECONDS = 5.0
-"""Seconds after which a peer that hasn't said who it is is closed; chosen, not measured."""
+"""Time after which a connection without a completed handshake is closed."""
 
 
 @cache
 def _decoder_of(received_type: Any) -> msgspec.json.Decoder[Any]:
-    """Return the decoder of a type: it keeps no state, so all connections share one."""
+    """Return the decoder of a type; decoders are stateless and shared by all connections."""
     return msgspec.json.Decoder(received_type)
 
 
 class LineProtocol(asyncio.Protocol, Generic[ReceivedT]):
-    """One connection that sends and receives typed lines.
+    """A connection that sends and receives typed messages as lines.
 
     Parameters
     ----------
     received_type
-        Type, usually a tagged union, that each line must decode to.
+        Type that each line must decode to, usually a tagged union.
     on_message
-        Called with the connection and each message.
+        Called with the connection for each message received.
     on_open, on_close
-        Called when the connection is made and lost. ``on_close`` gets the error, or None.
+        Called when the connection is opened and closed. ``on_close`` receives the error or None.
     max_line_bytes
-        A longer line closes the connection.
+        Maximum line length; a longer line closes the connection.
     requires_handshake
         Whether the peer must identify itself first. Until :meth:`complete_handshake` is called,
         lines are limited to ``MAX_HANDSHAKE_LINE_BYTES``; the connection is closed if that takes
         longer than ``HANDSHAKE_TIMEOUT_SECONDS``.
     networks
-        A connection from elsewhere is closed at once, with ``on_close`` alone called; None: any.
+        Allowed peer networks; None allows any. A connection from another network is closed
+        immediately, and only ``on_close`` is called.
     """
 
     def __init__(
@@ -71,10 +71,10 @@
         self._on_message = on_message
         self._on_open = on_open
         self._on_close = on_close
-        self._rest = bytearray()
+        self._partial_line = bytearray()
         self._error: Exception | None = None
         self._max_line_bytes = max_line_bytes
-        self._awaits_greeting = requires_handshake
+        self._awaits_handshake = requires_handshake
         self._networks = networks
         self._compressor: LineCompressor | None = None
         self._decompressor: LineDecompressor | None = None
@@ -89,54 +89,54 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio callback)."""
+        """Check the peer's network and report the connection (asyncio callback)."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
         peer = transport.get_extra_info("peername")
         self.peer_address = f"{peer[0]}:{peer[1]}" if peer else ""
         if self._networks is not None and not self._networks.allow(self.peer_address):
-            self._fail(ProtocolError("the peer isn't of an allowed network"))
+            self._fail(ProtocolError("the peer's address is not in an allowed network"))
             return
-        if self._awaits_greeting:
+        if self._awaits_handshake:
             loop = asyncio.get_running_loop()
-            loop.call_later(HANDSHAKE_TIMEOUT_SECONDS, self._require_greeting)
+            loop.call_later(HANDSHAKE_TIMEOUT_SECONDS, self._check_handshake)
         if self._on_open is not None:
             self._on_open(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection (asyncio callback)."""
+        """Report that the connection closed (asyncio callback)."""
         self.transport = None
         if self._on_close is not None:
             self._on_close(self, self._error or exc)
 
     def data_received(self, data: bytes) -> None:
-        """Split ``data`` into lines and hand each on (asyncio callback)."""
+        """Decode the received lines (asyncio callback)."""
         if not self.is_open:
-            return  # given up on; what still comes has no reader
+            return  # already closed by this end
         self.bytes_received += len(data)
         if self._decompressor is None:
-            self._split(data)
+            self._feed(data)
         else:
-            self._expand(self._decompressor, data)
+            self._decompress(self._decompressor, data)
 
     def start_compressing(self) -> None:
-        """Compress the lines sent from now on; the peer knows it."""
+        """Compress subsequent lines; the peer must already expect it."""
         self._compressor = LineCompressor()
 
     def start_decompressing(self) -> None:
-        """Read what comes behind the line handed on just now as compressed: the peer said so."""
+        """Treat the bytes after the line being handled as compressed."""
         self._decompressor = LineDecompressor()
 
     def complete_handshake(self) -> None:
-        """Let longer lines in: the peer said who it is."""
-        self._awaits_greeting = False
+        """Apply the normal line limit: the peer has identified itself."""
+        self._awaits_handshake = False
 
     def send(self, message: msgspec.Struct) -> int:
-        """Queue ``message`` for sending; return its size in bytes, or 0 if the link is closed."""
+        """Queue ``message``; return the bytes queued, or 0 if the connection is closed."""
         return self.send_encoded(encode_line(message))
 
     def send_encoded(self, line: bytes) -> int:
-        """Queue a line made by :func:`finchshed.link.encoding.encode_line`."""
+        """Queue a line encoded by :func:`finchshed.link.encoding.encode_line`; see :meth:`send`."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return 0
@@ -147,54 +147,54 @@
         return len(line)
 
     def unsent_bytes(self) -> int:
-        """Bytes queued and not yet taken by the operating system."""
+        """Return the number of queued bytes not yet accepted by the operating system."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def close(self) -> None:
-        """Close after what is queued has been sent."""
+        """Close the connection after sending the queued data."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately, discarding queued data."""
         if self.transport is not None:
             self.transport.abort()
 
-    def _expand(self, decompressor: LineDecompressor, data: bytes) -> None:
+    def _decompress(self, decompressor: LineDecompressor, data: bytes) -> None:
         try:
-            for piece in decompressor.decompress(data):
-                self._split(piece)
+            for chunk in decompressor.decompress(data):
+                self._feed(chunk)
                 if not self.is_open:
                     return
         except ProtocolError as error:
             self._fail(error)
 
-    def _split(self, data: bytes) -> None:
-        """Split ``data`` into lines and hand each on."""
+    def _feed(self, data: bytes) -> None:
+        """Split uncompressed ``data`` into lines and deliver the complete ones."""
         was_plain = self._decompressor is None
         *lines, rest = data.split(LINE_FEED)
         for count, line in enumerate(lines, 1):
-            if not self._deliver(self._whole(line)):
+            if not self._deliver(self._join_partial(line)):
                 return
             if was_plain and self._decompressor is not None:
                 compressed = LINE_FEED.join([*lines[count:], rest])
-                self._expand(self._decompressor, compressed)
+                self._decompress(self._decompressor, compressed)
                 return
         if rest:
-            self._rest += rest
-            self._check_size(self._rest)
+            self._partial_line += rest
+            self._check_size(self._partial_line)
 
-    def _whole(self, line: bytes) -> bytes | bytearray:
-        """Return ``line`` with what came of it before."""
-        if not self._rest:
+    def _join_partial(self, line: bytes) -> bytes | bytearray:
+        """Return ``line`` preceded by the part of it received earlier."""
+        if not self._partial_line:
             return line
-        whole = self._rest
-        self._rest = bytearray()
+        whole = self._partial_line
+        self._partial_line = bytearray()
         whole += line
         return whole
 
     def _deliver(self, line: bytes | bytearray) -> bool:
-        """Hand a line on; return whether the connection is still to be read."""
+        """Decode a line and pass it on; return False if the connection is closed."""
         if not self._check_size(line):
             return False
         try:
@@ -206,15 +206,15 @@
         return self.is_open
 
     def _check_size(self, line: bytes | bytearray) -> bool:
-        limit = MAX_HANDSHAKE_LINE_BYTES if self._awaits_greeting else self._max_line_bytes
+        limit = MAX_HANDSHAKE_LINE_BYTES if self._awaits_handshake else self._max_line_bytes
         if len(line) <= limit:
             return True
-        self._fail(ProtocolError(f"line longer than {limit} bytes"))
+        self._fail(ProtocolError(f"line exceeds the limit of {limit} bytes"))
         return False
 
-    def _require_greeting(self) -> None:
-        if self._awaits_greeting:
-            self._fail(ProtocolError(f"no greeting within {HANDSHAKE_TIMEOUT_SECONDS} s"))
+    def _check_handshake(self) -> None:
+        if self._awaits_handshake:
+            self._fail(ProtocolError(f"no handshake within {HANDSHAKE_TIMEOUT_SECONDS} s"))
 
     def _fail(self, error: ProtocolError) -> None:
         self._error = error
--- a/src/finchshed/link/listener.py
+++ b/src/finchshed/link/listener.py
@@ -1,8 +1,8 @@
-"""The serving end of links: connections that other daemons opened to this one.
+"""The accepting side of links: connections opened by other daemons.
 
-A connection must say Hello first, from an allowed network. A malformed, oversized or untimely
-line closes just that connection. Calls in progress on a lost connection are reported to the owner
-as given up. Owns the accepted links; relies on their owner to answer calls.
+A peer must connect from an allowed network and send Hello first. A malformed, oversized or
+unexpected line closes only its own connection. When a connection closes, its calls in progress are
+reported to the owner as cancelled. Owns the accepted links; the owner answers the calls.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 
 
 class AcceptedLink:
-    """One connection a peer opened."""
+    """A connection opened by a peer."""
 
     def __init__(
         self,
@@ -57,9 +57,9 @@
         self._seen_revision = 0
 
     def reply(self, reply: Reply) -> bool:
-        """Send the reply, unless the call was given up on or the link is gone.
+        """Send a reply; return False if the call was cancelled or the link is closed.
 
-        A peer that takes no replies loses its link rather than fill this process's memory.
+        Closes the link if the peer has left too many bytes unread, to bound memory use.
         """
         if reply.call not in self.calls:
             return False
@@ -72,16 +72,16 @@
 
     @property
     def epoch(self) -> str:
-        """Epoch the peer chose, empty before its Hello."""
+        """Epoch chosen by the peer; empty before its Hello."""
         return "" if self.peer is None else self.peer.epoch
 
     def send_hello(self) -> None:
-        """Say anew who this is: the back end was restarted."""
+        """Send Hello again after the back end was restarted."""
         if self.peer is not None:
             self.lines.send(self._owner.hello(self.peer.epoch))
 
     def send_load(self) -> None:
-        """Report the load, asked for or not: a report without draining takes that back."""
+        """Send a load report, solicited or not; it revokes an earlier draining announcement."""
         if self.peer is None:
             return
         self.lines.send(
@@ -89,21 +89,21 @@
         )
 
     def send_draining(self) -> None:
-        """Announce that no new calls are taken."""
+        """Announce that no new calls are accepted."""
         if self.peer is not None:
             self.lines.send(Draining(epoch=self.peer.epoch))
 
     def send_crash_news(self, news: CrashNews) -> None:
-        """Send news of requests that crash back ends."""
+        """Send updates on requests that crash back ends."""
         if self.peer is not None:
             self.lines.send(news)
 
     def fetch(self, revision: int) -> None:
-        """Ask the peer for the configuration past ``revision``."""
+        """Request the configuration changes after ``revision``."""
         self.lines.send(Fetch(revision=revision))
 
     def on_message(self, message: PeerMessage) -> None:
-        """Act on one line; raise ProtocolError where it has no place."""
+        """Handle a message; raise ProtocolError if it is not allowed here."""
         if self.peer is None:
             self._on_hello(message)
         elif isinstance(message, Call):
@@ -119,10 +119,10 @@
         elif isinstance(message, CrashNews):
             self._owner.crash_news_received(message)
         else:
-            raise ProtocolError(f"{type(message).__name__} has no place on a calling peer's link")
+            raise ProtocolError(f"unexpected {type(message).__name__} message from a calling peer")
 
     def on_closed(self) -> None:
-        """Report the calls in progress as given up."""
+        """Cancel the calls in progress (connection closed)."""
         calls = self.calls
         self.calls = set()
         for call in calls:
@@ -130,7 +130,9 @@
 
     def _on_hello(self, message: PeerMessage) -> None:
         if not isinstance(message, Hello) or not message.epoch or not message.node:
-            raise ProtocolError("the first line is no Hello")
+            raise ProtocolError(
+                f"expected Hello with a node and an epoch, got {type(message).__name__}"
+            )
         claims = claims_of_link(message.node, message.service, message.zone)
         if fault := unproven(self.lines.transport, claims):
             raise ProtocolError(fault)
@@ -148,11 +150,11 @@
 
     def _on_call(self, call: Call) -> None:
         if call.epoch != self.epoch:
-            raise ProtocolError("a call carries another epoch than its link")
+            raise ProtocolError(f"the epoch of call {call.call} differs from that of the link")
         if call.call <= self._highest_call:
-            raise ProtocolError("a call identity was used twice")
+            raise ProtocolError(f"call number {call.call} is not above {self._highest_call}")
         if digest_of(call.body) != call.digest:
-            raise ProtocolError("the body of a call differs from its digest")
+            raise ProtocolError(f"the body of call {call.call} does not match its digest")
         self._highest_call = call.call
         self.calls.add(call.call)
         self._note_revision(call.revision)
@@ -184,13 +186,13 @@
     Parameters
     ----------
     owner
-        Who answers calls.
+        Answers calls.
     networks
-        Networks (CIDR) connections are taken from.
+        Networks (CIDR) from which connections are accepted.
     silence_seconds
-        A link that carries nothing for this long is closed: callers send heartbeats.
+        A link is closed after receiving nothing for this long; callers send heartbeats.
     max_unsent_bytes
-        A link with more replies than this not taken by the peer is closed.
+        A link is closed when a reply is due while more bytes than this are unsent.
     """
 
     def __init__(
@@ -208,7 +210,7 @@
         self._links: dict[LineProtocol[PeerMessage], AcceptedLink] = {}
 
     def make_protocol(self) -> asyncio.Protocol:
-        """Return the protocol of one accepted connection."""
+        """Create the protocol of an accepted connection."""
         return LineProtocol(
             PeerMessage,
             self._on_message,
@@ -218,17 +220,17 @@
         )
 
     def links(self) -> list[AcceptedLink]:
-        """Return the links that are open."""
+        """Return the open links."""
         return list(self._links.values())
 
     def close_silent(self, now: float) -> None:
-        """Close links that carried nothing for too long (frozen or cut off peers)."""
+        """Close links whose peer has been silent for too long (frozen or partitioned)."""
         for link in self.links():
             if now - link.last_received_at >= self._silence_seconds:
                 self._refuse(link.lines, "silent")
 
     def close(self) -> None:
-        """Close every link after what is queued has been sent."""
+        """Close every link after sending its queued data."""
         for lines in list(self._links):
             lines.close()
 
--- a/src/finchshed/link/messages.py
+++ b/src/finchshed/link/messages.py
@@ -1,7 +1,7 @@
-"""Messages between daemons.
+"""Messages exchanged between daemons.
 
-Call identities are never used twice on a link, and every message carries the link's epoch, so an
-answer to a call that was given up on finds nobody.
+Call numbers are never reused on a link, and messages about calls carry the link's epoch, so a late
+reply to a cancelled call cannot match another call.
 """
 
 from typing import Annotated, TypeAlias
@@ -20,8 +20,9 @@
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
     """First line in each direction.
 
-    ``compressed`` of the calling end asks for compression of what follows the first lines, both
-    ways; that of the serving end says that it will be. A daemon that doesn't know it answers no.
+    From the calling side, ``compressed`` requests compression of both directions after the Hello
+    lines; from the accepting side, it confirms the request. A daemon that does not support
+    compression leaves it false.
     """
 
     node: str
@@ -35,10 +36,10 @@
 
 
 class Call(msgspec.Struct, frozen=True, omit_defaults=True, tag="call"):
-    """A request. ``digest`` is xxh3-64 of the body, hexadecimal.
+    """A request. ``digest`` is the hexadecimal xxh3-64 digest of the body.
 
-    ``route`` names the route by host that the calling daemon took it under; empty: it falls under a
-    route of its service. ``repeatable`` and ``identity``, which its caller gave it, count for
+    ``route`` is the host-based route selected by the calling daemon, or empty if the route of the
+    service applies. ``repeatable`` and ``identity`` (assigned by the caller) are used only for
     requests with a ``route``.
     """
 
@@ -60,9 +61,9 @@
 class Reply(msgspec.Struct, frozen=True, omit_defaults=True, tag="reply"):
     """The outcome of a call.
 
-    ``spare_attempts`` is what the callee's side did not spend of the attempts lent to the
-    call. ``digest`` is xxh3-64 of an answer's body, hexadecimal; empty for other outcomes.
-    ``crash_record`` is there where back ends ended under the request.
+    ``spare_attempts`` is the number of attempts lent to the call and not used by the callee.
+    ``digest`` is the hexadecimal xxh3-64 digest of an answer's body, empty for other outcomes.
+    ``crash_record`` is set if a back end crashed while it ran the request.
     """
 
     epoch: str
@@ -76,27 +77,27 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, tag="cancel"):
-    """The caller has given up on a call."""
+    """The caller cancelled a call."""
 
     epoch: str
     call: RequestNumber
 
 
 class Draining(msgspec.Struct, frozen=True, tag="draining"):
-    """The sender takes no new calls; calls in progress are finished."""
+    """The sender accepts no new calls; it completes those in progress."""
 
     epoch: str
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """Heartbeat; answered by :class:`Pong`."""
+    """Heartbeat request, answered with :class:`Pong`."""
 
     epoch: str
     revision: Revision = 0
 
 
 class Pong(msgspec.Struct, frozen=True, omit_defaults=True, tag="pong"):
-    """Answer to a heartbeat."""
+    """Heartbeat response, also sent unsolicited to report load."""
 
     epoch: str
     load: LoadReport
--- a/src/finchshed/link/owners.py
+++ b/src/finchshed/link/owners.py
@@ -1,6 +1,6 @@
-"""What the holders of links do for them; the type of the link is the parameter.
+"""Callback interfaces implemented by the owners of links.
 
-So the ends of a link import this, and this imports neither of them.
+They are generic over the link type, so this module need not import the link classes.
 """
 
 from typing import Protocol, TypeVar
@@ -17,68 +17,68 @@
 
 
 class LinkOwner(Protocol[LinkT_contra]):
-    """The holder of links that this daemon opened."""
+    """Owner of links opened by this daemon."""
 
     def hello(self, epoch: str) -> Hello:
-        """Return the first line to send."""
+        """Return the Hello to send first."""
 
     def link_opened(self, link: LinkT_contra, hello: Hello) -> None:
-        """Send calls from now on: the peer said who it is."""
+        """Start using the link: the handshake is complete."""
 
     def link_closed(self, link: LinkT_contra, cause: str) -> None:
-        """Forget the link. The ends of its calls were reported before."""
+        """Remove the link; callbacks of its pending calls have already run."""
 
     def peer_draining(self, link: LinkT_contra) -> None:
-        """Note that the peer takes no new calls."""
+        """Record that the peer accepts no new calls."""
 
     def load_reported(self, link: LinkT_contra, load: LoadReport) -> None:
-        """Note the load the peer reported outside of a reply."""
+        """Record a load report received outside a reply."""
 
     def revision_seen(self, link: LinkT_contra, revision: int) -> None:
-        """Note the revision of the configuration the peer holds."""
+        """Record the configuration revision held by the peer."""
 
     def delta_received(self, link: LinkT_contra, delta: Delta) -> None:
-        """Use the peer's answer to a fetch."""
+        """Apply the peer's answer to a fetch."""
 
     def delta_for(self, revision: int) -> Delta | None:
-        """Return the configuration for a peer that holds ``revision``."""
+        """Return the changes after ``revision`` for a peer, or None."""
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Merge news of requests that crash back ends."""
+        """Merge updates on requests that crash back ends."""
 
     def crash_news(self) -> CrashNews | None:
-        """Return the news that a peer is sent when a link to it opens; None: there is none."""
+        """Return the crash updates to send when a link opens, or None."""
 
 
 class ListenerOwner(Protocol[LinkT_contra]):
-    """The holder of the links that other daemons opened."""
+    """Owner of links opened by other daemons."""
 
     def hello(self, epoch: str) -> Hello:
-        """Return the answer to a peer's Hello."""
+        """Return the Hello that answers a peer's Hello."""
 
     def call_received(self, link: LinkT_contra, call: Call) -> None:
-        """Serve a call; it is answered by the reply of its link."""
+        """Serve a call; answer it with the link's ``reply`` method."""
 
     def call_cancelled(self, link: LinkT_contra, call: int) -> None:
-        """Drop a call in progress: its caller has given up or is gone."""
+        """Drop a call in progress: its caller cancelled it or disconnected."""
 
     def load_report(self) -> LoadReport:
-        """Return the load to report with a heartbeat."""
+        """Return the load report for a heartbeat response."""
 
     def revision(self) -> int:
-        """Return the revision in force."""
+        """Return the configuration revision in force."""
 
     def accepted_revision_seen(self, link: LinkT_contra, revision: int) -> None:
-        """Note the revision of the configuration the peer holds."""
+        """Record the configuration revision held by the peer."""
 
     def accepted_delta_received(self, link: LinkT_contra, delta: Delta) -> None:
-        """Use the peer's answer to a fetch."""
+        """Apply the peer's answer to a fetch."""
 
     def delta_for(self, revision: int) -> Delta | None:
-        """Return the configuration for a peer that holds ``revision``."""
+        """Return the changes after ``revision`` for a peer, or None."""
 
     def crash_news_received(self, news: CrashNews) -> None:
-        """Merge news of requests that crash back ends."""
+        """Merge updates on requests that crash back ends."""
 
     def crash_news(self) -> CrashNews | None:
-        """Return the news that a peer is sent when a link to it opens; None: there is none."""
+        """Return the crash updates to send when a link opens, or None."""
--- a/src/finchshed/link/peer.py
+++ b/src/finchshed/link/peer.py
@@ -1,9 +1,8 @@
-"""The calling end of a link: one connection to the daemon beside a back end.
+"""The calling side of a link: one connection to another daemon.
 
-Calls are pipelined by call identity. A call ends in exactly one way: a reply on the connection
-it was sent on, or the end of that connection. Replies that carry another epoch, or an identity
-nobody waits for, are counted and dropped. Owns the calls that were sent; relies on the owner of the
-link for what is said in its Hello.
+Calls are pipelined and numbered. Each call ends exactly once, with a reply on its own connection or
+with the end of that connection. Replies with another epoch or an unknown call number are counted
+and dropped. Owns the pending calls; the owner of the link provides its Hello.
 """
 
 import asyncio
@@ -36,7 +35,7 @@
 from finchshed.tls.names import claims_of_link, unproven
 
 EPOCH_BYTES = 8
-"""Random bytes of a link's identity: equal ones between two daemons are out of the question."""
+"""Number of random bytes in an epoch; makes collisions between two daemons negligible."""
 
 LATE_REPLIES = Counter(
     "finchshed_link_late_replies_total", "Replies to calls nobody waits for any more"
@@ -45,26 +44,26 @@
 
 
 class PeerLink:
-    """One link to the daemon at ``address``.
+    """A link to the daemon at ``address``.
 
     Parameters
     ----------
     address
         ``a.b.c.d:port`` of the peer's link listener.
     owner
-        Is called with what happens on the link.
+        Receives the events of the link.
     max_unsent_bytes
-        With more bytes than this waiting to be sent, calls are turned away.
+        Calls are rejected while more bytes than this are unsent.
     silence_seconds
-        A link that carries nothing for this long is broken.
+        Time without received data after which an unresponsive link is closed.
     heartbeat_seconds
-        A link with calls in progress that carries nothing for this long is sent a heartbeat.
+        Heartbeat interval while calls are in progress.
     idle_heartbeat_seconds
-        The same for a link without calls in progress.
+        Heartbeat interval while no call is in progress.
     connect
-        Opens the connection; None: the event loop does. Proof passes one that can be cut.
+        Opens the connection; None uses the event loop. Replaced for fault injection.
     asks_compression
-        Whether the peer is asked to compress the link both ways.
+        Whether to request compression of both directions.
     """
 
     def __init__(
@@ -105,11 +104,11 @@
 
     @property
     def calls_in_progress(self) -> int:
-        """Calls sent and not answered."""
+        """Number of calls sent and not yet answered."""
         return len(self._pending)
 
     async def connect(self) -> None:
-        """Open the connection; the owner is called with how it went."""
+        """Open the connection; the outcome is reported to the owner."""
         host, port = self.address.rsplit(":", 1)
         try:
             async with asyncio.timeout(self._connect_timeout_seconds):
@@ -118,7 +117,7 @@
             self._end(f"connect: {error}")
 
     def send_call(self, content: CallContent, on_reply: ReplyCallback) -> tuple[SendResult, int]:
-        """Send a call; return the result and the call's number on this link.
+        """Send a call; return the result and the call's number, or 0 if it was not sent.
 
         ``on_reply`` is called only if the result is ``SENT``.
         """
@@ -129,7 +128,7 @@
             return SendResult.FULL, 0
         number = self._next_call
         self._next_call += 1
-        message = self._message(content, number)
+        message = self._make_call(content, number)
         self._pending[number] = on_reply
         lines.send(message)
         now = self._loop.time()
@@ -137,7 +136,7 @@
         self._heartbeats.on_call_sent(now)
         return SendResult.SENT, number
 
-    def _message(self, content: CallContent, number: int) -> Call:
+    def _make_call(self, content: CallContent, number: int) -> Call:
         return Call(
             epoch=self.epoch,
             call=number,
@@ -155,22 +154,22 @@
         )
 
     def cancel_call(self, identity: int) -> None:
-        """Forget the call and tell the peer. Its reply, if one comes, finds nobody."""
+        """Cancel a call and notify the peer; a late reply is dropped."""
         if self._pending.pop(identity, None) is None:
             return
         self._send(Cancel(epoch=self.epoch, call=identity))
 
     def fetch(self, revision: int) -> None:
-        """Ask the peer for the configuration past ``revision``."""
+        """Request the configuration changes after ``revision``."""
         self._send(Fetch(revision=revision))
 
     def send_crash_news(self, news: CrashNews) -> None:
-        """Send news of requests that crash back ends, if the link is open."""
+        """Send updates on requests that crash back ends, if the link is open."""
         if self.state is LinkState.OPEN:
             self._send(news)
 
     def close(self, cause: str) -> None:
-        """End the link; calls in progress end as broken."""
+        """Close the link; the callbacks of pending calls receive None."""
         self._end(cause)
 
     def _make_protocol(self) -> LineProtocol[PeerMessage]:
@@ -221,7 +220,7 @@
             self._end("protocol")
 
     def _on_hello(self, lines: LineProtocol[PeerMessage], hello: Hello) -> None:
-        """Act on the peer's Hello: its first one, or one more after its back end was restarted."""
+        """Handle the first Hello, or a repeated one after the peer's back end restarted."""
         if hello.epoch != self.epoch:
             self._end("protocol")
             return
@@ -269,7 +268,7 @@
             self._lines.send_encoded(encode_line(message))
 
     def request_revision(self) -> None:
-        """Send a heartbeat now: its answer tells the revision the peer holds."""
+        """Send a heartbeat; the response carries the revision held by the peer."""
         self._heartbeats.send_now()
 
     def _send_heartbeat(self) -> bool:
--- a/src/finchshed/link/silence.py
+++ b/src/finchshed/link/silence.py
@@ -1,16 +1,16 @@
-"""When a link is sent a heartbeat, and when it is taken for broken.
+"""Decides when to send a heartbeat on a link and when to consider the peer dead.
 
-A peer that is frozen or cut off closes no connection. On a link with calls in progress that is
-found out quickly, by heartbeats that are not answered. On an idle link nobody waits for anything,
-and heartbeats are rare: a daemon holds links to many peers, and each heartbeat wakes both ends.
-Pure decisions: :mod:`finchshed.link.heartbeats` has the timer.
+A frozen or partitioned peer does not close its connection. Links with calls in progress are
+checked at short intervals to detect this quickly. Idle links use a longer interval, because a
+daemon has many links and each heartbeat wakes both ends. Contains no timer; see
+:mod:`finchshed.link.heartbeats`.
 """
 
 import enum
 
 
 class LivenessAction(enum.Enum):
-    """What is to be done at a check."""
+    """Action required after a check."""
 
     WAIT = "wait"
     SEND_HEARTBEAT = "send_heartbeat"
@@ -18,16 +18,16 @@
 
 
 class SilenceDetector:
-    """Judges one link. Times are in seconds of one monotonic clock.
+    """Tracks activity on one link. Times are in seconds on a monotonic clock.
 
     Parameters
     ----------
     heartbeat_seconds
-        A link with calls in progress that carried nothing for this long is sent a heartbeat.
+        Check interval while calls are in progress or an answer is awaited.
     idle_heartbeat_seconds
-        The same for a link without.
+        Check interval of an idle link; at least ``heartbeat_seconds``.
     silence_seconds
-        A link on which something is awaited that carried nothing for this long is broken.
+        Time without received data, while an answer is awaited, after which the link is broken.
     """
 
     def __init__(
@@ -42,31 +42,31 @@
 
     @property
     def is_awaiting(self) -> bool:
-        """Whether something was sent since the last line came in."""
+        """Whether the peer owes an answer to a line sent after the last one received."""
         return self._awaited_since is not None
 
     def on_sent(self, now: float) -> None:
-        """Note that something was sent that the peer answers."""
+        """Record that a line was sent that the peer must answer."""
         if self._awaited_since is None:
             self._awaited_since = now
 
     def on_received(self, now: float) -> None:
-        """Note that a line came in."""
+        """Record that a line was received."""
         self._received_at = now
         self._awaited_since = None
 
     def next_check(self, now: float, is_busy: bool) -> float:
-        """Return the seconds until the next check; ``is_busy`` with calls in progress."""
-        is_quick = is_busy or self.is_awaiting
-        wait = self._heartbeat_seconds if is_quick else self._idle_heartbeat_seconds
-        self._due_at = now + wait
-        return wait
+        """Schedule the next check and return the delay; ``is_busy`` if calls are in progress."""
+        is_active = is_busy or self.is_awaiting
+        delay = self._heartbeat_seconds if is_active else self._idle_heartbeat_seconds
+        self._due_at = now + delay
+        return delay
 
     def check(self, now: float, is_busy: bool) -> LivenessAction:
-        """Judge the link."""
+        """Return the action required now."""
         if self._awaited_since is not None:
             if now - self._due_at > self._silence_seconds / 2:
-                # This process itself stood still: the peer's lines may wait unread.
+                # This process was stalled, so lines from the peer may still be unread.
                 self._awaited_since = now
             if now - self._awaited_since >= self._silence_seconds:
                 return LivenessAction.BROKEN
--- a/src/finchshed/link/states.py
+++ b/src/finchshed/link/states.py
@@ -1,4 +1,4 @@
-"""States of the calling end of a link, and what those who use it give and get. Types alone."""
+"""Types used by callers of a link: its state, call contents and results."""
 
 import asyncio
 import enum
@@ -13,7 +13,7 @@
 
 
 class LinkState(enum.Enum):
-    """State of the calling end."""
+    """State of the calling side of a link."""
 
     CONNECTING = "connecting"
     OPEN = "open"
@@ -21,7 +21,7 @@
 
 
 class SendResult(enum.Enum):
-    """What became of handing a call to a link."""
+    """Result of sending a call on a link."""
 
     SENT = "sent"
     FULL = "full"
@@ -29,9 +29,9 @@
 
 
 class CallContent(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """What a call asks for; the link adds its epoch, the call's number and the body's digest.
+    """Contents of a call, without the epoch, call number and digest that the link adds.
 
-    The fields mean what they mean in :class:`finchshed.link.messages.Call`.
+    See :class:`finchshed.link.messages.Call` for the fields.
     """
 
     service: str
@@ -47,7 +47,7 @@
 
 
 Connect: TypeAlias = Callable[[Callable[[], asyncio.Protocol], str, int], Awaitable[object]]
-"""Opens a connection for the protocol made by the first argument to a host and port."""
+"""Opens a connection to a host and port with a protocol from the given factory."""
 
 ReplyCallback: TypeAlias = Callable[[Reply | None], None]
-"""Called once with the reply, or with None when the link broke after the call was sent."""
+"""Called once with the reply, or with None if the link closed first."""
--- a/tests/link/strategies.py
+++ b/tests/link/strategies.py
@@ -1,4 +1,4 @@
-"""Messages, lines and chunks for tests of links."""
+"""Hypothesis strategies for link messages, malformed lines and fragmented data."""
 
 import itertools
 
@@ -49,7 +49,7 @@
 @st.composite
 def calls(draw: st.DrawFn) -> Call:
     body = draw(bodies)
-    other = draw(st.booleans())
+    is_corrupt = draw(st.booleans())
     return Call(
         epoch=draw(epochs),
         call=draw(numbers),
@@ -58,7 +58,7 @@
         path=draw(st.text(max_size=8)),
         headers=(),
         body=body,
-        digest=digest_of(body + b"x") if other and draw(st.booleans()) else digest_of(body),
+        digest=digest_of(body + b"x") if is_corrupt and draw(st.booleans()) else digest_of(body),
         context=draw(contexts),
     )
 
@@ -99,7 +99,7 @@
 
 @st.composite
 def damaged_lines(draw: st.DrawFn) -> bytes:
-    """A valid line with a piece of it cut out, doubled or replaced."""
+    """Return a valid line with one part removed, repeated or replaced."""
     line = encode_line(draw(messages))
     start = draw(st.integers(0, len(line)))
     end = draw(st.integers(start, min(len(line), start + 20)))
@@ -107,7 +107,7 @@
 
 
 NESTED = b'{"type":"ping","x":' + b"[" * 5_000 + b"\n"
-"""A line nested too deep to be decoded."""
+"""A line whose JSON is nested too deeply to decode."""
 
 garbage = st.one_of(
     st.binary(max_size=60),
@@ -119,7 +119,7 @@
 
 @st.composite
 def cut(draw: st.DrawFn, data: bytes) -> list[bytes]:
-    """``data`` in pieces, as a socket may give it."""
-    places = draw(st.lists(st.integers(0, len(data)), max_size=6))
-    edges = [0, *sorted(places), len(data)]
+    """Split ``data`` into fragments, as a socket might deliver it."""
+    offsets = draw(st.lists(st.integers(0, len(data)), max_size=6))
+    edges = [0, *sorted(offsets), len(data)]
     return [data[start:end] for start, end in itertools.pairwise(edges) if start < end]
--- a/tests/link/test_compression.py
+++ b/tests/link/test_compression.py
@@ -1,4 +1,4 @@
-"""Compressed links: the same messages in fewer bytes, and a clear end for everything else."""
+"""Compressed links carry the same messages in fewer bytes and close on malformed data."""
 
 import asyncio
 import zlib
@@ -32,122 +32,122 @@
 
 STEP_SECONDS = 5.0
 CALLS = 40
-ASKING_HELLO = Hello("n1", "1", EPOCH, "s", "z", 1, compressed=True)
+COMPRESSION_HELLO = Hello("n1", "1", EPOCH, "s", "z", 1, compressed=True)
 
 
-def sender() -> tuple[LineProtocol[PeerMessage], MemoryTransport]:
-    """Return an end that says Hello in plain and compresses from then on."""
+def make_sender() -> tuple[LineProtocol[PeerMessage], MemoryTransport]:
+    """Return a connection that sends Hello uncompressed and compresses all later lines."""
     transport = MemoryTransport()
     lines: LineProtocol[PeerMessage] = LineProtocol(PeerMessage, lambda *_: None)
     transport.connect(lines)
-    lines.send(ASKING_HELLO)
+    lines.send(COMPRESSION_HELLO)
     lines.start_compressing()
     return lines, transport
 
 
 class SwitchingConnection(Connection):
-    """Expects compressed lines behind the first one."""
+    """Expects compressed data after the first line."""
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
         super().__init__(max_line_bytes)
         self.lines = LineProtocol(
             PeerMessage,
-            self._take,
+            self._on_message,
             on_close=lambda _, error: self.ends.append(error),
             max_line_bytes=max_line_bytes,
         )
         self.transport.connect(self.lines)
 
-    def _take(self, lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
+    def _on_message(self, lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
         if not self.received:
             lines.start_decompressing()
         self.received.append(message)
 
 
 @given(st.data(), st.lists(messages, max_size=6))
-def test_compressed_messages_come_whole_and_in_order_however_they_are_cut(
+def test_fragmented_compressed_messages_arrive_whole_and_in_order(
     data: st.DataObject, sent: list[PeerMessage]
 ) -> None:
-    lines, transport = sender()
+    lines, transport = make_sender()
     for message in sent:
         lines.send(message)
     connection = SwitchingConnection(max_line_bytes=100_000)
     connection.feed(*data.draw(cut(transport.written)))
-    assert connection.received == [ASKING_HELLO, *sent]
+    assert connection.received == [COMPRESSION_HELLO, *sent]
     assert not connection.transport.closed
 
 
 @given(st.binary(min_size=1, max_size=60))
-def test_garbage_in_a_compressed_link_ends_it_or_waits_for_more(garbage: bytes) -> None:
-    lines, transport = sender()
+def test_garbage_on_a_compressed_link_delivers_no_message(garbage: bytes) -> None:
+    lines, transport = make_sender()
     lines.send(Ping(epoch="before"))
     connection = SwitchingConnection()
     connection.feed(transport.written, garbage)
-    assert connection.received == [ASKING_HELLO, Ping(epoch="before")]
+    assert connection.received == [COMPRESSION_HELLO, Ping(epoch="before")]
 
 
 def test_malformed_compressed_bytes_close_the_connection_with_an_error() -> None:
-    _, transport = sender()
+    _, transport = make_sender()
     connection = SwitchingConnection()
     connection.feed(transport.written, b"\xff\xff\xff\xff" + PING)
     connection.transport.finish()
     assert isinstance(connection.ends[0], ProtocolError)
 
 
-def test_an_ended_stream_closes_the_connection() -> None:
-    _, transport = sender()
+def test_the_end_of_the_compressed_stream_closes_the_connection() -> None:
+    _, transport = make_sender()
     connection = SwitchingConnection()
     connection.feed(transport.written, zlib.compress(PING), zlib.compress(PING))
     connection.transport.finish()
     assert isinstance(connection.ends[0], ProtocolError)
 
 
-def test_a_line_that_expands_past_the_limit_closes_the_connection() -> None:
-    lines, transport = sender()
+def test_a_decompressed_line_over_the_limit_closes_the_connection() -> None:
+    lines, transport = make_sender()
     lines.send(Ping(epoch="x" * 64 * MAX_LINE_BYTES))
     assert len(transport.written) < 4 * MAX_LINE_BYTES
     connection = SwitchingConnection()
     connection.feed(transport.written)
     assert connection.transport.closed
-    assert connection.received == [ASKING_HELLO]
+    assert connection.received == [COMPRESSION_HELLO]
 
 
-def test_what_expands_far_is_handed_on_in_pieces() -> None:
+def test_highly_compressed_data_is_decompressed_in_chunks() -> None:
     compressed = LineCompressor().compress(b"x" * (3 * MAX_CHUNK_BYTES + 1))
-    pieces = list(LineDecompressor().decompress(compressed))
-    assert max(len(piece) for piece in pieces) <= MAX_CHUNK_BYTES
-    assert sum(len(piece) for piece in pieces) == 3 * MAX_CHUNK_BYTES + 1
+    chunks = list(LineDecompressor().decompress(compressed))
+    assert max(len(chunk) for chunk in chunks) <= MAX_CHUNK_BYTES
+    assert sum(len(chunk) for chunk in chunks) == 3 * MAX_CHUNK_BYTES + 1
 
 
-def test_like_lines_take_a_third_of_their_bytes_or_less() -> None:
+def test_similar_lines_compress_to_less_than_a_third() -> None:
     compressor = LineCompressor()
     lines = [encode_line(call(number)) for number in range(1, 101)]
     sizes = [len(compressor.compress(line)) for line in lines]
     assert sum(sizes) < sum(len(line) for line in lines) / 3
 
 
-async def test_a_listener_compresses_for_a_peer_that_asks() -> None:
+async def test_a_listener_compresses_on_request() -> None:
     owner = Owner()
     peer = Peer(make_listener(owner))
     compressor = LineCompressor()
-    peer.send(ASKING_HELLO, compressor.compress(encode_line(call(1))))
-    assert [taken.call for _, taken in owner.received] == [1]
+    peer.send(COMPRESSION_HELLO, compressor.compress(encode_line(call(1))))
+    assert [received.call for _, received in owner.received] == [1]
     hello, _, _ = peer.transport.written.partition(b"\n")
     assert b'"compressed":true' in hello
 
 
-async def test_a_listener_sends_plain_lines_to_a_peer_that_does_not_ask() -> None:
+async def test_a_listener_does_not_compress_unless_requested() -> None:
     owner = Owner()
     peer = Peer(make_listener(owner))
     peer.send(HELLO, call(1), Ping(epoch=EPOCH))
-    assert [taken.call for _, taken in owner.received] == [1]
+    assert [received.call for _, received in owner.received] == [1]
     hello, _, rest = peer.transport.written.partition(b"\n")
     assert b'"compressed":true' not in hello
     assert rest.startswith(b'{"type":"pong"')
 
 
 class AnsweringOwner(Owner):
-    """Answers each call with its body."""
+    """Answers each call with the call's own body."""
 
     def call_received(self, link: AcceptedLink, call: Call) -> None:
         super().call_received(link, call)
@@ -155,14 +155,14 @@
         link.reply(Reply(link.epoch, call.call, outcome, 0, LoadReport(), digest_of(call.body)))
 
 
-@pytest.mark.parametrize("asks", [False, True])
-async def test_both_ends_of_a_link_agree(asks: bool) -> None:
+@pytest.mark.parametrize("asks_compression", [False, True])
+async def test_both_ends_of_a_link_agree_on_compression(asks_compression: bool) -> None:
     serving = AnsweringOwner()
     listener = make_listener(serving)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(listener.make_protocol, "127.0.0.1", 0)
     calling = CallingOwner()
-    link = link_to(server.sockets[0].getsockname()[1], calling, asks=asks)
+    link = make_link(server.sockets[0].getsockname()[1], calling, asks_compression=asks_compression)
     replies: asyncio.Queue[Reply | None] = asyncio.Queue()
     try:
         await link.connect()
@@ -173,13 +173,13 @@
             bodies = [body_of(await replies.get()) for _ in range(CALLS)]
         assert bodies == [b"%d" % number * 50 for number in range(CALLS)]
         (accepted,) = listener.links()
-        assert (accepted.lines.bytes_received < CALLS * 150) is asks
+        assert (accepted.lines.bytes_received < CALLS * 150) is asks_compression
     finally:
         link.close("test ended")
         server.close()
 
 
-def link_to(port: int, owner: CallingOwner, *, asks: bool) -> PeerLink:
+def make_link(port: int, owner: CallingOwner, *, asks_compression: bool) -> PeerLink:
     return PeerLink(
         f"127.0.0.1:{port}",
         owner,
@@ -187,7 +187,7 @@
         silence_seconds=60.0,
         heartbeat_seconds=30.0,
         connect_timeout_seconds=STEP_SECONDS,
-        asks_compression=asks,
+        asks_compression=asks_compression,
     )
 
 
--- a/tests/link/test_lines.py
+++ b/tests/link/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines: whole messages in order, and one clear end for everything else."""
+"""Messages arrive whole and in order; malformed data closes the connection with an error."""
 
 import pytest
 from hypothesis import given
@@ -17,7 +17,7 @@
 
 
 class Connection:
-    """A protocol on a transport in memory, and what it handed on."""
+    """A protocol on an in-memory transport, with the messages and close events it reported."""
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
         self.received: list[PeerMessage] = []
@@ -37,7 +37,7 @@
 
 
 @given(st.data(), st.lists(messages, max_size=6))
-def test_messages_come_whole_and_in_order_however_they_are_cut(
+def test_fragmented_messages_arrive_whole_and_in_order(
     data: st.DataObject, sent: list[PeerMessage]
 ) -> None:
     connection = Connection(max_line_bytes=100_000)
@@ -47,7 +47,7 @@
 
 
 @given(st.data(), st.lists(garbage, min_size=1, max_size=4))
-def test_garbage_ends_the_connection_and_nothing_else(
+def test_garbage_closes_the_connection_with_a_protocol_error(
     data: st.DataObject, parts: list[bytes]
 ) -> None:
     connection = Connection(max_line_bytes=100_000)
@@ -63,7 +63,7 @@
     assert "\n" not in str(error)
 
 
-def test_a_line_nested_too_deep_is_malformed() -> None:
+def test_a_line_nested_too_deeply_is_malformed() -> None:
     connection = Connection(max_line_bytes=100_000)
     connection.feed(NESTED, PING)
     connection.transport.finish()
@@ -72,14 +72,14 @@
 
 
 @given(st.data(), st.integers(-2, 2))
-def test_only_a_line_within_the_limit_is_taken(data: st.DataObject, beyond: int) -> None:
+def test_a_line_over_the_size_limit_is_rejected(data: st.DataObject, beyond: int) -> None:
     connection = Connection(max_line_bytes=len(PING) - 1 + beyond)
     connection.feed(*data.draw(cut(PING)))
     assert len(connection.received) == (beyond >= 0)
     assert connection.transport.closed == (beyond < 0)
 
 
-def test_a_line_without_end_is_refused_within_its_limit() -> None:
+def test_an_unterminated_line_is_rejected_at_the_size_limit() -> None:
     connection = Connection()
     for _ in range(10_000):
         connection.feed(b"x")
@@ -87,22 +87,22 @@
     assert connection.lines.bytes_received == MAX_LINE_BYTES + 1
 
 
-def test_nothing_is_handed_on_once_the_reader_gave_up() -> None:
+def test_no_message_is_delivered_after_the_receiver_aborts() -> None:
     received = []
 
-    def give_up(lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
+    def abort(lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
         received.append(message)
         lines.abort()
 
     transport = MemoryTransport()
-    lines: LineProtocol[PeerMessage] = LineProtocol(PeerMessage, give_up)
+    lines: LineProtocol[PeerMessage] = LineProtocol(PeerMessage, abort)
     transport.connect(lines)
     lines.data_received(PING + PING)
     assert len(received) == 1
 
 
 @pytest.mark.parametrize("closed", [True, False])
-def test_sending_tells_whether_the_line_was_taken(closed: bool) -> None:
+def test_send_returns_the_number_of_bytes_queued(closed: bool) -> None:
     connection = Connection()
     if closed:
         connection.transport.close()
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("revision", [-1, 1 << 63])
-def test_a_revision_out_of_bounds_ends_the_connection_with_the_cause(revision: int) -> None:
+def test_a_revision_out_of_range_closes_the_connection_with_the_field_name(revision: int) -> None:
     connection = Connection()
     connection.feed(encode_line(Fetch(revision=revision)))
     assert connection.received == []
--- a/tests/link/test_listener.py
+++ b/tests/link/test_listener.py
@@ -1,4 +1,4 @@
-"""The serving end: what a peer sends harms at most its own link."""
+"""Invalid input from a peer closes at most that peer's own link."""
 
 import asyncio
 from collections.abc import Sequence
@@ -47,12 +47,12 @@
 
 
 class Owner:
-    """Notes what it is told."""
+    """Records the events reported by the listener."""
 
     def __init__(self) -> None:
         self.received: list[tuple[AcceptedLink, Call]] = []
         self.cancelled: list[tuple[AcceptedLink, int]] = []
-        self.crash_news_got: list[CrashNews] = []
+        self.received_crash_news: list[CrashNews] = []
 
     def hello(self, epoch: str) -> Hello:
         return Hello(node="me", incarnation="1", epoch=epoch, service="s", zone="z", revision=1)
@@ -74,7 +74,7 @@
     def accepted_delta_received(self, link: AcceptedLink, delta: Delta) -> None: ...
 
     def crash_news_received(self, news: CrashNews) -> None:
-        self.crash_news_got.append(news)
+        self.received_crash_news.append(news)
 
     def crash_news(self) -> CrashNews | None:
         return None
@@ -114,7 +114,7 @@
         bad.transport.finish()
         good.send(call(2))
         good_link = owner.received[0][0]
-        assert [taken.call for link, taken in owner.received if link is good_link] == [1, 2]
+        assert [accepted.call for link, accepted in owner.received if link is good_link] == [1, 2]
         answer = Reply(EPOCH, 2, Answered(200, (), b""), spare_attempts=0, load=LoadReport())
         assert good_link.reply(answer)
         assert encode_line(answer) in good.transport.written
@@ -124,14 +124,16 @@
 
 
 def check_calls_of_bad_link(owner: Owner, good_link: AcceptedLink) -> None:
-    """Each call taken is whole, of the link's epoch, new, and given up on when the link ended."""
-    taken = [(link, made) for link, made in owner.received if link is not good_link]
-    numbers = [made.call for _, made in taken]
+    """Check that accepted calls are intact and unique, and were cancelled when the link closed."""
+    accepted_calls = [
+        (link, accepted) for link, accepted in owner.received if link is not good_link
+    ]
+    numbers = [accepted.call for _, accepted in accepted_calls]
     assert numbers == sorted(set(numbers))
-    for link, made in taken:
+    for link, accepted in accepted_calls:
         assert link.peer is not None
-        assert made.epoch == link.epoch != ""
-        assert digest_of(made.body) == made.digest
+        assert accepted.epoch == link.epoch != ""
+        assert digest_of(accepted.body) == accepted.digest
     assert sorted(number for _, number in owner.cancelled) == numbers
 
 
@@ -153,7 +155,9 @@
         (HELLO, call(-1), call(1)),
     ],
 )
-def test_nothing_after_a_breach_is_taken(parts: tuple[PeerMessage | bytes, ...]) -> None:
+def test_no_call_is_accepted_after_a_protocol_violation(
+    parts: tuple[PeerMessage | bytes, ...],
+) -> None:
     async def scenario() -> None:
         owner = Owner()
         peer = Peer(make_listener(owner))
@@ -161,12 +165,12 @@
         assert peer.transport.closed
         last = parts[-1]
         assert isinstance(last, Call)
-        assert last.call not in [made.call for _, made in owner.received]
+        assert last.call not in [accepted.call for _, accepted in owner.received]
 
     asyncio.run(scenario())
 
 
-def test_a_peer_that_said_who_it_is_may_send_long_lines() -> None:
+def test_long_lines_are_accepted_after_the_handshake() -> None:
     async def scenario() -> None:
         owner = Owner()
         peer = Peer(make_listener(owner))
@@ -177,7 +181,7 @@
 
 
 @pytest.mark.parametrize("host", ["10.0.0.1", "nonsense", "127.0.0.1x", ""])
-def test_a_peer_of_another_network_is_refused(host: str) -> None:
+def test_a_peer_outside_the_allowed_networks_is_rejected(host: str) -> None:
     async def scenario() -> None:
         owner = Owner()
         peer = Peer(make_listener(owner), host)
@@ -189,7 +193,7 @@
     asyncio.run(scenario())
 
 
-def test_a_peer_that_says_nothing_is_closed() -> None:
+def test_a_silent_peer_is_disconnected() -> None:
     async def scenario() -> None:
         listener = make_listener(Owner())
         silent, talking = Peer(listener), Peer(listener)
--- a/tests/link/test_networks.py
+++ b/tests/link/test_networks.py
@@ -19,5 +19,5 @@
     assert PeerNetworks(["10.9.9.9/8", "127.0.0.0/24"]).allow(address) is allowed
 
 
-def test_without_networks_nobody_is_allowed() -> None:
+def test_an_empty_list_allows_no_peer() -> None:
     assert not PeerNetworks([]).allow("127.0.0.1:1")
--- a/tests/link/test_peer.py
+++ b/tests/link/test_peer.py
@@ -1,4 +1,4 @@
-"""The calling end: each call ends in one way, whatever the peer sends."""
+"""Each call on a link ends exactly once, whatever the peer sends."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -27,19 +27,19 @@
 
 CONTEXT = CallContext(root="r", importance=Importance.NORMAL, remaining_seconds=1.0)
 STEP_SECONDS = 5.0
-EPOCH_MARK = "THE-EPOCH"
-"""Stands for the link's epoch, which it draws itself, in what a test has the peer send."""
+EPOCH_PLACEHOLDER = "THE-EPOCH"
+"""Placeholder for the link's random epoch in the peer's messages."""
 
 
 class Owner:
-    """Notes what it is told."""
+    """Records the events reported by the link."""
 
     def __init__(self) -> None:
         self.opened = asyncio.Event()
         self.closed = asyncio.Event()
         self.causes: list[str] = []
         self.deltas: list[Delta] = []
-        self.crash_news_got: list[CrashNews] = []
+        self.received_crash_news: list[CrashNews] = []
 
     def hello(self, epoch: str) -> Hello:
         return Hello("me", "1", epoch, "s", "z", 1)
@@ -61,7 +61,7 @@
         self.deltas.append(delta)
 
     def crash_news_received(self, news: CrashNews) -> None:
-        self.crash_news_got.append(news)
+        self.received_crash_news.append(news)
 
     def crash_news(self) -> CrashNews | None:
         return None
@@ -70,8 +70,8 @@
         return None
 
 
-class Scripted:
-    """A link, the peer's end of its connection, and the replies calls got."""
+class ScriptedLink:
+    """A link with the peer's end of its connection and the replies received by each call."""
 
     def __init__(self, link: PeerLink, owner: Owner) -> None:
         self.link = link
@@ -80,7 +80,7 @@
         self.writer: asyncio.StreamWriter
 
     def call(self) -> int:
-        told: list[Reply | None] = []
+        received: list[Reply | None] = []
         result, number = self.link.send_call(
             CallContent(
                 service="s",
@@ -91,34 +91,34 @@
                 context=CONTEXT,
                 revision=1,
             ),
-            told.append,
+            received.append,
         )
         assert result is SendResult.SENT
-        self.replies[number] = told
+        self.replies[number] = received
         return number
 
     async def send(self, *parts: PeerMessage | bytes) -> None:
         for part in parts:
             line = part if isinstance(part, bytes) else encode_line(part)
-            self.writer.write(line.replace(EPOCH_MARK.encode(), self.link.epoch.encode()))
+            self.writer.write(line.replace(EPOCH_PLACEHOLDER.encode(), self.link.epoch.encode()))
         await self.writer.drain()
 
-    async def ended(self) -> None:
+    async def wait_closed(self) -> None:
         async with asyncio.timeout(STEP_SECONDS):
             await self.owner.closed.wait()
 
 
 def hello() -> Hello:
-    return Hello("peer", "1", EPOCH_MARK, "s", "z", 1)
+    return Hello("peer", "1", EPOCH_PLACEHOLDER, "s", "z", 1)
 
 
-def reply(number: int, epoch: str = EPOCH_MARK, body: bytes = b"mine") -> Reply:
+def reply(number: int, epoch: str = EPOCH_PLACEHOLDER, body: bytes = b"mine") -> Reply:
     return Reply(epoch, number, Answered(200, (), body), spare_attempts=0, load=LoadReport())
 
 
 @asynccontextmanager
-async def scripted(say_hello: bool = True) -> AsyncIterator[Scripted]:
-    """Connect a link to a peer that sends what the test says."""
+async def connected_link(send_hello: bool = True) -> AsyncIterator[ScriptedLink]:
+    """Connect a link to a peer controlled by the test."""
     writers: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
     async def accept(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -135,18 +135,18 @@
         heartbeat_seconds=30.0,
         connect_timeout_seconds=STEP_SECONDS,
     )
-    scene = Scripted(link, owner)
+    scripted_link = ScriptedLink(link, owner)
     try:
         await link.connect()
         async with asyncio.timeout(STEP_SECONDS):
-            scene.writer = await writers.get()
-            if say_hello:
-                await scene.send(hello())
+            scripted_link.writer = await writers.get()
+            if send_hello:
+                await scripted_link.send(hello())
                 await owner.opened.wait()
-        yield scene
+        yield scripted_link
     finally:
         link.close("test ended")
-        scene.writer.close()
+        scripted_link.writer.close()
         server.close()
 
 
@@ -154,39 +154,44 @@
 @given(st.lists(st.one_of(messages, garbage, st.integers(0, 5).map(reply)), max_size=8))
 def test_each_call_ends_once_and_only_by_its_own_reply(parts: list[PeerMessage | bytes]) -> None:
     async def scenario() -> None:
-        async with scripted() as scene:
-            numbers = [scene.call() for _ in range(3)]
-            await scene.send(*parts, b"\n")  # an empty line ends the link at the latest
-            await scene.ended()
-            assert [len(scene.replies[number]) for number in numbers] == [1, 1, 1]
+        async with connected_link() as scripted_link:
+            numbers = [scripted_link.call() for _ in range(3)]
+            await scripted_link.send(*parts, b"\n")  # an empty line always closes the link
+            await scripted_link.wait_closed()
+            assert [len(scripted_link.replies[number]) for number in numbers] == [1, 1, 1]
             for number in numbers:
-                (told,) = scene.replies[number]
-                assert told is None or (told.call, told.epoch) == (number, scene.link.epoch)
-            assert len(scene.owner.causes) == 1
-            assert scene.link.calls_in_progress == 0
+                (received,) = scripted_link.replies[number]
+                assert received is None or (received.call, received.epoch) == (
+                    number,
+                    scripted_link.link.epoch,
+                )
+            assert len(scripted_link.owner.causes) == 1
+            assert scripted_link.link.calls_in_progress == 0
 
     asyncio.run(scenario())
 
 
-async def test_replies_of_another_epoch_and_to_calls_given_up_on_find_nobody() -> None:
-    async with scripted() as scene:
-        first, second = scene.call(), scene.call()
-        scene.link.cancel_call(first)
-        await scene.send(reply(second, epoch="older", body=b"late"), reply(first, body=b"late"))
-        await scene.send(reply(second), reply(second, body=b"again"), b"\n")
-        await scene.ended()
-    assert scene.replies[first] == []
-    (told,) = scene.replies[second]
-    assert told is not None
-    assert isinstance(told.outcome, Answered)
-    assert told.outcome.body == b"mine"
+async def test_replies_of_another_epoch_or_to_cancelled_calls_are_dropped() -> None:
+    async with connected_link() as scripted_link:
+        first, second = scripted_link.call(), scripted_link.call()
+        scripted_link.link.cancel_call(first)
+        await scripted_link.send(
+            reply(second, epoch="older", body=b"late"), reply(first, body=b"late")
+        )
+        await scripted_link.send(reply(second), reply(second, body=b"again"), b"\n")
+        await scripted_link.wait_closed()
+    assert scripted_link.replies[first] == []
+    (received,) = scripted_link.replies[second]
+    assert received is not None
+    assert isinstance(received.outcome, Answered)
+    assert received.outcome.body == b"mine"
 
 
 @pytest.mark.parametrize(
     "first",
     [
         reply(1),
-        Ping(epoch=EPOCH_MARK),
+        Ping(epoch=EPOCH_PLACEHOLDER),
         Delta(base=0, revision=9),
         Hello("peer", "1", "another-epoch", "s", "z", 1),
         NESTED,
@@ -194,11 +199,13 @@
         b"\xff\xfe\n",
     ],
 )
-async def test_a_peer_that_does_not_say_who_it_is_is_left(first: PeerMessage | bytes) -> None:
-    async with scripted(say_hello=False) as scene:
-        await scene.send(first, hello())
-        await scene.ended()
-        assert scene.link.state is LinkState.CLOSED
-        assert not scene.owner.opened.is_set()
-        assert scene.owner.deltas == []
-        assert scene.owner.causes == ["protocol"]
+async def test_a_peer_that_does_not_send_hello_first_is_disconnected(
+    first: PeerMessage | bytes,
+) -> None:
+    async with connected_link(send_hello=False) as scripted_link:
+        await scripted_link.send(first, hello())
+        await scripted_link.wait_closed()
+        assert scripted_link.link.state is LinkState.CLOSED
+        assert not scripted_link.owner.opened.is_set()
+        assert scripted_link.owner.deltas == []
+        assert scripted_link.owner.causes == ["protocol"]
--- a/tests/link/transport.py
+++ b/tests/link/transport.py
@@ -1,11 +1,11 @@
-"""A transport in memory, for tests of protocols."""
+"""An in-memory asyncio transport for protocol tests."""
 
 import asyncio
 from typing import Any
 
 
 class MemoryTransport(asyncio.Transport):
-    """Keeps what is written; closes at once."""
+    """Records written data; closing takes effect immediately."""
 
     def __init__(self, address: tuple[str, int] = ("127.0.0.1", 40_000)) -> None:
         super().__init__()
@@ -28,7 +28,7 @@
         self.written += bytes(data)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Nothing waits here, so no limit matters."""
+        """Do nothing: written data is never buffered."""
 
     def get_write_buffer_size(self) -> int:
         return 0
@@ -40,7 +40,7 @@
         self.closed = True
 
     def finish(self) -> None:
-        """Tell the protocol of the end, as the event loop does some time after a close."""
+        """Report the closed connection to the protocol, as the event loop does after a close."""
         self.closed = True
         assert self._protocol is not None
         self._protocol.connection_lost(None)
