--- a/src/finchshed/http/__init__.py
+++ b/src/finchshed/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP listener: connections of callers, their requests and the answers to them."""
+"""HTTP/1.1 server for callers and back ends."""
--- a/src/finchshed/http/connection.py
+++ b/src/finchshed/http/connection.py
@@ -1,8 +1,8 @@
-"""One connection of the HTTP listener; parsing is httptools' (llhttp).
+"""A server-side HTTP connection, parsed with httptools (llhttp).
 
-Requests on a connection are answered in their order. A request is handed on only when it is whole,
-and its answer is written only when that is whole too. Owns the requests of its connection; relies
-on the listener's handler to judge and answer them.
+Pipelined requests are answered in order. Requests and responses are not streamed: the handler
+receives a complete request and returns a complete response. Owns the requests of its connection;
+the server's handler admits and answers them.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 from finchshed.http.status import STATUS_BAD_REQUEST, STATUS_HEAD_TOO_LARGE
 
 MAX_DISCARDED_BYTES = 1 << 20
-"""Bytes of a refused request's body past its limit that are read and dropped, so that its sender
-sees the answer and not a reset; chosen, not measured."""
+"""Bytes of an oversized body to read and discard, so that the client receives the response instead
+of a connection reset."""
 
 
 class InboundConnection(asyncio.Protocol, Generic[RequestT]):
-    """A connection of a caller."""
+    """A connection opened by a client."""
 
     def __init__(self, owner: "ConnectionOwner[RequestT, InboundConnection[RequestT]]") -> None:
         self._owner = owner
@@ -40,7 +40,7 @@
         self._reading: Exchange[RequestT] | None = None
         self._answering: Exchange[RequestT] | None = None
         self._queued: deque[Exchange[RequestT]] = deque()
-        self._held: list[bytes] = []
+        self._unparsed: list[bytes] = []
         self._is_advancing = False
         self.is_lingering = False
         self.last_active_at = owner.now
@@ -48,41 +48,41 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being read or answered, or an answer is on its way out."""
+        """Whether a request is being read or answered, or response data is unsent."""
         if self._answering is not None or self._reading is not None or self._queued:
             return True
         return self.write_buffer_size() > 0
 
     @property
     def is_answering(self) -> bool:
-        """Whether a whole request waits for its answer."""
+        """Whether a complete request is with the handler."""
         return self._answering is not None
 
     def write_buffer_size(self) -> int:
-        """Return the bytes that wait to be sent."""
+        """Return the number of unsent bytes."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
     def close(self) -> None:
-        """Close once what is queued has been sent."""
+        """Close the connection after sending the queued data."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately, discarding queued data."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio callback)."""
+        """Register the connection (asyncio callback)."""
         self._transport = cast(asyncio.Transport, transport)
-        # Answers go out at once, not at the end of the loop's round.
+        # uvloop then writes immediately instead of at the end of the loop iteration.
         self._transport.set_write_buffer_limits(high=0)
         peer = transport.get_extra_info("peername")
         self._remote = peer[0] if peer else ""
         self._owner.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up what is in progress (asyncio callback)."""
+        """Cancel the requests in progress (asyncio callback)."""
         self._transport = None
         self._owner.closed(self)
         answering = self._answering
@@ -92,19 +92,19 @@
                 self._release(exchange)
         self._reading = None
         self._queued.clear()
-        # The parser refers back to this connection: without the cycle both are freed at once.
+        # Breaks the reference cycle with the parser, so both are freed without a collection.
         del self._parser
-        if answering is not None and answering.give_up is not None:
-            answering.give_up()
+        if answering is not None and answering.abort is not None:
+            answering.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came in (asyncio callback)."""
+        """Parse the received data (asyncio callback)."""
         if self.is_lingering:
             return
         self.last_active_at = self._owner.now
         if self._answering is not None:
-            # The next request came before the answer to this one: it waits unparsed.
-            self._held.append(data)
+            # A pipelined request; it is parsed after the current response.
+            self._unparsed.append(data)
             if self._transport is not None:
                 self._transport.pause_reading()
             return
@@ -115,12 +115,12 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # No other protocol is offered: the request itself is answered as any other.
+            # Upgrades are not supported; answer the request normally, then close.
             self._queued[-1].closes = True
         except httptools.HttpParserCallbackError:
             raise
         except httptools.HttpParserError as error:
-            self._end_malformed(f"malformed request: {error}")
+            self._reject_malformed(f"malformed request: {error}")
             return
         if self._reading is not None:
             self._check_size(self._reading)
@@ -130,23 +130,23 @@
         if reading.admitted is None and reading.refusal is None:
             limit = self._owner.limits.max_head_bytes
             if self._head_bytes > limit:
-                self._end_malformed(f"limit of the head: {limit} bytes", STATUS_HEAD_TOO_LARGE)
+                self._reject_malformed(f"limit of the head: {limit} bytes", STATUS_HEAD_TOO_LARGE)
         elif reading.size > reading.limit + MAX_DISCARDED_BYTES:
             self._queue_unread(reading)
 
-    # Callbacks of the parser.
+    # httptools callbacks
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Begin a new request."""
         self._reading = Exchange(InboundRequest(self._remote))
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Keep a part of the request's target."""
+        """Append to the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Record a header."""
         assert self._reading is not None
         name = name.lower()
         request = self._reading.request
@@ -154,7 +154,7 @@
         request.first.setdefault(name, value)
 
     def on_headers_complete(self) -> None:
-        """Judge the request by its head."""
+        """Admit or refuse the request based on its head."""
         exchange = self._reading
         assert exchange is not None
         request = exchange.request
@@ -174,7 +174,7 @@
             self._on_expect(exchange)
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body within its limits."""
+        """Buffer a part of the body, subject to the size limits."""
         exchange = self._reading
         if exchange is None:
             return
@@ -187,10 +187,10 @@
             detail = "bodies held reach their limit"
             exchange.refusal = self._owner.handler.make_refusal(RefusalReason.OVERLOAD, detail)
         else:
-            exchange.keep(body)
+            exchange.append_body(body)
 
     def on_message_complete(self) -> None:
-        """Queue the whole request; it is handed on once the parser has returned."""
+        """Queue the complete request; it is handled after the parser returns."""
         exchange = self._reading
         if exchange is None:
             return
@@ -199,35 +199,35 @@
         exchange.complete()
         self._queued.append(exchange)
 
-    # Answering.
+    # Responses
 
     def _advance(self) -> None:
-        """Answer the whole requests that wait, one after the other."""
+        """Handle queued requests in order until one has to wait for its response."""
         if self._is_advancing:
             return
         self._is_advancing = True
         while self._queued and self._answering is None and self._transport is not None:
-            self._begin(self._queued.popleft())
+            self._handle(self._queued.popleft())
         self._is_advancing = False
 
-    def _begin(self, exchange: Exchange[RequestT]) -> None:
+    def _handle(self, exchange: Exchange[RequestT]) -> None:
         self._answering = exchange
         handler = self._owner.handler
         if exchange.refusal is not None or exchange.admitted is None:
             assert exchange.refusal is not None
             self._respond(exchange, handler.refusal_response(exchange.refusal))
             return
-        give_up = handler.handle(
+        abort = handler.handle(
             exchange.request, exchange.admitted, lambda response: self._respond(exchange, response)
         )
         if self._answering is exchange:
-            exchange.give_up = give_up
+            exchange.abort = abort
 
     def _respond(self, exchange: Exchange[RequestT], response: Response) -> None:
         if self._answering is not exchange or self._transport is None:
             return
         self._answering = None
-        exchange.give_up = None
+        exchange.abort = None
         self._release(exchange)
         closes = exchange.closes or self._owner.closing or not response.has_length
         is_head = exchange.request.method == "HEAD"
@@ -238,17 +238,17 @@
             return
         if not self._is_advancing:
             self._advance()
-        if self._answering is None and self._held:
-            self._parse_held()
+        if self._answering is None and self._unparsed:
+            self._parse_buffered()
 
-    def _parse_held(self) -> None:
-        held = self._held
-        self._held = []
+    def _parse_buffered(self) -> None:
+        pending = self._unparsed
+        self._unparsed = []
         if self._transport is not None:
             self._transport.resume_reading()
-        while held and self._answering is None and self._transport is not None:
-            self._parse(held.pop(0))
-        self._held = held + self._held
+        while pending and self._answering is None and self._transport is not None:
+            self._parse(pending.pop(0))
+        self._unparsed = pending + self._unparsed
 
     def _check_declared_length(self, exchange: Exchange[RequestT]) -> None:
         declared = exchange.request.first.get(b"content-length")
@@ -265,17 +265,17 @@
         if exchange.refusal is None:
             self._transport.write(CONTINUE)
             return
-        # The sender waits for leave to send the body, and is not given it.
+        # The client waits for 100 Continue; send the refusal instead.
         self._queue_unread(exchange)
 
     def _queue_unread(self, exchange: Exchange[RequestT]) -> None:
-        """Have a refused request answered though its body has not come in whole."""
+        """Queue a refused request whose body has not been received completely."""
         exchange.closes = True
         self._reading = None
         self._queued.append(exchange)
 
-    def _end_malformed(self, detail: str, status: int = STATUS_BAD_REQUEST) -> None:
-        """Answer what can't be read on from here, and end the connection."""
+    def _reject_malformed(self, detail: str, status: int = STATUS_BAD_REQUEST) -> None:
+        """Answer unparsable input and end the connection."""
         if self._transport is None:
             return
         if self._answering is None:
@@ -284,7 +284,10 @@
         self._end_sending(is_lingering=True)
 
     def _end_sending(self, *, is_lingering: bool) -> None:
-        """Close, or leave it to the other side, so that it reads the answer before the end."""
+        """Close the connection, or only its write side.
+
+        After a half-close the client can read the response before the connection closes.
+        """
         self.is_lingering = True
         if self._transport is None:
             return
--- a/src/finchshed/http/exchange.py
+++ b/src/finchshed/http/exchange.py
@@ -1,7 +1,6 @@
-"""What passes between a connection of the HTTP listener and those who answer its requests.
+"""Interfaces between an HTTP connection, its server and the request handler.
 
-The type of the connection is a parameter of its owner, so that connections import this and this
-doesn't import them. Relies on the owner's budget for the bytes of bodies held.
+They are generic over the connection type, so this module need not import the connection class.
 """
 
 from collections.abc import Callable
@@ -18,16 +17,16 @@
 
 
 class RequestHandler(Protocol[RequestT]):
-    """What answers requests.
+    """Admits and answers requests.
 
-    ``RequestT`` is what it knows of a request from its head; it gets that back with the body.
+    ``RequestT`` is the handler's result of admitting a request; it is passed to :meth:`handle`.
     """
 
     def admit(self, request: InboundRequest) -> RequestT | Refused:
-        """Judge a request by its head, before its body is read."""
+        """Admit or refuse a request by its head, before its body is read."""
 
     def max_body_bytes(self, admitted: RequestT) -> int:
-        """Return the largest body taken for an admitted request."""
+        """Return the maximum body size of an admitted request."""
 
     def handle(
         self,
@@ -35,20 +34,20 @@
         admitted: RequestT,
         respond: Callable[[Response], None],
     ) -> Callable[[], None]:
-        """Answer a whole request; ``respond`` is called once. Return what gives it up."""
+        """Answer a complete request by calling ``respond`` once; return a function to abort it."""
 
     def refusal_response(self, refused: Refused) -> Response:
-        """Return the response that tells a refusal."""
+        """Return the response for a refused request."""
 
     def make_refusal(self, reason: RefusalReason, detail: str) -> Refused:
-        """Return the refusal of a request whose body can't be taken."""
+        """Return the refusal of a request whose body is not accepted."""
 
     def malformed_response(self, detail: str, status: int) -> Response:
-        """Return the response to bytes that are no request, or no allowed one."""
+        """Return the response to malformed input."""
 
 
 class ConnectionOwner(Protocol[RequestT, ConnectionT_contra]):
-    """The listener a connection belongs to."""
+    """The server to which a connection belongs."""
 
     handler: RequestHandler[RequestT]
     spool: SpoolBudget
@@ -57,10 +56,10 @@
     closing: bool
 
     def opened(self, connection: ConnectionT_contra) -> None:
-        """Count a connection."""
+        """Register a connection."""
 
     def closed(self, connection: ConnectionT_contra) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
 
 
 @dataclass(slots=True)
@@ -70,15 +69,15 @@
     Attributes
     ----------
     limit
-        Bytes of the largest body taken.
+        Maximum body size in bytes.
     size
-        Bytes of the body that came in, kept or dropped.
+        Body bytes received, including discarded ones.
     spooled
-        Bytes of the body that are counted in the budget.
+        Body bytes reserved in the spool budget.
     closes
-        Whether its answer is the last one on the connection.
-    give_up
-        Gives the request up at who answers it; None while nobody does.
+        Whether the connection closes after the response.
+    abort
+        Aborts the request in the handler; None while it is not being handled.
     """
 
     request: InboundRequest
@@ -89,16 +88,16 @@
     spooled: int = 0
     closes: bool = False
     is_whole: bool = False
-    give_up: Callable[[], None] | None = None
+    abort: Callable[[], None] | None = None
     _parts: list[bytes] = field(default_factory=list)
 
-    def keep(self, part: bytes) -> None:
-        """Keep a part of the body."""
+    def append_body(self, part: bytes) -> None:
+        """Append a part of the body."""
         self.spooled += len(part)
         self._parts.append(part)
 
     def complete(self) -> None:
-        """Join the body: the whole request has come in."""
+        """Join the body parts; the request has been received completely."""
         parts = self._parts
         if parts:
             self.request.body = parts[0] if len(parts) == 1 else b"".join(parts)
--- a/src/finchshed/http/limits.py
+++ b/src/finchshed/http/limits.py
@@ -1,22 +1,22 @@
-"""What a connection may bring and how long it may take; the configuration may change it."""
+"""Size and time limits of HTTP connections."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class ConnectionLimits:
-    """Limits of all connections of a listener; may change while they are open.
+    """Limits of all connections of a server; mutable, and changes apply to open connections.
 
     Attributes
     ----------
     max_head_bytes
-        Longest request line with headers.
+        Maximum size of the request line and headers.
     idle_seconds
-        A connection without a request for this long is closed.
+        Time after which a connection without a request is closed.
     read_seconds
-        A request of which nothing has come in for this long is given up.
+        Time without progress after which a partially received request is dropped.
     write_seconds
-        An answer of which nothing was taken for this long is given up.
+        Time without progress after which an unsent response is dropped.
     """
 
     max_head_bytes: int = 65_536
--- a/src/finchshed/http/message.py
+++ b/src/finchshed/http/message.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the HTTP listener as values, and the bytes of a response."""
+"""HTTP requests and responses, and the encoding of responses."""
 
 import http
 from collections.abc import Mapping
@@ -15,25 +15,25 @@
 )
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-"""Interim answer to ``Expect: 100-continue`` (RFC 9110, 10.1.1)."""
+"""Interim response to ``Expect: 100-continue`` (RFC 9110, section 10.1.1)."""
 
 _PHRASES: Mapping[int, str] = {status.value: status.phrase for status in http.HTTPStatus}
 
 
 @dataclass(slots=True)
 class InboundRequest:
-    """A request as it came in.
+    """A request received from a client.
 
     Attributes
     ----------
     target
-        Path and query, as sent.
+        Path and query as sent, without scheme and authority.
     headers
-        All headers in order, names in lower case.
+        All headers in order, with lowercase names.
     first
-        First value of each header.
+        First value of each header, by lowercase name.
     remote
-        IP address of the sender.
+        IP address of the client.
     """
 
     remote: str
@@ -44,13 +44,16 @@
     body: bytes = b""
 
     def header(self, name: bytes) -> str:
-        """Return the first value of a header, or an empty string."""
+        """Return the first value of a header, or an empty string if absent."""
         value = self.first.get(name)
         return "" if value is None else value.decode("latin-1")
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A response to a caller. Without a length its end is told by that of the connection."""
+    """A response to a client.
+
+    Without ``has_length``, no content length is sent and closing the connection ends the body.
+    """
 
     status: int
     headers: Headers
@@ -59,7 +62,7 @@
 
 
 def origin_form(target: bytes) -> str:
-    """Return path and query of a request's target (RFC 9112, 3.2)."""
+    """Return the path and query of a request target (RFC 9112, section 3.2)."""
     if target.startswith(b"/"):
         return target.decode("latin-1")
     try:
@@ -71,14 +74,16 @@
 
 
 def encode_response(response: Response, *, is_head: bool, closes: bool) -> bytes:
-    """Return the bytes of a response.
+    """Encode a response.
+
+    A response whose headers contain line breaks is replaced by a bare 500 response.
 
     Parameters
     ----------
     is_head
-        Whether it answers HEAD: no body is sent, and no length of one.
+        Whether it answers a HEAD request; body and content length are omitted.
     closes
-        Whether the connection is closed after it.
+        Whether the connection closes after it.
     """
     status = response.status
     lines = [f"HTTP/1.1 {status} {_PHRASES.get(status, 'Unknown')}"]
@@ -90,14 +95,14 @@
         lines.append("connection: close")
     lines.append("\r\n")
     head = "\r\n".join(lines)
-    breaks = len(lines)
-    if head.count("\n") != breaks or head.count("\r") != breaks:
-        return _malformed(closes)
+    line_breaks = len(lines)
+    if head.count("\n") != line_breaks or head.count("\r") != line_breaks:
+        return _header_injection_response(closes)
     encoded = head.encode("latin-1")
     return encoded + response.body if has_body else encoded
 
 
-def _malformed(closes: bool) -> bytes:
-    """Return the answer in place of one whose headers hold line breaks."""
+def _header_injection_response(closes: bool) -> bytes:
+    """Return the replacement for a response whose headers contain line breaks."""
     bare = Response(STATUS_INTERNAL_SERVER_ERROR, (("finchshed-ran", "unknown"),), b"")
     return encode_response(bare, is_head=False, closes=closes)
--- a/src/finchshed/http/server.py
+++ b/src/finchshed/http/server.py
@@ -1,7 +1,7 @@
-"""The HTTP listener's connections: made, watched and closed.
+"""Tracks HTTP connections and closes idle or stuck ones.
 
-One look at all connections every half second takes the place of a timer for each. Owns the
-connections; relies on its owner to call :meth:`HttpServer.sweep`.
+A periodic sweep over all connections replaces a timer per connection. Owns the connections; its
+owner must call :meth:`HttpServer.sweep` regularly.
 """
 
 import asyncio
@@ -14,30 +14,29 @@
 from finchshed.runtime import clock
 
 LINGER_SECONDS = 2.0
-"""Seconds that a caller whose request was refused early has to close the connection itself; chosen,
-not measured."""
+"""Time a client has to close the connection after an early refusal."""
 
 RequestT = TypeVar("RequestT")
 
 
 class HttpServer(Generic[RequestT]):
-    """Connections of callers and of the local back end.
+    """Accepts connections and holds the state they share.
 
     Parameters
     ----------
     handler
-        Answers requests.
+        Admits and answers requests.
     spool
-        Bounds the bodies held.
+        Limits the total size of buffered bodies.
     limits
-        Bounds of each connection.
+        Limits of each connection.
 
     Attributes
     ----------
     closing
-        Whether each answer is the last one on its connection.
+        Whether connections close after their next response.
     now
-        Monotonic seconds at the last look at the connections.
+        Time of the last sweep, in seconds on the boot-time clock.
     """
 
     def __init__(
@@ -55,34 +54,34 @@
 
     @property
     def connections(self) -> int:
-        """Connections open."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is being read or answered."""
+        """Whether any connection is reading or answering a request."""
         return any(connection.is_busy for connection in self._connections)
 
     def make_protocol(self) -> asyncio.Protocol:
-        """Return the protocol of one accepted connection."""
+        """Create the protocol of an accepted connection."""
         return InboundConnection(self)
 
     def opened(self, connection: InboundConnection[RequestT]) -> None:
-        """Count a connection (connection owner's part)."""
+        """Register a connection; see :class:`~finchshed.http.exchange.ConnectionOwner`."""
         self._connections.add(connection)
 
     def closed(self, connection: InboundConnection[RequestT]) -> None:
-        """Forget a connection (connection owner's part)."""
+        """Unregister a connection; see :class:`~finchshed.http.exchange.ConnectionOwner`."""
         self._connections.discard(connection)
 
     def sweep(self) -> None:
-        """Close connections that are idle or stuck."""
+        """Close idle and stuck connections."""
         self.now = clock.now()
         for connection in list(self._connections):
             self._check(connection)
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close every connection after sending its queued data."""
         for connection in list(self._connections):
             connection.close()
 
@@ -91,16 +90,16 @@
         if unsent != connection.unsent_bytes:
             connection.unsent_bytes = unsent
             connection.last_active_at = self.now
-        idle = self.now - connection.last_active_at
+        idle_seconds = self.now - connection.last_active_at
         if unsent:
-            if idle > self.limits.write_seconds:
+            if idle_seconds > self.limits.write_seconds:
                 connection.abort()
         elif connection.is_answering:
             connection.last_active_at = self.now
-        elif idle > self._longest_idle(connection):
+        elif idle_seconds > self._idle_limit(connection):
             connection.close()
 
-    def _longest_idle(self, connection: InboundConnection[RequestT]) -> float:
+    def _idle_limit(self, connection: InboundConnection[RequestT]) -> float:
         if connection.is_lingering:
             return LINGER_SECONDS
         limits = self.limits
--- a/src/finchshed/http/simple.py
+++ b/src/finchshed/http/simple.py
@@ -1,7 +1,7 @@
-"""A handler for the small interfaces of a process: one function answers each whole request.
+"""HTTP server for auxiliary endpoints, with one function that answers every request.
 
-For metrics, readiness, heartbeats, the operator's calls. Relies on the same connections as the call
-path, so sizes and times are bounded alike.
+Serves metrics, readiness, heartbeats and operator requests. Uses the same connections as the data
+path, so the same size and time limits apply.
 """
 
 import asyncio
@@ -28,34 +28,34 @@
     RefusalReason.OVERLOAD: STATUS_SERVICE_UNAVAILABLE,
 }
 RETRY_SECONDS = 1.0
-"""Seconds after which refused callers may come back; chosen, not measured."""
+"""Retry delay given to refused clients."""
 
 SWEEP_SECONDS = 1.0
-"""Seconds between two looks for idle connections; chosen, not measured."""
+"""Interval between sweeps for idle connections."""
 
 JSON = (("content-type", "application/json"),)
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Body of an answer to a request that can't be served."""
+    """Body of an error response."""
 
     error: str
 
 
 def problem_response(status: int, text: str) -> Response:
-    """Return an answer that says in words what is wrong."""
+    """Return a JSON error response."""
     return Response(status, JSON, msgspec.json.encode(ErrorBody(text)))
 
 
 class SimpleHandler:
-    """Has whole requests answered by a function, which may take its time.
+    """Answers requests with a synchronous or asynchronous function.
 
     Parameters
     ----------
     answer
-        Returns the answer to a request, or an awaitable of it.
+        Returns the response to a request, or an awaitable of it.
     max_body_bytes
-        Largest body taken.
+        Maximum body size in bytes.
     """
 
     def __init__(self, answer: AnswerFunction, max_body_bytes: int) -> None:
@@ -64,17 +64,17 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def admit(self, request: InboundRequest) -> bool:
-        """Take any request."""
+        """Admit every request."""
         return True
 
     def max_body_bytes(self, admitted: bool) -> int:
-        """Return the largest body taken."""
+        """Return the maximum body size."""
         return self._max_body_bytes
 
     def handle(
         self, request: InboundRequest, admitted: bool, respond: Callable[[Response], None]
     ) -> Callable[[], None]:
-        """Answer a whole request; what takes time goes on if its sender leaves."""
+        """Answer a complete request; an asynchronous answer continues if the client disconnects."""
         answer = self._answer(request)
         if isinstance(answer, Response):
             respond(answer)
@@ -82,53 +82,53 @@
             task = asyncio.get_running_loop().create_task(_respond_later(answer, respond))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        return _nothing
+        return _ignore_abort
 
     def refusal_response(self, refused: Refused) -> Response:
-        """Return the response that tells a refusal."""
+        """Return the response for a refused request."""
         status = STATUS_BY_REASON.get(refused.reason, STATUS_BAD_REQUEST)
         return problem_response(status, refused.detail or refused.reason)
 
     def make_refusal(self, reason: RefusalReason, detail: str) -> Refused:
-        """Return the refusal of a request whose body can't be taken."""
+        """Return the refusal of a request whose body is not accepted."""
         return Refused(reason, RETRY_SECONDS, detail)
 
     def malformed_response(self, detail: str, status: int) -> Response:
-        """Return the response to bytes that are no request, or no allowed one."""
+        """Return the response to malformed input."""
         return problem_response(status, detail)
 
 
 class SimpleServer(HttpServer[bool]):
-    """A small interface: its handler, its bound of bodies and its look for idle connections.
+    """HTTP server with a single answer function, its own body budget and sweeps.
 
     Parameters
     ----------
     answer
-        Returns the answer to a request, or an awaitable of it.
+        Returns the response to a request, or an awaitable of it.
     max_body_bytes
-        Largest body taken.
+        Maximum body size in bytes.
     bodies_held
-        Bodies of that size that are held at a time.
+        Number of maximum-size bodies that may be buffered at once.
     """
 
     def __init__(self, answer: AnswerFunction, max_body_bytes: int, bodies_held: int) -> None:
         spool = SpoolBudget(bodies_held * max_body_bytes)
         super().__init__(SimpleHandler(answer, max_body_bytes), spool)
-        self._sweeping: asyncio.Task[None] | None = None
+        self._sweep_task: asyncio.Task[None] | None = None
 
     def make_protocol(self) -> asyncio.Protocol:
-        """Return the protocol of one accepted connection."""
-        if self._sweeping is None:
-            self._sweeping = asyncio.get_running_loop().create_task(self._sweep_on())
+        """Create the protocol of an accepted connection; the first starts the sweeps."""
+        if self._sweep_task is None:
+            self._sweep_task = asyncio.get_running_loop().create_task(self._sweep_periodically())
         return super().make_protocol()
 
     def close(self) -> None:
-        """Close every connection."""
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        """Stop the sweeps and close every connection."""
+        if self._sweep_task is not None:
+            self._sweep_task.cancel()
         super().close()
 
-    async def _sweep_on(self) -> None:
+    async def _sweep_periodically(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             self.sweep()
@@ -143,5 +143,5 @@
     respond(response)
 
 
-def _nothing() -> None:
-    """Give up nothing: an answer under way costs less than to stop it."""
+def _ignore_abort() -> None:
+    """Do nothing: answers are not cancelled when the client disconnects."""
--- a/src/finchshed/http/spool.py
+++ b/src/finchshed/http/spool.py
@@ -1,22 +1,22 @@
-"""The bytes of bodies that a daemon holds at a time: past them requests are refused, not read."""
+"""Budget for the total size of buffered request bodies."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class SpoolBudget:
-    """Bytes of bodies held at a time."""
+    """Counts buffered body bytes against a limit."""
 
     limit: int
     held: int = 0
 
     def reserve(self, size: int) -> bool:
-        """Count ``size`` bytes; return False, counting nothing, where they don't fit."""
+        """Reserve ``size`` bytes; return False, reserving nothing, if they exceed the limit."""
         if self.held + size > self.limit:
             return False
         self.held += size
         return True
 
     def release(self, size: int) -> None:
-        """Count ``size`` bytes as no longer held."""
+        """Release ``size`` reserved bytes."""
         self.held -= size
--- a/src/finchshed/http/status.py
+++ b/src/finchshed/http/status.py
@@ -1,4 +1,4 @@
-"""Status codes of HTTP as plain numbers, with the names of RFC 9110."""
+"""HTTP status codes as integers, named as in RFC 9110."""
 
 from http import HTTPStatus
 
