--- a/src/finchshed/settings/__init__.py
+++ b/src/finchshed/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process: one TOML file, flags over it, typed and checked before anything starts."""
+"""Process settings from a TOML file and command-line flags, validated before startup."""
--- a/src/finchshed/settings/command.py
+++ b/src/finchshed/settings/command.py
@@ -1,4 +1,4 @@
-"""``finchshed config``: check, show and sample settings."""
+"""The ``finchshed config`` commands: check and show settings, print samples."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
--- a/src/finchshed/settings/describe.py
+++ b/src/finchshed/settings/describe.py
@@ -1,4 +1,4 @@
-"""Says in words what a settings field allows, from its type."""
+"""Describes the allowed values of a settings field, derived from its type."""
 
 from typing import Any, get_args
 
@@ -17,11 +17,11 @@
     "_kilobytes": "kilobytes",
     "_megabytes": "megabytes",
 }
-"""Endings of field names that name a unit."""
+"""Unit by field name suffix."""
 
 
 def unit_of(name: str) -> str:
-    """Return the unit that ``name`` ends in, or an empty string."""
+    """Return the unit named by the suffix of ``name``, or an empty string."""
     for suffix, unit in UNIT_SUFFIXES.items():
         if name.endswith(suffix):
             return unit
@@ -29,7 +29,7 @@
 
 
 def name_without_unit(name: str) -> str:
-    """Return ``name`` without its unit."""
+    """Return ``name`` without its unit suffix."""
     for suffix in UNIT_SUFFIXES:
         if name.endswith(suffix):
             return name.removesuffix(suffix)
@@ -43,7 +43,7 @@
 
 
 def is_listen_address(field_type: Any) -> bool:
-    """Return whether the field is an address that the process binds."""
+    """Return whether the field is an address to which the process binds."""
     return any((meta.extra or {}).get(LISTEN) for meta in _metas(field_type))
 
 
@@ -56,11 +56,11 @@
 
 
 def allowed_values(name: str, field_type: Any) -> str:
-    """Return in words what the field called ``name`` may hold."""
+    """Describe the allowed values of the field ``name``."""
     titles = [meta.title for meta in _metas(field_type) if meta.title]
     if titles:
         return titles[-1]
-    return _words(_bare(inspect.type_info(field_type)), unit_of(name))
+    return _describe(_unwrap(inspect.type_info(field_type)), unit_of(name))
 
 
 def _metas(field_type: Any) -> list[msgspec.Meta]:
@@ -72,32 +72,32 @@
     return isinstance(value, msgspec.Meta)
 
 
-def _bare(info: inspect.Type) -> inspect.Type:
+def _unwrap(info: inspect.Type) -> inspect.Type:
     while isinstance(info, inspect.Metadata):
         info = info.type
     return info
 
 
-def _words(info: inspect.Type, unit: str) -> str:
-    info_bare = _bare(info)
-    of_unit = f" of {unit}" if unit else ""
-    match info_bare:
+def _describe(info: inspect.Type, unit: str) -> str:
+    inner = _unwrap(info)
+    unit_text = f" of {unit}" if unit else ""
+    match inner:
         case inspect.BoolType():
             return "true or false"
         case inspect.IntType():
-            return f"a whole number{of_unit}{_range(info_bare)}"
+            return f"a whole number{unit_text}{_range(inner)}"
         case inspect.FloatType():
-            return f"a number{of_unit}{_range(info_bare)}"
+            return f"a number{unit_text}{_range(inner)}"
         case inspect.StrType():
-            return _title(info) or "text in quotes" + _pattern(info_bare)
+            return _title(info) or "text in quotes" + _pattern(inner)
         case inspect.EnumType():
-            return "one of " + ", ".join(str(member.value) for member in info_bare.cls)
+            return "one of " + ", ".join(str(member.value) for member in inner.cls)
         case inspect.LiteralType():
-            return "one of " + ", ".join(str(value) for value in info_bare.values)
+            return "one of " + ", ".join(str(value) for value in inner.values)
         case inspect.VarTupleType() | inspect.ListType():
-            return f"a list, each {_title(info_bare.item_type) or _words(info_bare.item_type, '')}"
+            return f"a list, each {_title(inner.item_type) or _describe(inner.item_type, '')}"
         case inspect.UnionType():
-            return " or ".join(_words(kind, unit) for kind in info_bare.types)
+            return " or ".join(_describe(kind, unit) for kind in inner.types)
         case inspect.NoneType():
             return "nothing"
         case _:
--- a/src/finchshed/settings/fields.py
+++ b/src/finchshed/settings/fields.py
@@ -1,7 +1,7 @@
-"""Types shared by the settings of all programs.
+"""Field types shared by the settings of all programs.
 
-Each type carries its bounds, and a title that says in words what is allowed; the title is what a
-person reads when a value is wrong. A field's unit stands in its name (``_seconds``, ``_bytes``).
+Each type carries its bounds and optionally a title that describes the allowed values in error
+messages. A field name ends in its unit (``_seconds``, ``_bytes``).
 """
 
 from typing import Annotated, TypeAlias
@@ -9,12 +9,12 @@
 import msgspec
 
 LISTEN = "listen"
-"""Key in ``Meta.extra`` of an address the process binds; two of them may not be equal."""
+"""``Meta.extra`` key that marks a listen address; listen addresses must be distinct."""
 
 GROUPED = "grouped"
-"""Key in ``Meta.extra`` of ``group=value`` entries of a list: a group may stand more than once.
+"""``Meta.extra`` key that marks ``group=value`` list entries, which must have distinct values.
 
-Other ``name=value`` entries go by their name, which may stand once.
+Without it, ``name=value`` entries must have distinct names.
 """
 
 _OCTET = r"(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
@@ -23,9 +23,9 @@
 _NAME = r"[a-z0-9][a-z0-9._-]{0,62}"
 
 ADDRESS_PATTERN = rf"^{_IPV4}:{_PORT}$"
-"""An IPv4 address with octets to 255 and a port from 1 to 65535."""
+"""An IPv4 address and a port from 1 to 65535."""
 
-_ADDRESS_WORDS = "an address a.b.c.d:port, parts 0 to 255, port 1 to 65535"
+_ADDRESS_TITLE = "an address a.b.c.d:port, parts 0 to 255, port 1 to 65535"
 
 Name: TypeAlias = Annotated[
     str,
@@ -45,12 +45,12 @@
 ]
 """A name, or empty for none."""
 
-Address: TypeAlias = Annotated[str, msgspec.Meta(pattern=ADDRESS_PATTERN, title=_ADDRESS_WORDS)]
+Address: TypeAlias = Annotated[str, msgspec.Meta(pattern=ADDRESS_PATTERN, title=_ADDRESS_TITLE)]
 """Address of another process."""
 
 OptionalAddress: TypeAlias = Annotated[
     str,
-    msgspec.Meta(pattern=rf"^({_IPV4}:{_PORT})?$", title=f"empty, or {_ADDRESS_WORDS}"),
+    msgspec.Meta(pattern=rf"^({_IPV4}:{_PORT})?$", title=f"empty, or {_ADDRESS_TITLE}"),
 ]
 """Address of another process, or empty for none."""
 
@@ -58,37 +58,37 @@
     str,
     msgspec.Meta(
         pattern=rf"^{_IPV4}:(0|{_PORT})$",
-        title=f"{_ADDRESS_WORDS} (0: any free port)",
+        title=f"{_ADDRESS_TITLE} (0: any free port)",
         extra={LISTEN: True},
     ),
 ]
-"""Address this process binds."""
+"""Listen address of this process."""
 
 OptionalListenAddress: TypeAlias = Annotated[
     str,
     msgspec.Meta(
         pattern=rf"^({_IPV4}:(0|{_PORT}))?$",
-        title=f"empty, or {_ADDRESS_WORDS} (0: any free port)",
+        title=f"empty, or {_ADDRESS_TITLE} (0: any free port)",
         extra={LISTEN: True},
     ),
 ]
-"""Address this process binds, or empty for none."""
+"""Listen address of this process, or empty for none."""
 
 NamedAddress: TypeAlias = Annotated[
     str,
-    msgspec.Meta(pattern=rf"^{_NAME}={_IPV4}:{_PORT}$", title=f"name={_ADDRESS_WORDS}"),
+    msgspec.Meta(pattern=rf"^{_NAME}={_IPV4}:{_PORT}$", title=f"name={_ADDRESS_TITLE}"),
 ]
-"""A node's name and its address, ``name=a.b.c.d:port``."""
+"""Name and address of a node: ``name=a.b.c.d:port``."""
 
 ZonedAddress: TypeAlias = Annotated[
     str,
     msgspec.Meta(
         pattern=rf"^({_NAME}=)?{_IPV4}:{_PORT}$",
-        title=f"{_ADDRESS_WORDS}, with zone= before it where the zone is known",
+        title=f"{_ADDRESS_TITLE}, with zone= before it where the zone is known",
         extra={GROUPED: True},
     ),
 ]
-"""Address of another process, with the zone it stands in: ``zone=a.b.c.d:port``."""
+"""Address of another process, optionally with its zone: ``zone=a.b.c.d:port``."""
 
 Network: TypeAlias = Annotated[
     str,
@@ -100,7 +100,7 @@
 """An IPv4 network (CIDR notation, RFC 4632)."""
 
 PRIVATE_NETWORKS = ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16")
-"""Loopback, and the private networks of RFC 1918."""
+"""The loopback network and the private networks of RFC 1918."""
 
 OptionalUrl: TypeAlias = Annotated[
     str,
@@ -109,16 +109,16 @@
         title="empty, or http://a.b.c.d:port/path",
     ),
 ]
-"""An HTTP URL by IP address, or empty for none."""
+"""An HTTP URL with an IPv4 address as host, or empty for none."""
 
 PositiveSeconds: TypeAlias = Annotated[float, msgspec.Meta(gt=0.0, le=86_400.0)]
-"""A time span in seconds, above 0 and up to a day."""
+"""A duration in seconds, above 0 and up to one day."""
 
 Seconds: TypeAlias = Annotated[float, msgspec.Meta(ge=0.0, le=86_400.0)]
-"""A time span in seconds, 0 to a day."""
+"""A duration in seconds, from 0 to one day."""
 
 Count: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=10_000_000)]
-"""A number of things."""
+"""A non-negative count."""
 
 Share: TypeAlias = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-"""A share, 0 to 1."""
+"""A fraction from 0 to 1."""
--- a/src/finchshed/settings/hints.py
+++ b/src/finchshed/settings/hints.py
@@ -1,4 +1,4 @@
-"""Guesses which field a mistyped key meant."""
+"""Suggests a valid name for a mistyped one."""
 
 import difflib
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def hint_for(key: str, names: Iterable[str]) -> str:
-    """Return a hint such as ``; did you mean drain_seconds (in seconds)?``, or nothing."""
+    """Return a suggestion such as ``; did you mean drain_seconds?``, or an empty string."""
     names = list(names)
     for name in names:
         if (
--- a/src/finchshed/settings/loader.py
+++ b/src/finchshed/settings/loader.py
@@ -1,6 +1,6 @@
-"""Loads a program's settings from a TOML file and flags, and reports every problem at once.
+"""Loads a program's settings from a TOML file and flags, and reports all problems at once.
 
-Owns no state; a process starts only with settings that have no problem.
+A process starts only if its settings are valid.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 
 class Source(enum.StrEnum):
-    """Where a value came from."""
+    """Kind of source of a value."""
 
     DEFAULT = "default"
     FILE = "file"
@@ -29,35 +29,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Source of one field's value; ``place`` is the file's path or the flag, empty for defaults."""
+    """Source of a field's value; ``place`` is the file path or flag, empty for a default."""
 
     source: Source
     place: str = ""
 
     def __str__(self) -> str:
-        """Return the origin as it is shown to a person."""
+        """Return the origin for display."""
         return f"{self.source} {self.place}".strip()
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedSettings(Generic[SettingsT]):
-    """Checked settings and, by field name, where each value came from."""
+    """Validated settings and the origin of each field's value."""
 
     value: SettingsT
     origins: Mapping[str, Origin]
 
 
 @dataclass(frozen=True, slots=True)
-class _Given:
-    """A value as given, before it is checked."""
+class _RawValue:
+    """A value from a file or flag before validation."""
 
     value: object
     origin: Origin
 
-    def problem(self, key: str, words: str) -> str:
+    def problem(self, key: str, message: str) -> str:
         where = f"flag --{key}" if self.origin.source is Source.FLAG else self.origin.place
-        shown = self.value if self.origin.source is Source.FLAG else _toml_text(self.value)
-        return f"{where}: {key} = {shown}: {words}"
+        text = self.value if self.origin.source is Source.FLAG else _toml_text(self.value)
+        return f"{where}: {key} = {text}: {message}"
 
     def wrong_value(self, key: str, allowed: str) -> str:
         return self.problem(key, f"allowed is {allowed}")
@@ -66,33 +66,33 @@
 def load(
     struct_type: type[SettingsT], path: str | None, flags: Mapping[str, object]
 ) -> LoadedSettings[SettingsT]:
-    """Read the settings file at ``path``, put ``flags`` over it and check the whole.
+    """Load the settings file at ``path``, override it with ``flags`` and validate the result.
 
     Parameters
     ----------
     struct_type
         Flat msgspec struct of the program's settings.
     path
-        TOML file, or None for none.
+        TOML file, or None to use flags only.
     flags
-        Values by field name; a dash in a name stands for an underscore. Text is taken as the
-        command line gives it: numbers in digits, lists separated by commas.
+        Values by field name; dashes in names are equivalent to underscores. Strings are parsed
+        like command-line arguments: decimal numbers, comma-separated lists.
 
     Raises
     ------
     SettingsError
-        One line for each problem found, in the file and the flags together.
+        Contains one line for each problem in the file and the flags.
     """
     fields = {field.name: field for field in msgspec.structs.fields(struct_type)}
     problems: list[str] = []
     from_file = _from_file(path, fields, problems)
     from_flags = _from_flags(flags, fields, problems)
-    values = _checked_values(fields, from_file, problems)
-    values.update(_checked_values(fields, from_flags, problems))
+    values = _validated_values(fields, from_file, problems)
+    values.update(_validated_values(fields, from_flags, problems))
     given = {**from_file, **from_flags}
     source = path or "settings"
     problems += _missing(fields, given, source)
-    problems += _same_listen_address(fields, values, given)
+    problems += _duplicate_listen_addresses(fields, values, given)
     if problems:
         raise SettingsError(problems)
     settings = struct_type(**values)
@@ -107,17 +107,17 @@
 
 def _from_file(
     path: str | None, fields: Mapping[str, Any], problems: list[str]
-) -> dict[str, _Given]:
+) -> dict[str, _RawValue]:
     if path is None:
         return {}
     table, syntax_problems = read_toml(Path(path))
     problems += syntax_problems
     for key, value in table.items():
         if key not in fields:
-            item = _Given(value, Origin(Source.FILE, path))
+            item = _RawValue(value, Origin(Source.FILE, path))
             problems.append(item.problem(key, f"no such key{hint_for(key, fields)}"))
     return {
-        key: _Given(value, Origin(Source.FILE, path))
+        key: _RawValue(value, Origin(Source.FILE, path))
         for key, value in table.items()
         if key in fields
     }
@@ -125,19 +125,19 @@
 
 def _from_flags(
     flags: Mapping[str, object], fields: Mapping[str, Any], problems: list[str]
-) -> dict[str, _Given]:
+) -> dict[str, _RawValue]:
     given = {}
     for flag, value in flags.items():
         key = flag.replace("-", "_")
         if key in fields:
-            given[key] = _Given(value, Origin(Source.FLAG, f"--{key}"))
+            given[key] = _RawValue(value, Origin(Source.FLAG, f"--{key}"))
         else:
             problems.append(f"flag --{flag}: no such flag{hint_for(key, fields)}")
     return given
 
 
-def _checked_values(
-    fields: Mapping[str, Any], given: Mapping[str, _Given], problems: list[str]
+def _validated_values(
+    fields: Mapping[str, Any], given: Mapping[str, _RawValue], problems: list[str]
 ) -> dict[str, Any]:
     values = {}
     for key, item in given.items():
@@ -147,8 +147,8 @@
         try:
             value = msgspec.convert(raw, field_type, strict=not is_flag)
         except msgspec.ValidationError as error:
-            words = describe.allowed_values(key, field_type)
-            problems.append(item.wrong_value(key, words + _element(error)))
+            allowed = describe.allowed_values(key, field_type)
+            problems.append(item.wrong_value(key, allowed + _invalid_entry(error)))
             continue
         repeated = _repeated_elements(value, describe.is_grouped_list(field_type))
         if repeated:
@@ -158,14 +158,14 @@
     return values
 
 
-def _element(error: msgspec.ValidationError) -> str:
-    """Return which entry of a list is wrong, from msgspec's message."""
-    _, found, place = str(error).partition(" - at `$[")
-    return f" (wrong at entry [{place.rstrip('`')})" if found else ""
+def _invalid_entry(error: msgspec.ValidationError) -> str:
+    """Return which list entry is invalid, extracted from msgspec's error message."""
+    _, found, path = str(error).partition(" - at `$[")
+    return f" (wrong at entry [{path.rstrip('`')})" if found else ""
 
 
 def _split_list(value: object, field_type: Any) -> object:
-    """Split a flag's text where the field is a list."""
+    """Split the text of a flag if the field is a list."""
     while hasattr(field_type, "__metadata__"):
         field_type = field_type.__origin__
     if get_origin(field_type) not in {tuple, list}:
@@ -176,9 +176,9 @@
 
 
 def _repeated_elements(value: object, is_grouped: bool) -> str:
-    """Return the entries of a list that stand twice.
+    """Return the duplicate entries of a list, comma-separated.
 
-    ``name=value`` entries go by their name, ``group=value`` entries by their value.
+    ``name=value`` entries are compared by name, ``group=value`` entries by value.
     """
     if not isinstance(value, tuple | list):
         return ""
@@ -189,7 +189,7 @@
     return ", ".join(sorted({name for name in names if names.count(name) > 1}))
 
 
-def _missing(fields: Mapping[str, Any], given: Mapping[str, _Given], source: str) -> list[str]:
+def _missing(fields: Mapping[str, Any], given: Mapping[str, _RawValue], source: str) -> list[str]:
     return [
         f"{source}: {name} is missing: allowed is {describe.allowed_values(name, field.type)}"
         for name, field in fields.items()
@@ -197,8 +197,8 @@
     ]
 
 
-def _same_listen_address(
-    fields: Mapping[str, Any], values: Mapping[str, Any], given: Mapping[str, _Given]
+def _duplicate_listen_addresses(
+    fields: Mapping[str, Any], values: Mapping[str, Any], given: Mapping[str, _RawValue]
 ) -> list[str]:
     problems = []
     first_by_address: dict[str, str] = {}
@@ -213,18 +213,20 @@
     return problems
 
 
-def _file_problems(settings: msgspec.Struct, given: Mapping[str, _Given], source: str) -> list[str]:
-    """Return what is wrong with files that settings name, where the struct checks them."""
+def _file_problems(
+    settings: msgspec.Struct, given: Mapping[str, _RawValue], source: str
+) -> list[str]:
+    """Return problems with files named in the settings, if the struct checks for them."""
     check = getattr(settings, "file_problems", None)
     if check is None:
         return []
     found: Mapping[str, str] = check()
     return [
-        given[name].problem(name, words) if name in given else f"{source}: {name}: {words}"
-        for name, words in found.items()
+        given[name].problem(name, message) if name in given else f"{source}: {name}: {message}"
+        for name, message in found.items()
     ]
 
 
 def _toml_text(value: object) -> str:
-    """Return ``value`` as it would stand in a TOML file."""
+    """Return ``value`` in TOML syntax."""
     return msgspec.json.encode(value, enc_hook=str).decode()
--- a/src/finchshed/settings/sample.py
+++ b/src/finchshed/settings/sample.py
@@ -1,4 +1,4 @@
-"""Writes a sample settings file: every option with what it means and what is allowed."""
+"""Generates sample settings files that document every option."""
 
 import textwrap
 from typing import Any
@@ -11,10 +11,10 @@
 
 
 def sample_of(program: str, settings_type: type[msgspec.Struct]) -> str:
-    """Return a sample settings file of ``program``.
+    """Return a sample settings file for ``program``.
 
-    Options that must be given stand with an empty value to fill in, the others commented out
-    with their defaults.
+    Required options have an empty placeholder value; others are commented out with their
+    defaults.
     """
     parts = [
         f"# Settings of finchshed {program}: one flat table. A flag of the same name goes over",
@@ -47,5 +47,5 @@
 
 
 def toml_value(value: object) -> str:
-    """Return ``value`` as TOML; a JSON scalar or list of scalars is TOML as well."""
+    """Return ``value`` in TOML syntax; JSON scalars and lists of scalars are valid TOML."""
     return msgspec.json.encode(value, enc_hook=str).decode()
--- a/src/finchshed/settings/toml_file.py
+++ b/src/finchshed/settings/toml_file.py
@@ -1,4 +1,4 @@
-"""Reads a TOML file so that one problem in it does not hide the next."""
+"""Reads a TOML file and reports every duplicate key in it."""
 
 import re
 import tomllib
@@ -14,8 +14,8 @@
 def read_toml(path: Path) -> tuple[dict[str, Any], list[str]]:
     """Return the top-level table of ``path`` and one line for each problem.
 
-    A key given twice is reported and the reading goes on without its later line; any other
-    syntax error ends the reading with an empty table.
+    The later line of a duplicate key is reported and skipped; any other syntax error results in
+    an empty table.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -39,11 +39,11 @@
 
 
 def _duplicate_problem(path: Path, lines: list[str], message: str) -> str | None:
-    """Blank the line that gives a key a second time and describe it; None for other errors."""
-    found = _LINE_NUMBER.search(message)
-    if _DUPLICATE_MESSAGE not in message or found is None:
+    """Blank the line of a duplicate key and describe it; return None for other errors."""
+    match = _LINE_NUMBER.search(message)
+    if _DUPLICATE_MESSAGE not in message or match is None:
         return None
-    index = int(found.group(1)) - 1
+    index = int(match.group(1)) - 1
     key, separator, value = lines[index].partition("=")
     if not separator:
         return None
--- a/tests/settings/test_command.py
+++ b/tests/settings/test_command.py
@@ -25,7 +25,7 @@
     assert run(["config", "sample", f"--folder={SAMPLE_FOLDER}", "--check"]) == ExitCode.OK
 
 
-def test_check_of_samples_notices_a_difference(tmp_path: Path) -> None:
+def test_sample_check_detects_a_difference(tmp_path: Path) -> None:
     assert run(["config", "sample", f"--folder={tmp_path}"]) == ExitCode.OK
     changed = tmp_path / "daemon.sample.toml"
     changed.write_text(changed.read_text() + "# more\n")
@@ -45,14 +45,12 @@
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_every_option_tells_what_it_is_for(program: str) -> None:
+def test_every_option_has_a_description(program: str) -> None:
     fields = msgspec.structs.fields(PROGRAMS[program].settings_type())
     assert [field.name for field in fields if not describe.description_of(field.type)] == []
 
 
-def test_check_names_all_problems_and_starts_nothing(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_check_reports_all_problems(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "daemon.toml"
     path.write_text('node = "N 1"\nzoen = "z"\n')
     assert run(["config", "check", "daemon", f"--settings={path}"]) == ExitCode.USAGE
@@ -70,7 +68,7 @@
     assert 'service = ""  # default' in shown
 
 
-def test_unknown_program_and_option_are_refused(capsys: pytest.CaptureFixture[str]) -> None:
+def test_unknown_program_and_option_are_rejected(capsys: pytest.CaptureFixture[str]) -> None:
     assert run(["config", "show", "deamon"]) == ExitCode.USAGE
     assert run(["daemon", *GOOD_FLAGS, "--drain=7"]) == ExitCode.USAGE
     assert "did you mean daemon?" in capsys.readouterr().err
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -42,7 +42,7 @@
     return [line.replace(str(path), "s.toml") for line in caught.value.problems]
 
 
-def test_flag_goes_over_file_over_default_and_origins_are_told(tmp_path: Path) -> None:
+def test_flags_override_the_file_and_origins_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD + "drain_seconds = 2.5\nmax_body_bytes = 7\n")
     loaded = load(ExampleSettings, str(path), {"drain-seconds": "1.5"})
@@ -53,7 +53,7 @@
     assert loaded.origins["verbose"].source is Source.DEFAULT
 
 
-def test_flag_text_is_taken_for_lists_numbers_and_names() -> None:
+def test_flag_text_is_parsed_as_lists_numbers_and_names() -> None:
     flags = {
         "node": 12,
         "http_address": "127.0.0.1:0",
@@ -88,20 +88,22 @@
         ("drain_seconds = 1\ndrain_seconds = 2", ["drain_seconds = 2", "given twice"]),
     ],
 )
-def test_one_wrong_line_gives_one_problem(tmp_path: Path, line: str, words: list[str]) -> None:
+def test_one_invalid_line_results_in_one_problem(
+    tmp_path: Path, line: str, words: list[str]
+) -> None:
     (problem,) = problems_of(tmp_path, GOOD + line + "\n")
     assert problem.startswith("s.toml: ")
     for word in words:
         assert word in problem
 
 
-def test_a_zone_may_hold_more_than_one_address(tmp_path: Path) -> None:
+def test_a_zone_may_have_several_addresses(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD + 'zoned = ["a=10.0.0.1:1", "a=10.0.0.2:1", "10.0.0.3:1"]\n')
     assert len(load(ExampleSettings, str(path), {}).value.zoned) == 3
 
 
-def test_all_problems_of_file_and_flags_come_at_once(tmp_path: Path) -> None:
+def test_all_problems_of_file_and_flags_are_reported_together(tmp_path: Path) -> None:
     text = "drain_seconds = -1\ndrain_seconds = 3\nnod = 1\nmax_body_bytes = 0\n"
     problems = problems_of(tmp_path, text, {"verbos": True, "max_body_bytes": "x"})
     assert len(problems) == 8
@@ -112,12 +114,12 @@
         assert key in joined
 
 
-def test_value_in_the_file_is_checked_though_a_flag_goes_over_it(tmp_path: Path) -> None:
+def test_a_file_value_is_validated_even_if_a_flag_overrides_it(tmp_path: Path) -> None:
     (problem,) = problems_of(tmp_path, GOOD + "max_body_bytes = 0\n", {"max_body_bytes": "5"})
     assert "max_body_bytes = 0" in problem
 
 
-def test_file_that_cannot_be_read_or_parsed_is_named(tmp_path: Path) -> None:
+def test_an_unreadable_or_malformed_file_is_named(tmp_path: Path) -> None:
     missing = str(tmp_path / "none.toml")
     with pytest.raises(SettingsError, match=r"none\.toml: can't be read"):
         load(ExampleSettings, missing, {})
--- a/tests/settings/test_loader_properties.py
+++ b/tests/settings/test_loader_properties.py
@@ -1,4 +1,4 @@
-"""Whatever a settings file or a declaration folder holds, the answer is clear."""
+"""Arbitrary settings and declarations load or fail with one-line problems, never otherwise."""
 
 import tempfile
 from collections.abc import Mapping
@@ -95,7 +95,7 @@
 
 
 def check_settings(program: str, data: bytes, flags: Mapping[str, object]) -> None:
-    """Settings are either whole, or refused with one line for each problem."""
+    """Check that settings load completely or fail with one line for each problem."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "s.toml"
         path.write_bytes(data)
@@ -116,11 +116,11 @@
             check_lines(error, "d.toml", "declarations")
 
 
-def check_lines(error: SettingsError, *places: str) -> None:
-    """Each problem is one printable line that begins with where it is."""
+def check_lines(error: SettingsError, *locations: str) -> None:
+    """Check that each problem is a single line that starts with its location."""
     assert error.problems
     for problem in error.problems:
-        assert problem.startswith(places), problem
+        assert problem.startswith(locations), problem
         assert len(problem.splitlines()) == 1, problem
         assert len(problem) < 2_000, problem[:200]
 
