--- a/src/finchshed/runtime/__init__.py
+++ b/src/finchshed/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The shell of a production process: event loop, signals, planned stop, faults."""
+"""Process runtime: event loop, signals, graceful shutdown, fault handling."""
--- a/src/finchshed/runtime/clock.py
+++ b/src/finchshed/runtime/clock.py
@@ -1,15 +1,14 @@
-"""The clock that promises are counted in.
+"""Monotonic clock that includes the time the machine is suspended.
 
-A machine may be suspended for seconds. ``CLOCK_MONOTONIC``, and with it ``time.monotonic`` and the
-event loop's time, stand still meanwhile, while the rest of the world goes on: a lease that was
-counted by them would be trusted that much too long. ``CLOCK_BOOTTIME`` counts the time asleep, and
-is never set. Timers of the loop come late by the time asleep, so what a promise hangs on is looked
-at when it is used, not left to a timer.
+``CLOCK_MONOTONIC``, and with it ``time.monotonic`` and the event loop's time, stops while the
+machine is suspended, so a lease measured with it would be trusted for too long. ``CLOCK_BOOTTIME``
+continues to run. Event loop timers still fire late after a suspension, so code that depends on an
+expiry must check this clock when it uses the value.
 """
 
 import time
 
 
 def now() -> float:
-    """Return seconds since some moment, those included in which the machine was suspended."""
+    """Return the seconds since an arbitrary point in time, including time suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/finchshed/runtime/garbage.py
+++ b/src/finchshed/runtime/garbage.py
@@ -1,8 +1,7 @@
-"""Garbage collection of a process that has started.
+"""Tunes garbage collection for long-running processes.
 
-A full collection looks at every container, most of which belong to imported modules and are never
-garbage: 23 ms were seen in a daemon, during which no call moves. What is there once a process
-serves is taken out of sight, so that a full collection costs what the calls left behind.
+A full collection visits every container and pauses all calls meanwhile. Most containers belong to
+imported modules and are never garbage, so they are frozen before the process starts serving.
 """
 
 import gc
@@ -10,7 +9,7 @@
 from contextlib import contextmanager
 
 YOUNG_THRESHOLD = 5_000
-"""Containers made and not freed since the last collection of the youngest generation."""
+"""Net container allocations that trigger a collection of the youngest generation."""
 
 MIDDLE_THRESHOLD = 20
 OLD_THRESHOLD = 20
@@ -18,10 +17,9 @@
 
 @contextmanager
 def paused() -> Iterator[None]:
-    """Collect nothing meanwhile, and leave alone what has come: for the imports of a program.
+    """Disable collection in the context, then freeze all objects.
 
-    Imports make much that stays and hardly any garbage: a full collection after those of a daemon
-    took 17 to 21 ms, a tenth of its start, and found 747 objects of 28,000.
+    Wrap a program's imports in it: they create many permanent objects and almost no garbage.
     """
     gc.disable()
     try:
@@ -32,6 +30,6 @@
 
 
 def freeze_existing_objects() -> None:
-    """Leave alone what exists; call it when the process begins to serve."""
+    """Exclude all existing objects from collection; call it when the process starts serving."""
     gc.freeze()
     gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
--- a/src/finchshed/runtime/process.py
+++ b/src/finchshed/runtime/process.py
@@ -1,4 +1,4 @@
-"""Runs one program in a uvloop event loop until it is told to stop."""
+"""Runs a program in a uvloop event loop until it stops or is told to stop."""
 
 import asyncio
 import errno
@@ -17,45 +17,45 @@
 from finchshed.observability.process_checks import require_no_io_uring
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-"""Signals that ask for a planned stop; a second one stops without waiting."""
+"""Signals that request a graceful shutdown; a second one stops immediately."""
 
 DUMP_SIGNAL = signal.SIGUSR1
 RELOAD_SIGNAL = signal.SIGHUP
 
 ADDRESS_ERRORS = frozenset({errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EACCES})
-"""Errors of an address in the settings that the machine doesn't give; no fault of the program."""
+"""Errors caused by an unavailable listen address in the settings, not by a bug."""
 
 
 class ProcessControl:
-    """What a program's main coroutine learns of its process.
+    """Shutdown and reload events passed to a program's main coroutine.
 
     Attributes
     ----------
     stop_requested
-        Set once on the first stop signal: begin the planned stop and return when it is done.
+        Set on the first stop signal; the program must shut down gracefully and return.
     on_reload
-        Called when the settings file is said to have changed (SIGHUP).
+        Called to reload the settings file (SIGHUP).
     faults
-        Reports a broken invariant found outside of a loop callback.
+        Reports invariant violations detected outside event loop callbacks.
     """
 
     def __init__(self, faults: FaultMonitor) -> None:
         self.stop_requested = asyncio.Event()
-        self.on_reload: Callable[[], None] = _no_reload
+        self.on_reload: Callable[[], None] = _ignore_reload
         self.faults = faults
 
     def reload(self) -> None:
-        """Tell the program that its settings file is said to have changed."""
+        """Request a reload of the settings file."""
         self.on_reload()
 
     def request_stop(self) -> None:
-        """Ask for a planned stop."""
+        """Request a graceful shutdown."""
         process_metrics.STOPPING.set(1)
         self.stop_requested.set()
 
 
 class Main(Protocol):
-    """A program: serves until ``control.stop_requested`` is set, then stops as planned."""
+    """A program that serves until ``control.stop_requested`` is set, then shuts down."""
 
     def __call__(self, control: ProcessControl) -> Coroutine[Any, Any, None]:
         """Run the program."""
@@ -72,9 +72,10 @@
 ) -> int:
     """Run ``main`` in a fresh uvloop loop and return the process's exit code.
 
-    The ring is set up, the loop checked for an io_uring, signals handled: SIGTERM and SIGINT ask
-    for a planned stop (a second one stops at once), SIGUSR1 writes the ring out. With
-    ``logs_to_stdout`` decisions and changes of state are written as JSON lines too.
+    Configures the log ring, checks that the loop does not use io_uring and installs signal
+    handlers: SIGTERM and SIGINT request a graceful shutdown (a second one stops immediately),
+    SIGHUP reloads the settings, SIGUSR1 dumps the ring. With ``logs_to_stdout``, decisions and
+    state changes are also written to standard output as JSON lines.
     """
     ring.configure(program, node, data_folder)
     process_metrics.identify(program, node, zone, __version__)
@@ -88,15 +89,15 @@
 
 
 def _run(loop: asyncio.AbstractEventLoop, main: Main, title: str, *, logs_to_stdout: bool) -> int:
-    broken: list[InvariantError] = []
+    violations: list[InvariantError] = []
     task: asyncio.Task[None] | None = None
 
-    def stop_broken(error: InvariantError) -> None:
-        broken.append(error)
+    def stop_on_violation(error: InvariantError) -> None:
+        violations.append(error)
         if task is not None:
             task.cancel()
 
-    faults = FaultMonitor(stop_broken)
+    faults = FaultMonitor(stop_on_violation)
     faults.install(loop)
     control = ProcessControl(faults)
     try:
@@ -112,25 +113,25 @@
     except InvariantError as error:
         faults.report_violation(error)
     except asyncio.CancelledError:
-        logger.warning("stopped without waiting")
+        logger.warning("stopped without a graceful shutdown")
     except FinchshedError as error:
         ring.announce(f"{title}: can't go on: {error}")
         return ExitCode.FAILED
     except OSError as error:
         if error.errno not in ADDRESS_ERRORS:
-            return _fault(title, error)
+            return _report_fault(title, error)
         ring.announce(f"{title}: can't listen: {error}")
         return ExitCode.FAILED
     except Exception as error:
-        return _fault(title, error)
-    if broken:
-        ring.announce(f"{title}: stopped by a broken invariant: {broken[0]}")
+        return _report_fault(title, error)
+    if violations:
+        ring.announce(f"{title}: stopped by a broken invariant: {violations[0]}")
         return ExitCode.FAULT
     ring.announce(f"{title}: stopped")
     return ExitCode.OK
 
 
-def _fault(title: str, error: Exception) -> int:
+def _report_fault(title: str, error: Exception) -> int:
     logger.opt(exception=error).critical("unexpected error: {!r}", error)
     ring.dump(f"unexpected error: {error!r}")
     ring.announce(f"{title}: stopped by an unexpected error: {error!r}")
@@ -151,8 +152,8 @@
     loop.add_signal_handler(DUMP_SIGNAL, lambda: ring.dump("asked for by signal"))
 
 
-def _no_reload() -> None:
-    logger.info("told to read the settings again; this program reads them at its start only")
+def _ignore_reload() -> None:
+    logger.info("ignored SIGHUP: this program reads its settings only at startup")
 
 
 def _close(loop: asyncio.AbstractEventLoop) -> None:
--- a/src/finchshed/runtime/waiting.py
+++ b/src/finchshed/runtime/waiting.py
@@ -1,4 +1,4 @@
-"""Waits that end in time however busy the loop is."""
+"""Polling waits with a deadline that holds on a busy event loop."""
 
 import asyncio
 import time
@@ -14,9 +14,9 @@
     now: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], Awaitable[object]] = asyncio.sleep,
 ) -> bool:
-    """Wait until ``is_busy`` no longer holds; return whether that came within ``seconds``.
+    """Wait until ``is_busy`` returns False; return whether it did within ``seconds``.
 
-    The clock decides and not the number of polls: on a busy loop each takes longer than it asks.
+    The deadline is checked against the clock, because sleeps overrun on a busy event loop.
     """
     deadline = now() + seconds
     while is_busy():
--- a/tests/runtime/test_garbage.py
+++ b/tests/runtime/test_garbage.py
@@ -1,4 +1,4 @@
-"""What a process has made by the time it serves is never looked at again."""
+"""Objects that exist when a process starts serving are excluded from garbage collection."""
 
 import gc
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 
 @pytest.fixture(autouse=True)
-def thawed() -> Iterator[None]:
+def restore_collector() -> Iterator[None]:
     thresholds = gc.get_threshold()
     yield
     gc.unfreeze()
@@ -17,27 +17,27 @@
     gc.enable()
 
 
-def collections() -> int:
+def collection_count() -> int:
     return sum(generation["collections"] for generation in gc.get_stats())
 
 
-def test_nothing_is_collected_while_paused_and_what_came_is_left_alone() -> None:
+def test_pausing_disables_collection_and_freezes_new_objects() -> None:
     with garbage.paused():
-        before = collections()
-        made = [[number] for number in range(10_000)]
-        assert collections() == before
+        before = collection_count()
+        created = [[number] for number in range(10_000)]
+        assert collection_count() == before
     assert gc.isenabled()
-    assert gc.get_freeze_count() >= len(made)
+    assert gc.get_freeze_count() >= len(created)
 
 
-def test_collections_go_on_if_an_import_fails() -> None:
+def test_collection_is_enabled_again_after_a_failed_import() -> None:
     with pytest.raises(ImportError), garbage.paused():
         raise ImportError("no such module")
     assert gc.isenabled()
 
 
-def test_settling_collects_nothing() -> None:
-    before = collections()
+def test_freezing_does_not_trigger_a_collection() -> None:
+    before = collection_count()
     garbage.freeze_existing_objects()
-    assert collections() == before
+    assert collection_count() == before
     assert gc.get_threshold()[0] == garbage.YOUNG_THRESHOLD
--- a/tests/runtime/test_waiting.py
+++ b/tests/runtime/test_waiting.py
@@ -1,4 +1,4 @@
-"""Waits that end in time however busy the loop is."""
+"""A wait ends at its deadline even if the event loop is busy."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class BusyLoop:
-    """A loop on which each sleep takes several times what was asked for."""
+    """A simulated event loop whose sleeps take ``slowness`` times as long as requested."""
 
     def __init__(self, slowness: float) -> None:
         self.time = 100.0
@@ -26,13 +26,13 @@
     assert 103.0 <= loop.time <= 103.0 + 0.02 * slowness
 
 
-async def test_a_wait_ends_as_soon_as_nothing_is_busy() -> None:
+async def test_a_wait_ends_when_the_condition_clears() -> None:
     loop = BusyLoop(1.0)
     assert await wait_while(lambda: loop.time < 101.0, 3.0, now=loop.now, sleep=loop.sleep)
     assert loop.time < 101.05
 
 
-async def test_what_is_idle_at_once_is_not_waited_for() -> None:
+async def test_an_idle_condition_returns_without_sleeping() -> None:
     loop = BusyLoop(1.0)
     assert await wait_while(lambda: False, 3.0, now=loop.now, sleep=loop.sleep)
     assert loop.time == 100.0
