--- a/src/finchshed/logs/__init__.py
+++ b/src/finchshed/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the structured logs of several processes and shows one request's trace through them."""
+"""Analysis of structured logs from several processes."""
--- a/src/finchshed/logs/reading.py
+++ b/src/finchshed/logs/reading.py
@@ -1,7 +1,7 @@
-"""Lines of the log stream, read from files of several processes.
+"""Reads structured log lines from the files of several processes.
 
-Knows the events by name alone, so that logs of other versions are read too. Relies on nothing of
-the running system.
+Records are decoded as plain JSON and recognized by event name, so logs of other versions are
+readable too.
 """
 
 import json
@@ -15,13 +15,12 @@
 EVENTS = frozenset({"request_ended", "call_ended", "state", "lines_left_out"})
 
 MAX_PREFIX_CHARACTERS = 200
-"""Characters before a line's JSON that are passed over, as collectors of logs put there; chosen,
-not measured."""
+"""Maximum length of a prefix that a log collector may put before the JSON."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line: what stood before its JSON (a time, a node), and the record."""
+    """A log record, with its file and the prefix before the JSON (such as a time or node)."""
 
     source: str
     prefix: str
@@ -29,29 +28,29 @@
 
     @property
     def event(self) -> str:
-        """Kind of the record."""
+        """Event name of the record."""
         return str(self.record["event"])
 
     @property
     def time(self) -> float:
-        """Unix seconds by the clock of the process that wrote it."""
+        """Unix time in seconds, by the clock of the writing process."""
         return float(self.record.get("time", 0.0))
 
 
 @dataclass(slots=True)
 class UnreadableLines:
-    """Lines that hold no whole record, by file: cut or mixed ones."""
+    """Count of lines that contain no complete record (truncated or interleaved)."""
 
     lines: int = 0
 
 
-def read_lines(paths: Iterable[str], unread: UnreadableLines) -> Iterator[LogLine]:
-    """Yield the records in ``paths``; lines without one are counted in ``unread``.
+def read_lines(paths: Iterable[str], unreadable: UnreadableLines) -> Iterator[LogLine]:
+    """Yield the records in ``paths`` and count incomplete ones in ``unreadable``.
 
     Raises
     ------
     SettingsError
-        A file can't be read.
+        A file cannot be read.
     """
     for path in paths:
         try:
@@ -63,17 +62,17 @@
             if parsed is not None:
                 yield parsed
             elif '"event":' in line:
-                unread.lines += 1
+                unreadable.lines += 1
 
 
 def _parse(path: str, line: str) -> LogLine | None:
-    begin = line.find("{")
-    if not 0 <= begin <= MAX_PREFIX_CHARACTERS:
+    start = line.find("{")
+    if not 0 <= start <= MAX_PREFIX_CHARACTERS:
         return None
     try:
-        record = json.loads(line[begin:])
+        record = json.loads(line[start:])
     except ValueError:
         return None
     if not isinstance(record, dict) or record.get("event") not in EVENTS:
         return None
-    return LogLine(path, line[:begin].strip(), record)
+    return LogLine(path, line[:start].strip(), record)
--- a/src/finchshed/logs/request_trace.py
+++ b/src/finchshed/logs/request_trace.py
@@ -1,7 +1,7 @@
-"""One request's trace through the logs of several processes, and the cause of its end. Pure.
+"""Assembles the trace of a request from the logs of several processes and explains its outcome.
 
-Clocks of machines differ, so lines are ordered by what they say of each other first: a call ended
-at its back end before the request it served ended at the daemon that took it.
+Because the clocks of machines differ, lines are ordered causally first: nested calls end before
+the request that made them, and a call ends at its back end before its request ends at the daemon.
 """
 
 from collections.abc import Iterable, Sequence
@@ -44,43 +44,43 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTrace:
-    """Lines about one request and the calls made for it, in order, and what is missing."""
+    """Log lines about one request and its nested calls, in causal order."""
 
     identity: str
     lines: tuple[LogLine, ...]
 
     @property
     def cause(self) -> str:
-        """What ended the request, in words."""
+        """Explanation of the request's outcome."""
         ends = [line for line in self.lines if _is_end_of(line, self.identity)]
         if not ends:
             return (
                 "its end is in none of the files: it ended well and was not sampled, or its "
                 "line was left out"
             )
-        return _cause_of(ends[-1], self.lines)
+        return _explain(ends[-1], self.lines)
 
 
 def trace_of(identity: str, lines: Iterable[LogLine]) -> RequestTrace:
-    """Return the trace of the request that its caller gave ``identity``."""
-    about = [line for line in lines if _is_about(line, identity)]
-    return RequestTrace(identity, tuple(sorted(about, key=_order)))
+    """Return the trace of the request to which its caller assigned ``identity``."""
+    related = [line for line in lines if _is_related(line, identity)]
+    return RequestTrace(identity, tuple(sorted(related, key=_order)))
 
 
 def describe(trace: RequestTrace) -> list[str]:
-    """Return the trace as lines for people."""
+    """Return the trace as human-readable lines."""
     text = [f"request {trace.identity}"]
     for line in trace.lines:
-        text.append(f"  {line.time:.3f} {line.prefix or line.source}: {_text_of(line)}")
+        text.append(f"  {line.time:.3f} {line.prefix or line.source}: {_format_line(line)}")
     text.append(f"cause: {trace.cause}")
     return text
 
 
-def _is_about(line: LogLine, identity: str) -> bool:
+def _is_related(line: LogLine, identity: str) -> bool:
     if line.event not in {"request_ended", "call_ended"}:
         return False
-    named = str(line.record.get("id", ""))
-    return named == identity or named.startswith(identity + CALL_SEPARATOR)
+    line_id = str(line.record.get("id", ""))
+    return line_id == identity or line_id.startswith(identity + CALL_SEPARATOR)
 
 
 def _is_end_of(line: LogLine, identity: str) -> bool:
@@ -88,20 +88,20 @@
 
 
 def _order(line: LogLine) -> tuple[int, bool, float]:
-    """Order deeper calls first, then a call's end before its request's, then by time."""
+    """Sort key: deeper calls first, then a call's end before its request's end, then by time."""
     depth = str(line.record.get("id", "")).count(CALL_SEPARATOR)
     return (-depth, line.event == "request_ended", line.time)
 
 
-def _text_of(line: LogLine) -> str:
+def _format_line(line: LogLine) -> str:
     record = line.record
-    what = f"{line.event} {record.get('id')}: {record.get('outcome')}"
+    summary = f"{line.event} {record.get('id')}: {record.get('outcome')}"
     reason = record.get("reason") or record.get("status") or ""
-    parts = [f"{what} {reason}".rstrip()]
+    parts = [f"{summary} {reason}".rstrip()]
     if record.get("detail"):
         parts.append(str(record["detail"]))
     if line.event == "request_ended":
-        # Without a service it was refused before one was chosen.
+        # A request refused before routing has no service.
         service = f"service {record['service']}, " if record.get("service") else ""
         parts.append(f"{service}{record.get('ms')} ms")
         parts.append(f"revision {record.get('revision', 0)}")
@@ -116,7 +116,7 @@
     return "; ".join(parts)
 
 
-def _cause_of(end: LogLine, lines: Sequence[LogLine]) -> str:
+def _explain(end: LogLine, lines: Sequence[LogLine]) -> str:
     record = end.record
     if record.get("outcome") != "answered":
         reason = str(record.get("reason", ""))
@@ -125,8 +125,8 @@
     failed = [line for line in lines if line is not end and _is_failed_call(line, end)]
     if failed:
         first = failed[0].record
-        why = first.get("reason") or f"status {first.get('status')}"
-        return f"the back end answered {status} after its call {first.get('id')} ended: {why}"
+        cause = first.get("reason") or f"status {first.get('status')}"
+        return f"the back end answered {status} after its call {first.get('id')} ended: {cause}"
     return f"the back end answered {status} itself"
 
 
--- a/tests/logs/test_request_trace.py
+++ b/tests/logs/test_request_trace.py
@@ -1,4 +1,4 @@
-"""A request's trace, read from the logs of several processes."""
+"""A request's trace is assembled from the logs of several processes."""
 
 import json
 from pathlib import Path
@@ -35,15 +35,15 @@
     }
 
 
-def written(path: Path, *records: dict[str, Any], prefix: str = "") -> str:
+def write_log(path: Path, *records: dict[str, Any], prefix: str = "") -> str:
     path.write_text("".join(f"{prefix}{json.dumps(record)}\n" for record in records))
     return str(path)
 
 
-def test_the_trace_leads_from_the_id_to_a_call_that_failed_further_down(
+def test_the_trace_includes_a_failed_nested_call(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    edge = written(
+    edge = write_log(
         tmp_path / "edge.log",
         request(
             "a1",
@@ -56,7 +56,7 @@
         prefix="  1.2 node-a ",
     )
     # The clock of this machine is two seconds ahead.
-    middle = written(
+    middle = write_log(
         tmp_path / "middle.log",
         call("a1", "answered", 102.8, status=500),
         request("a1.x", "refused", 102.7, reason="deadline", is_call=True),
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("record", "told"),
+    ("record", "expected"),
     [
         (request("a1", "refused", 1.0, reason="overload"), "refused before anything ran"),
         (request("a1", "failed", 1.0, reason="backend_broken"), "may have run"),
@@ -83,14 +83,16 @@
         (request("a1", "refused", 1.0, service="", detail="why"), "refused; why; 12.5 ms"),
     ],
 )
-def test_the_cause_is_told_in_words(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], record: dict[str, Any], told: str
+def test_the_cause_is_explained(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], record: dict[str, Any], expected: str
 ) -> None:
-    assert run(["logs", "trace", "a1", written(tmp_path / "one.log", record)]) == ExitCode.OK
-    assert told in capsys.readouterr().out
+    assert run(["logs", "trace", "a1", write_log(tmp_path / "one.log", record)]) == ExitCode.OK
+    assert expected in capsys.readouterr().out
 
 
-def test_missing_and_cut_lines_are_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_missing_and_truncated_lines_are_reported(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "cut.log"
     path.write_text('{"event":"request_ended","id":"a\nplain text\n{"other": 1}\n')
     assert run(["logs", "trace", "a1", str(path)]) == ExitCode.FAILED
@@ -99,7 +101,9 @@
     assert "1 lines could not be read" in text
 
 
-def test_a_missing_file_and_no_file_are_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_missing_file_and_missing_arguments_are_reported(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert run(["logs", "trace", "a1", "/nowhere.log"]) == ExitCode.USAGE
     assert "/nowhere.log" in capsys.readouterr().err
     assert run(["logs", "trace", "a1"]) == ExitCode.USAGE
@@ -107,7 +111,7 @@
 
 
 def test_ends_are_counted(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    path = written(
+    path = write_log(
         tmp_path / "all.log",
         *(request(f"a{number}", "refused", 1.0, reason="overload") for number in range(3)),
         request("b", "answered", 1.0, status=500, is_call=True),
