--- a/src/finchshed/cli/exit_codes.py
+++ b/src/finchshed/cli/exit_codes.py
@@ -1,26 +1,26 @@
-"""Exit codes of every finchshed command."""
+"""Exit codes common to all finchshed commands."""
 
 import enum
 from collections.abc import Mapping
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit code of a command says."""
+    """Exit code of a command."""
 
     OK = 0
-    """The command did what was asked."""
+    """The command succeeded."""
 
     FAILED = 1
-    """The command ran and its check or change failed."""
+    """The check or change performed by the command failed."""
 
     USAGE = 2
-    """Wrong command, flag, settings or declarations; nothing was started."""
+    """Invalid command, flag, settings or declarations; nothing was started."""
 
     UNAVAILABLE = 3
-    """No quorum or process could be reached; trying again later is right."""
+    """No quorum or process could be reached; the command may be retried."""
 
     FAULT = 4
-    """A broken invariant or an unexpected error; the ring of log records was written out."""
+    """An invariant violation or unexpected error; the log ring was dumped."""
 
 
 MEANINGS: Mapping[int, str] = {
--- a/src/finchshed/cli/main.py
+++ b/src/finchshed/cli/main.py
@@ -1,4 +1,4 @@
-"""Runs one command of the command line and turns its result into an exit code."""
+"""Command-line entry point: runs a command and returns its exit code."""
 
 import sys
 from collections.abc import Callable, Sequence
@@ -21,26 +21,26 @@
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run the command that ``arguments`` name; return its exit code."""
+    """Run the command given by ``arguments`` and return its exit code."""
     try:
         return _dispatch(list(arguments))
     except SettingsError as error:
-        return _complain(error.problems, ExitCode.USAGE)
+        return _print_errors(error.problems, ExitCode.USAGE)
     except ControlUnavailableError as error:
-        return _complain([f"unavailable: {error}"], ExitCode.UNAVAILABLE)
+        return _print_errors([f"unavailable: {error}"], ExitCode.UNAVAILABLE)
     except InvariantError as error:
-        return _fault(f"broken invariant: {error}")
+        return _report_fault(f"broken invariant: {error}")
     except FinchshedError as error:
-        return _complain([str(error)], ExitCode.FAILED)
+        return _print_errors([str(error)], ExitCode.FAILED)
     except KeyboardInterrupt:
-        return _complain(["interrupted"], ExitCode.FAILED)
+        return _print_errors(["interrupted"], ExitCode.FAILED)
     except Exception as error:
-        return _fault(f"unexpected error: {error!r}")
+        return _report_fault(f"unexpected error: {error!r}")
 
 
 def _dispatch(arguments: list[str]) -> int:
     if not arguments or arguments[0] in HELP_FLAGS:
-        return _show(help_texts.overview(), ExitCode.OK if arguments else ExitCode.USAGE)
+        return _print_text(help_texts.overview(), ExitCode.OK if arguments else ExitCode.USAGE)
     name, *rest = arguments
     if name in PROGRAMS:
         return _run_program(name, PROGRAMS[name], rest)
@@ -52,7 +52,7 @@
 
 def _run_program(name: str, program: Program, arguments: list[str]) -> int:
     if HELP_FLAGS.intersection(arguments):
-        return _show(help_texts.program_help(name, program))
+        return _print_text(help_texts.program_help(name, program))
     parsed = parse(_program_arguments, arguments, name)
     flags = dict(parsed.named)
     path = flags.pop("settings", None)
@@ -61,7 +61,7 @@
 
 
 def _program_arguments(*, settings: str | None = None, **flags: object) -> None:
-    """Stand for a program's signature: any flag may come, the settings loader checks it."""
+    """Signature used to parse program arguments; the settings loader validates the flags."""
 
 
 def _run_command(name: str, command: Command, arguments: list[str]) -> int:
@@ -71,7 +71,7 @@
         return _call(name, target, arguments)
     if not arguments or arguments[0] in HELP_FLAGS:
         text = help_texts.group_help(name, command, subcommands)
-        return _show(text, ExitCode.OK if arguments else ExitCode.USAGE)
+        return _print_text(text, ExitCode.OK if arguments else ExitCode.USAGE)
     sub_name, *rest = arguments
     if sub_name not in subcommands:
         hint = hint_for(sub_name, subcommands)
@@ -81,7 +81,7 @@
 
 def _call(name: str, function: Callable[..., Any], arguments: list[str]) -> int:
     if {"--help", "-h"}.intersection(arguments):
-        return _show(help_texts.function_help(name, function))
+        return _print_text(help_texts.function_help(name, function))
     parsed = parse(function, arguments, name)
     return _exit_code(function(*parsed.positional, **parsed.named))
 
@@ -90,19 +90,19 @@
     return int(result) if isinstance(result, int) else ExitCode.OK
 
 
-def _show(text: str, code: ExitCode = ExitCode.OK) -> int:
+def _print_text(text: str, code: ExitCode = ExitCode.OK) -> int:
     print(text)
     return code
 
 
-def _complain(lines: Sequence[str], code: ExitCode) -> int:
+def _print_errors(lines: Sequence[str], code: ExitCode) -> int:
     for line in lines:
         print(line, file=sys.stderr)
     return code
 
 
-def _fault(reason: str) -> int:
+def _report_fault(reason: str) -> int:
     from finchshed.observability import ring
 
     ring.dump(reason)
-    return _complain([reason], ExitCode.FAULT)
+    return _print_errors([reason], ExitCode.FAULT)
--- a/src/finchshed/cli/parsing.py
+++ b/src/finchshed/cli/parsing.py
@@ -1,8 +1,8 @@
-"""Parses the arguments of one command with fire, wholly, before the command runs.
+"""Parses and validates the arguments of a command with fire before the command runs.
 
-Fire calls a function first and complains about left-over arguments afterwards. So fire is given a
-recorder with the command's signature; the command itself runs only when fire has taken every
-argument and each value fits its annotation.
+Fire calls a function before it reports unconsumed arguments. It is therefore given a recorder with
+the signature of the command; the command runs only after all arguments were consumed and match
+their annotations.
 """
 
 import contextlib
@@ -25,42 +25,42 @@
 
 @dataclass(slots=True)
 class Arguments:
-    """Arguments for a command, checked."""
+    """Parsed arguments of a command."""
 
     positional: list[Any] = field(default_factory=list)
     named: dict[str, Any] = field(default_factory=dict)
 
 
 class _Recorded:
-    """Result given to fire; it has no member that a left-over argument could reach."""
+    """Result returned to fire; has no members that an unconsumed argument could access."""
 
     def __dir__(self) -> list[str]:
         return []
 
 
 def parse(function: Callable[..., Any], arguments: Sequence[str], name: str) -> Arguments:
-    """Return the arguments for ``function``, converted to its annotations.
+    """Parse arguments for ``function`` and convert them to its annotated types.
 
     Parameters
     ----------
     function
-        The command. Its keyword parameters are its flags.
+        The command; its keyword parameters are flags.
     arguments
-        What follows the command's name on the command line.
+        Arguments after the command name.
     name
-        The command's name, for messages.
+        Command name, for error messages.
 
     Raises
     ------
     SettingsError
-        One line for each unknown flag, missing argument or value that doesn't fit.
+        Contains one line for each unknown flag, missing argument or invalid value.
     """
     signature = inspect.signature(function)
     problems = _unknown_flags(signature, arguments, name)
     if problems:
         raise SettingsError(problems)
     raw = _parse_with_fire(signature, arguments, name)
-    return _converted(function, signature, raw)
+    return _convert_arguments(function, signature, raw)
 
 
 def _unknown_flags(signature: inspect.Signature, arguments: Sequence[str], name: str) -> list[str]:
@@ -92,21 +92,21 @@
 
     recorder.__signature__ = signature  # type: ignore[attr-defined]
     decorators.SetParseFn(str)(recorder)
-    complaint = io.StringIO()
+    output = io.StringIO()
     try:
-        with contextlib.redirect_stderr(complaint), contextlib.redirect_stdout(complaint):
-            fire.Fire(recorder, command=list(arguments), name=name, serialize=_nothing)
+        with contextlib.redirect_stderr(output), contextlib.redirect_stdout(output):
+            fire.Fire(recorder, command=list(arguments), name=name, serialize=_suppress_output)
     except fire.core.FireExit as exit_:
-        line = _first_complaint(complaint.getvalue())
+        line = _error_message(output.getvalue())
         raise SettingsError([f"finchshed {name}: {line}"]) from exit_
     return recorded
 
 
-def _nothing(_result: object) -> None:
-    """Keep fire from printing the recorder's result."""
+def _suppress_output(_result: object) -> None:
+    """Discard the recorder's result so that fire does not print it."""
 
 
-def _first_complaint(text: str) -> str:
+def _error_message(text: str) -> str:
     for line in text.splitlines():
         _, found, message = line.partition("ERROR: ")
         if found:
@@ -114,7 +114,7 @@
     return "wrong arguments"
 
 
-def _converted(
+def _convert_arguments(
     function: Callable[..., Any], signature: inspect.Signature, raw: Arguments
 ) -> Arguments:
     hints = get_type_hints(function, include_extras=True)
@@ -125,16 +125,16 @@
         if key not in hints or kind is inspect.Parameter.VAR_KEYWORD:
             continue
         try:
-            bound.arguments[key] = _convert(value, hints[key], kind)
+            bound.arguments[key] = _convert_value(value, hints[key], kind)
         except msgspec.ValidationError:
-            words = allowed_values(key, hints[key])
-            problems.append(f"flag --{key}: {key} = {value}: allowed is {words}")
+            allowed = allowed_values(key, hints[key])
+            problems.append(f"flag --{key}: {key} = {value}: allowed is {allowed}")
     if problems:
         raise SettingsError(problems)
     return Arguments(list(bound.args), dict(bound.kwargs))
 
 
-def _convert(value: Any, hint: Any, kind: Any) -> Any:
+def _convert_value(value: Any, hint: Any, kind: Any) -> Any:
     if kind is inspect.Parameter.VAR_POSITIONAL:
         return tuple(msgspec.convert(part, hint, strict=False) for part in value)
     return msgspec.convert(value, hint, strict=False)
--- a/src/finchshed/cli/table.py
+++ b/src/finchshed/cli/table.py
@@ -1,4 +1,4 @@
-"""The table of commands. Modules are imported only when their command is called."""
+"""Registry of programs and commands, whose modules are imported on first use."""
 
 import importlib
 from collections.abc import Callable, Mapping
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Program:
-    """A long-running program, run from a settings file with flags over it."""
+    """A long-running program, configured by a settings file and flags."""
 
     summary: str
     settings: str
-    """``module:struct`` of its settings."""
+    """Settings struct, as ``module:name``."""
     run: str
-    """``module:callable`` that takes the settings and returns an exit code."""
+    """Callable, as ``module:name``, that takes the settings and returns an exit code."""
 
     def settings_type(self) -> type[msgspec.Struct]:
         """Import and return the settings struct."""
@@ -26,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command that ends by itself.
+    """A command that runs to completion.
 
-    ``target`` is ``module:name`` of a callable that returns an exit code or None, or of a
-    mapping from sub-command to such a callable. ``exit_codes`` is ``module:name`` of the meanings
-    of its exit codes beyond those of every command; empty for none.
+    ``target`` names (as ``module:name``) a callable that returns an exit code or None, a mapping
+    from subcommand names to such callables, or a class whose public methods are the subcommands.
+    ``exit_codes`` names a mapping with the meanings of additional exit codes; empty for none.
     """
 
     summary: str
@@ -74,13 +74,13 @@
 
 
 def resolve(target: str) -> Any:
-    """Import ``module:name``."""
+    """Import the object named by ``target``, given as ``module:name``."""
     module_name, _, name = target.partition(":")
     return getattr(importlib.import_module(module_name), name)
 
 
 def subcommands_of(target: Any) -> Mapping[str, Callable[..., Any]] | None:
-    """Return the sub-commands of a resolved target, or None where it is one callable."""
+    """Return the subcommands of a resolved target, or None if it is a single callable."""
     if isinstance(target, Mapping):
         return target
     if isinstance(target, type):
--- a/tests/cli/test_every_command.py
+++ b/tests/cli/test_every_command.py
@@ -1,4 +1,4 @@
-"""Every command of the table: it has help, and refuses flags it doesn't know."""
+"""Every command has help and rejects unknown flags."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -13,11 +13,11 @@
 
 UNKNOWN_FLAG = "--no-such-flag=1"
 
-TAKE_A_PROGRAM = (("config", "check"), ("config", "show"))
-"""Commands that take the flags of the program they are given."""
+COMMANDS_WITH_PROGRAM = (("config", "check"), ("config", "show"))
+"""Commands that take a program name and that program's flags."""
 
 
-def every_command() -> Iterator[tuple[str, ...]]:
+def all_commands() -> Iterator[tuple[str, ...]]:
     for name in PROGRAMS:
         yield (name,)
     for name, command in COMMANDS.items():
@@ -28,34 +28,34 @@
             yield from ((name, sub_name) for sub_name in subcommands)
 
 
-EVERY_COMMAND = list(every_command())
+ALL_COMMANDS = list(all_commands())
 
 
-@pytest.mark.parametrize("command", EVERY_COMMAND, ids=" ".join)
-def test_an_unknown_flag_is_refused_before_anything_starts(
+@pytest.mark.parametrize("command", ALL_COMMANDS, ids=" ".join)
+def test_an_unknown_flag_is_rejected_before_the_command_runs(
     command: tuple[str, ...], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    program = ["daemon"] if command in TAKE_A_PROGRAM else []
+    program = ["daemon"] if command in COMMANDS_WITH_PROGRAM else []
     assert main.run([*command, *program, UNKNOWN_FLAG]) == ExitCode.USAGE
-    told = capsys.readouterr()
-    assert "no_such_flag" in told.err.replace("-", "_")
-    assert told.out == ""
+    captured = capsys.readouterr()
+    assert "no_such_flag" in captured.err.replace("-", "_")
+    assert captured.out == ""
 
 
-@pytest.mark.parametrize("command", EVERY_COMMAND, ids=" ".join)
+@pytest.mark.parametrize("command", ALL_COMMANDS, ids=" ".join)
 def test_every_command_has_help(
     command: tuple[str, ...], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main.run([*command, "--help"]) == ExitCode.OK
-    told = capsys.readouterr()
-    assert told.err == ""
-    usage, _, text = told.out.partition("\n\n")
+    captured = capsys.readouterr()
+    assert captured.err == ""
+    usage, _, text = captured.out.partition("\n\n")
     assert usage.startswith(f"usage: finchshed {' '.join(command)}")
     assert text.strip()
 
 
 @pytest.mark.parametrize(("codes", "meanings"), [(ExitCode, MEANINGS), (CtlExitCode, CTL_MEANINGS)])
-def test_every_exit_code_has_its_meaning_in_the_help(
+def test_help_explains_every_exit_code(
     codes: Any, meanings: Any, capsys: pytest.CaptureFixture[str]
 ) -> None:
     main.run(["ctl", "--help"])
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture(autouse=True)
-def test_table(monkeypatch: pytest.MonkeyPatch) -> None:
+def register_test_commands(monkeypatch: pytest.MonkeyPatch) -> None:
     calls.clear()
     rows = {
         "group": table.Command("a group", f"{__name__}:GROUP"),
@@ -54,7 +54,7 @@
         monkeypatch.setitem(table.COMMANDS, name, row)
 
 
-def test_arguments_are_converted_to_their_annotations() -> None:
+def test_arguments_are_converted_to_annotated_types() -> None:
     assert main.run(["group", "measure", "007", "--seed=3", "--ratio", "1", "--fast"]) == 0
     assert calls == [("007", 3, 1.0, True)]
 
@@ -73,7 +73,7 @@
         (["measure", "x", "--", "--interactive"], "'--' isn't taken"),
     ],
 )
-def test_wrong_usage_is_refused_before_the_command_runs(
+def test_invalid_usage_is_rejected_before_the_command_runs(
     arguments: list[str], words: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main.run(arguments) == ExitCode.USAGE
@@ -92,7 +92,7 @@
         ("unexpected", ExitCode.FAULT),
     ],
 )
-def test_exit_code_tells_what_happened(kind: str, code: ExitCode) -> None:
+def test_exit_code_matches_the_outcome(kind: str, code: ExitCode) -> None:
     assert main.run(["group", "failing", kind]) == code
 
 
