--- a/tests/forms/codecs.py
+++ b/tests/forms/codecs.py
@@ -31,8 +31,8 @@
 from finchshed.link.encoding import encode_line
 from finchshed.link.lines import LineProtocol
 from finchshed.link.messages import PeerMessage
-from finchshed.observability.decisions import BackendEnded, Believed, CallEnded, RequestEnded
-from finchshed.observability.log_stream import LinesLeftOut, LogStream
+from finchshed.observability.decisions import BackendEnded, CallEnded, RequestEnded, StateChanged
+from finchshed.observability.log_stream import LinesDropped, LogStream
 from finchshed.observability.ring import DumpHeader, LogRecord
 from finchshed.storage.framing import scan
 from finchshed.storage.incarnation import DiskIncarnation
@@ -43,7 +43,7 @@
 from finchshed_platform.heartbeats import HeartbeatBody
 from finchshed_platform.node_file import NodeFile
 
-LogEvent = RequestEnded | CallEnded | BackendEnded | Believed | LinesLeftOut
+LogEvent = RequestEnded | CallEnded | BackendEnded | StateChanged | LinesDropped
 
 
 class Form(NamedTuple):
@@ -241,7 +241,7 @@
     link, wire = open_link(PeerMessage, lambda _link, _message: None)
     first, *others = [FORMS["daemon_link"].read(line) for line in lines]
     link.send(first)
-    link.compress_sent()
+    link.start_compressing()
     for message in others:
         link.send(message)
     return wire.sent
@@ -254,7 +254,7 @@
     def take(link: LineProtocol[Any], message: Any) -> None:
         lines.append(encode_line(message))
         if len(lines) == 1:
-            link.expect_compressed()
+            link.start_decompressing()
 
     link, wire = open_link(PeerMessage, take)
     link.data_received(data)
