--- a/src/finchshed/bench/fixed_control.py
+++ b/src/finchshed/bench/fixed_control.py
@@ -16,7 +16,7 @@
 )
 from finchshed.link.lines import LineProtocol
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.handshakes import Server, listening, serve
+from finchshed.tls.handshakes import Server, listening_socket, start_server
 
 HEARTBEAT_SECONDS = 0.5
 """As a control node with its default settings sends them."""
@@ -38,7 +38,9 @@
     async def start(self) -> None:
         """Listen."""
         loop = asyncio.get_running_loop()
-        self._server = await serve(self._make_protocol, self.credentials, listening("127.0.0.1", 0))
+        self._server = await start_server(
+            self._make_protocol, self.credentials, listening_socket("127.0.0.1", 0)
+        )
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
         self._heartbeats = loop.create_task(self._send_heartbeats())
--- a/src/finchshed/bench/keys.py
+++ b/src/finchshed/bench/keys.py
@@ -11,11 +11,11 @@
 from finchshed.tls.issuing import (
     CERTIFICATE_MODE,
     KEY_MODE,
+    create_authority,
     issue,
-    make_authority,
-    write_synced,
+    write_atomically,
 )
-from finchshed.tls.names import CertificateRole, name_of
+from finchshed.tls.names import CertificateRole, identity_uri
 
 VALID = datetime.timedelta(days=1)
 """Longer than any measurement."""
@@ -28,25 +28,30 @@
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._authority = make_authority(VALID)
+        self._authority = create_authority(VALID)
         content = self._authority.certificate_pem()
-        write_synced(folder / AUTHORITY_FILE, content, CERTIFICATE_MODE)
+        write_atomically(folder / AUTHORITY_FILE, content, CERTIFICATE_MODE)
 
     def control(self) -> Credentials:
         """Return the credentials of the control node."""
-        return Credentials(self._issue("control", [name_of(CertificateRole.CONTROL, "control")]))
+        return Credentials(
+            self._issue("control", [identity_uri(CertificateRole.CONTROL, "control")])
+        )
 
     def flags_of(self, node: str, zone: str, endpoint: str) -> dict[str, str]:
         """Return a daemon's flags; its files are issued."""
-        names = [name_of(CertificateRole.DAEMON, node), name_of(CertificateRole.ZONE, zone)]
+        names = [
+            identity_uri(CertificateRole.DAEMON, node),
+            identity_uri(CertificateRole.ZONE, zone),
+        ]
         if endpoint:
-            names.append(name_of(CertificateRole.ENDPOINT, endpoint))
+            names.append(identity_uri(CertificateRole.ENDPOINT, endpoint))
         paths = self._issue(node, names).by_setting()
         return {setting.replace("_", "-"): path for setting, path in paths.items()}
 
     def _issue(self, node: str, names: list[str]) -> TlsFiles:
         issued = issue(self._authority, node, names, [], VALID)
         certificate, key = self._folder / f"{node}.pem", self._folder / f"{node}.key"
-        write_synced(key, issued.key_pem(), KEY_MODE)
-        write_synced(certificate, issued.certificate_pem(), CERTIFICATE_MODE)
+        write_atomically(key, issued.key_pem(), KEY_MODE)
+        write_atomically(certificate, issued.certificate_pem(), CERTIFICATE_MODE)
         return TlsFiles(str(certificate), str(key), str(self._folder / AUTHORITY_FILE))
--- a/src/finchshed/control/node.py
+++ b/src/finchshed/control/node.py
@@ -24,7 +24,7 @@
 from finchshed.link.networks import PeerNetworks
 from finchshed.observability.health import Health
 from finchshed.runtime import clock
-from finchshed.tls.credentials import Credentials, credentials_of
+from finchshed.tls.credentials import Credentials, load_credentials
 
 if TYPE_CHECKING:
     from finchshed.control.operators.rpc_server import RpcServer
@@ -60,7 +60,7 @@
             self._host, self._machine, background, settings.request_timeout_seconds
         )
         networks = PeerNetworks(settings.peer_networks)
-        credentials = credentials_of(settings)
+        credentials = load_credentials(settings)
         self._links = self._make_links(networks, credentials)
         self._distribution = DistributionService(
             settings.node,
--- a/src/finchshed/control/operators/access.py
+++ b/src/finchshed/control/operators/access.py
@@ -13,8 +13,8 @@
 from finchshed.configuration.store import BOOTSTRAP_OPERATOR
 from finchshed.control.raft.replicated_log import ReplicatedLog
 from finchshed.control.state.machine import ControlStateMachine
-from finchshed.tls.names import CertificateRole, has_role, name_of, shown
-from finchshed.tls.rpc import caller_names
+from finchshed.tls.names import CertificateRole, format_identities, has_role, identity_uri
+from finchshed.tls.rpc import caller_identities
 
 AUTHORIZATION_KEY = "authorization"
 BEARER_PREFIX = "Bearer "
@@ -75,12 +75,12 @@
 
 def _certificate_mismatch(context: grpc.aio.ServicerContext, name: str) -> str:
     """Return why the caller's certificate isn't that of operator ``name``; empty if it is."""
-    names = caller_names(context.auth_context())
-    if names is None or name_of(CertificateRole.OPERATOR, name) in names:
+    names = caller_identities(context.auth_context())
+    if names is None or identity_uri(CertificateRole.OPERATOR, name) in names:
         return ""
     if name == BOOTSTRAP_OPERATOR and has_role(names, CertificateRole.OPERATOR):
         return ""
-    return f"the certificate of {shown(names)} isn't that of operator {name}"
+    return f"the certificate of {format_identities(names)} isn't that of operator {name}"
 
 
 async def abort(context: grpc.aio.ServicerContext, code: grpc.StatusCode, detail: str) -> NoReturn:
--- a/src/finchshed/control/raft/node_links.py
+++ b/src/finchshed/control/raft/node_links.py
@@ -22,8 +22,8 @@
 from finchshed.link.networks import PeerNetworks
 from finchshed.observability.instruments import Counter
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.handshakes import Connector, Server, listening, serve
-from finchshed.tls.names import CertificateRole, name_of, unproven
+from finchshed.tls.handshakes import Connector, Server, listening_socket, start_server
+from finchshed.tls.names import CertificateRole, identity_mismatch, identity_uri
 
 PeerLink: TypeAlias = LineProtocol[PeerMessage]
 MessageHandler: TypeAlias = Callable[[PeerLink, PeerMessage], None]
@@ -115,7 +115,9 @@
     async def start(self, address: str) -> None:
         """Listen at ``address``."""
         host, port = split_address(address)
-        self._server = await serve(self._make_inbound, self._credentials, listening(host, port))
+        self._server = await start_server(
+            self._make_inbound, self._credentials, listening_socket(host, port)
+        )
 
     def stop(self) -> None:
         """Close every connection."""
@@ -282,7 +284,7 @@
         sender = message.control_node
     else:
         return ""
-    return unproven(link.transport, [name_of(CertificateRole.CONTROL, sender)])
+    return identity_mismatch(link.transport, [identity_uri(CertificateRole.CONTROL, sender)])
 
 
 def _set_user_timeout(link: PeerLink) -> None:
--- a/src/finchshed/control/settings.py
+++ b/src/finchshed/control/settings.py
@@ -15,7 +15,7 @@
     OptionalListenAddress,
     OptionalUrl,
 )
-from finchshed.tls.files import AuthorityFile, CertificateFile, KeyFile, TlsFiles, problems_of
+from finchshed.tls.files import AuthorityFile, CertificateFile, KeyFile, TlsFiles, validate_files
 
 Sha256 = Annotated[str, msgspec.Meta(pattern=r"^([0-9a-f]{64})?$")]
 
@@ -171,4 +171,4 @@
 
     def file_problems(self) -> Mapping[str, str]:
         """Return problems with the configured files, by setting; called by the settings loader."""
-        return problems_of(self.tls_files)
+        return validate_files(self.tls_files)
--- a/src/finchshed/ctl/changes.py
+++ b/src/finchshed/ctl/changes.py
@@ -18,8 +18,8 @@
 from finchshed.ctl.client import NotFoundError, OperatorClient
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
 from finchshed.ctl.exit_codes import CtlExitCode
-from finchshed.ctl.output import show
-from finchshed.ctl.values import ApplyView, DifferenceView
+from finchshed.ctl.output import print_result
+from finchshed.ctl.views import ApplyView, DifferenceView
 from finchshed.rpc.change_results import result_from_message
 from finchshed.rpc.conversion import (
     key_to_message,
@@ -66,11 +66,11 @@
     """
     declared = read_declarations(Path(folder))
     client = connect(control, token_file, timeout)
-    current = read_in_force(client)
+    current = read_configuration(client)
     changed = difference(current.resources, declared)
     view = DifferenceView(current.revision, changed.puts, changed.deletes)
     lines = describe_difference(current.resources, changed) or ["nothing to change"]
-    show(view, lines, as_json=json)
+    print_result(view, lines, as_json=json)
     return CtlExitCode.DIFFERENT if changed else ExitCode.OK
 
 
@@ -109,19 +109,19 @@
     """
     declared = read_declarations(Path(folder))
     client = connect(control, token_file, timeout)
-    first_result = first_result_of(client, change_id) if change_id else None
+    first_result = find_result(client, change_id) if change_id else None
     if first_result is not None:
-        return report(change_id, first_result, as_json=json)
-    current = read_in_force(client)
+        return report_result(change_id, first_result, as_json=json)
+    current = read_configuration(client)
     changed = difference(current.resources, declared)
     if not changed:
         lines = [f"nothing to change at revision {current.revision}"]
-        show(ApplyView("", None), lines, as_json=json)
+        print_result(ApplyView("", None), lines, as_json=json)
         return ExitCode.OK
     expected = current.revision if expected_revision < 0 else expected_revision
     identity = change_id or str(uuid.uuid4())
     result = _submit_or_explain(client, folder, identity, expected, changed)
-    return report(identity, result, as_json=json)
+    return report_result(identity, result, as_json=json)
 
 
 def _submit_or_explain(
@@ -129,7 +129,7 @@
 ) -> ChangeResult:
     """Send a change; where no answer comes, say how its outcome is learnt."""
     try:
-        return submit(client, change_id, expected, changed)
+        return submit_change(client, change_id, expected, changed)
     except ControlUnavailableError as error:
         raise ControlUnavailableError(
             f"{error}\nthe change may have been accepted; to learn its outcome: "
@@ -198,29 +198,29 @@
 def _set_state(client: OperatorClient, name: str, state: EndpointState, *, as_json: bool) -> int:
     """Put an endpoint into ``state``, again where another change was accepted first."""
     for _ in range(DRAIN_ATTEMPTS):
-        current = read_in_force(client)
+        current = read_configuration(client)
         endpoint = current.resources.get(ResourceKey("endpoint", name))
         if not isinstance(endpoint, Endpoint):
             raise SettingsError([f"endpoint = {name!r}: allowed are declared endpoints"])
         if endpoint.state is state:
             lines = [f"{name} is {state.value} at revision {current.revision}"]
-            show(ApplyView("", None), lines, as_json=as_json)
+            print_result(ApplyView("", None), lines, as_json=as_json)
             return ExitCode.OK
         changed = Difference((msgspec.structs.replace(endpoint, state=state),), ())
         identity = str(uuid.uuid4())
-        result = submit(client, identity, current.revision, changed)
+        result = submit_change(client, identity, current.revision, changed)
         if not isinstance(result, Conflict):
             break
-    return report(identity, result, as_json=as_json)
+    return report_result(identity, result, as_json=as_json)
 
 
-def read_in_force(client: OperatorClient) -> DeclaredConfiguration:
+def read_configuration(client: OperatorClient) -> DeclaredConfiguration:
     """Return the configuration in force."""
     answer = cast(pb.GetResponse, client.call("Get", pb.GetRequest()))
     return DeclaredConfiguration(answer.revision, resources_by_key(answer.resources))
 
 
-def first_result_of(client: OperatorClient, change_id: str) -> ChangeResult | None:
+def find_result(client: OperatorClient, change_id: str) -> ChangeResult | None:
     """Return the first result of an earlier change, or None when there is none."""
     try:
         answer = client.call("GetResult", pb.GetResultRequest(change_id=change_id))
@@ -229,7 +229,7 @@
     return result_from_message(cast(pb.ApplyResponse, answer))
 
 
-def submit(
+def submit_change(
     client: OperatorClient, change_id: str, expected_revision: int, changed: Difference
 ) -> ChangeResult:
     """Send a change, with the same identity to other nodes where an answer is lost."""
@@ -242,7 +242,7 @@
     return result_from_message(cast(pb.ApplyResponse, client.call("Apply", request)))
 
 
-def report(change_id: str, result: ChangeResult, *, as_json: bool) -> int:
+def report_result(change_id: str, result: ChangeResult, *, as_json: bool) -> int:
     """Print ``result`` and return its exit code."""
     if isinstance(result, Accepted):
         lines = [f"accepted as revision {result.revision} (change {change_id})"]
@@ -256,5 +256,5 @@
     else:
         lines = ["invalid; nothing was changed:", *(f"  {item}" for item in result.problems)]
         code = CtlExitCode.INVALID
-    show(ApplyView(change_id, result), lines, as_json=as_json)
+    print_result(ApplyView(change_id, result), lines, as_json=as_json)
     return code
--- a/src/finchshed/ctl/client.py
+++ b/src/finchshed/ctl/client.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EachAnswer:
+class NodeResponses:
     """What all control nodes said to one request.
 
     Attributes
@@ -133,7 +133,7 @@
                 raise ControlUnavailableError(last)
             time.sleep(RETRY_PAUSE_SECONDS)
 
-    def call_each(self, method: str, request: object) -> EachAnswer:
+    def call_each(self, method: str, request: object) -> NodeResponses:
         """Call ``method`` once on every node.
 
         Raises
@@ -153,7 +153,7 @@
                 errors.append(f"{address}: {_describe(error)}")
             else:
                 answers.append((address, answer))
-        return EachAnswer(tuple(answers), tuple(errors))
+        return NodeResponses(tuple(answers), tuple(errors))
 
     def stream(self, method: str, request: object) -> Iterator[object]:
         """Yield the answers of a streaming ``method`` of the first node that can answer.
--- a/src/finchshed/ctl/command.py
+++ b/src/finchshed/ctl/command.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable, Mapping
 from functools import wraps
 
-from finchshed.ctl import changes, maintenance, quarantine, reading, restore, status
+from finchshed.ctl import changes, maintenance, quarantine, queries, restore, status
 from finchshed.ctl.client import AccessDeniedError
 from finchshed.ctl.exit_codes import CtlExitCode
-from finchshed.ctl.output import complain
+from finchshed.ctl.output import print_error
 
 CtlFunction = Callable[..., int]
 
@@ -17,7 +17,7 @@
         try:
             return function(*arguments, **flags)
         except AccessDeniedError as error:
-            complain(f"denied: {error}")
+            print_error(f"denied: {error}")
             return CtlExitCode.DENIED
 
     return run
@@ -28,13 +28,13 @@
     "apply": _denial_as_exit_code(changes.apply),
     "drain": _denial_as_exit_code(changes.drain),
     "undrain": _denial_as_exit_code(changes.undrain),
-    "get": _denial_as_exit_code(reading.get),
-    "watch": _denial_as_exit_code(reading.watch),
+    "get": _denial_as_exit_code(queries.get),
+    "watch": _denial_as_exit_code(queries.watch),
     "status": _denial_as_exit_code(status.status),
     "members": _denial_as_exit_code(status.members),
-    "explain": _denial_as_exit_code(reading.explain),
+    "explain": _denial_as_exit_code(queries.explain),
     "quarantine": _denial_as_exit_code(quarantine.quarantine),
-    "history": _denial_as_exit_code(reading.history),
+    "history": _denial_as_exit_code(queries.history),
     "replace-member": _denial_as_exit_code(maintenance.replace_member),
     "backup": _denial_as_exit_code(maintenance.backup),
     "restore": restore.restore,
--- a/src/finchshed/ctl/connection.py
+++ b/src/finchshed/ctl/connection.py
@@ -6,7 +6,7 @@
 from finchshed.common.errors import SettingsError
 from finchshed.configuration.validation import is_address
 from finchshed.ctl.client import OperatorClient
-from finchshed.tls.files import TlsFiles, problems_of
+from finchshed.tls.files import TlsFiles, validate_files
 
 CONTROL_VARIABLE = "FINCHSHED_CONTROL"
 """RPC addresses of control nodes, separated by commas."""
@@ -64,7 +64,7 @@
     files = TlsFiles(
         paths["tls_certificate_file"], paths["tls_key_file"], paths["tls_authority_file"]
     )
-    for name, words in problems_of(files).items():
+    for name, words in validate_files(files).items():
         problems.append(f"{TLS_VARIABLES[name]} = {paths[name]!r}: {words}")
     return None if files.is_plain else files
 
--- a/src/finchshed/ctl/maintenance.py
+++ b/src/finchshed/ctl/maintenance.py
@@ -13,7 +13,7 @@
 from finchshed.control.state.machine import StateSnapshot
 from finchshed.ctl.client import OperatorClient
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
-from finchshed.ctl.output import complain, show
+from finchshed.ctl.output import print_error, print_result
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 STEP_PAUSE_SECONDS = 0.5
@@ -30,7 +30,7 @@
     sha256: str
 
 
-class StepView(msgspec.Struct, frozen=True):
+class ReplaceMemberView(msgspec.Struct, frozen=True):
     """Answer of ``replace-member``."""
 
     done: bool
@@ -81,7 +81,7 @@
     client = connect(control, token_file, min(timeout, DEFAULT_TIMEOUT_SECONDS))
     request = pb.ReplaceMemberRequest(remove=remove, add=add, standby=standby)
     step = _wait_until_replaced(client, request, timeout, says_steps=not json)
-    show(StepView(done=True, step=step), ["done"], as_json=json)
+    print_result(ReplaceMemberView(done=True, step=step), ["done"], as_json=json)
     return ExitCode.OK
 
 
@@ -119,7 +119,7 @@
     digest = hashlib.sha256(data).hexdigest()
     view = BackupView(str(path), state.store.revision, state.index, len(data), digest)
     text = f"revision {view.revision}, {view.size_bytes} bytes, sha256 {digest}"
-    show(view, [text], as_json=json)
+    print_result(view, [text], as_json=json)
     return ExitCode.OK
 
 
@@ -146,12 +146,12 @@
     client = connect(control, token_file, timeout)
     said = client.call_each("Dump", pb.DumpRequest())
     for error in said.errors:
-        complain(error)
+        print_error(error)
     destinations = [
         f"{address}: {cast(pb.DumpResponse, answer).destination}"
         for address, answer in said.answers
     ]
-    show(DumpView(tuple(destinations)), destinations, as_json=json)
+    print_result(DumpView(tuple(destinations)), destinations, as_json=json)
     return ExitCode.OK if destinations else ExitCode.UNAVAILABLE
 
 
@@ -170,7 +170,7 @@
     while True:
         answer = cast(pb.ReplaceMemberResponse, client.call("ReplaceMember", request))
         if answer.step != step and not answer.done and says_steps:
-            complain(answer.step)
+            print_error(answer.step)
         step = str(answer.step)
         if answer.done:
             return step
--- a/src/finchshed/ctl/output.py
+++ b/src/finchshed/ctl/output.py
@@ -6,7 +6,7 @@
 import msgspec
 
 
-def show(value: msgspec.Struct, lines: Iterable[str], *, as_json: bool) -> None:
+def print_result(value: msgspec.Struct, lines: Iterable[str], *, as_json: bool) -> None:
     """Print ``value`` as one JSON line, or ``lines`` for people."""
     if as_json:
         sys.stdout.write(msgspec.json.encode(value).decode() + "\n")
@@ -16,12 +16,12 @@
     sys.stdout.flush()
 
 
-def complain(line: str) -> None:
+def print_error(line: str) -> None:
     """Print ``line`` on standard error."""
     sys.stderr.write(line + "\n")
 
 
-def table(header: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> list[str]:
+def format_table(header: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> list[str]:
     """Return aligned lines of a table."""
     all_rows = [header, *rows]
     widths = [max(len(row[column]) for row in all_rows) for column in range(len(header))]
--- a/src/finchshed/ctl/quarantine.py
+++ b/src/finchshed/ctl/quarantine.py
@@ -4,8 +4,8 @@
 
 from finchshed.cli.exit_codes import ExitCode
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
-from finchshed.ctl.output import show, table
-from finchshed.ctl.values import QuarantinedView, QuarantineView
+from finchshed.ctl.output import format_table, print_result
+from finchshed.ctl.views import QuarantinedView, QuarantineView
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 
@@ -62,4 +62,4 @@
         for view in views
     ]
     header = ("request", "standing", "crashes", "seconds ago", "refused for seconds")
-    show(QuarantineView(views), table(header, rows), as_json=as_json)
+    print_result(QuarantineView(views), format_table(header, rows), as_json=as_json)
--- a/src/finchshed/ctl/reading.py
+++ b/src/finchshed/ctl/queries.py
@@ -10,8 +10,8 @@
 from finchshed.common.errors import ControlUnavailableError, SettingsError
 from finchshed.configuration.resources import KINDS, Resource, ResourceKey, key_of
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
-from finchshed.ctl.output import complain, show, table
-from finchshed.ctl.values import (
+from finchshed.ctl.output import format_table, print_error, print_result
+from finchshed.ctl.views import (
     ConfigurationView,
     DecisionView,
     ExplainView,
@@ -54,10 +54,10 @@
     answer = cast(pb.GetResponse, client.call("Get", request))
     found = resources_from_messages(answer.resources, [])
     lines = [f"revision {answer.revision}", *(_describe(item) for item in _sorted(found))]
-    show(ConfigurationView(answer.revision, found), lines, as_json=json)
+    print_result(ConfigurationView(answer.revision, found), lines, as_json=json)
     missing = set(keys) - {key_of(item) for item in found}
     for key in sorted(missing):
-        complain(f"{key.kind}/{key.name}: not declared")
+        print_error(f"{key.kind}/{key.name}: not declared")
     return ExitCode.FAILED if missing else ExitCode.OK
 
 
@@ -98,7 +98,7 @@
                 if seen == count:
                     return ExitCode.OK
         except ControlUnavailableError as error:
-            complain(f"stream ended ({error}); going on after revision {position}")
+            print_error(f"stream ended ({error}); going on after revision {position}")
             client.call("Members", pb.MembersRequest())
 
 
@@ -136,7 +136,7 @@
     said = client.call_each("Explain", request)
     if not said.answers:
         for error in said.errors:
-            complain(error)
+            print_error(error)
         return ExitCode.UNAVAILABLE
     _, first = said.answers[0]
     _show_decisions(node, cast(pb.ExplainResponse, first), as_json=json)
@@ -176,7 +176,7 @@
     )
     rows = [(item.time, item.operator, item.action, item.subject, item.outcome) for item in entries]
     header = ("time (UTC)", "operator", "action", "subject", "outcome")
-    show(HistoryView(entries), table(header, rows), as_json=json)
+    print_result(HistoryView(entries), format_table(header, rows), as_json=json)
     return ExitCode.OK
 
 
@@ -192,7 +192,7 @@
         for d in decisions
     ]
     header = ("seconds ago", "action", "reason", "endpoint", "root request", "detail")
-    show(ExplainView(node, decisions), table(header, rows), as_json=as_json)
+    print_result(ExplainView(node, decisions), format_table(header, rows), as_json=as_json)
 
 
 def _utc_text(unix_seconds: float) -> str:
@@ -233,5 +233,5 @@
     lines = [title, *(f"  = {_describe(item)}" for item in _sorted(puts))]
     lines += [f"  - {key.kind}/{key.name}" for key in deletes]
     view = ConfigurationView(event.revision, puts, base=event.base, deletes=deletes)
-    show(view, lines, as_json=as_json)
+    print_result(view, lines, as_json=as_json)
     return int(event.revision)
--- a/src/finchshed/ctl/restore.py
+++ b/src/finchshed/ctl/restore.py
@@ -27,7 +27,7 @@
 from finchshed.control.settings import ControlSettings
 from finchshed.control.state.machine import ControlStateMachine, StateSnapshot
 from finchshed.ctl.exit_codes import CtlExitCode
-from finchshed.ctl.output import show
+from finchshed.ctl.output import print_result
 from finchshed.settings.loader import load
 from finchshed.storage.folder import DataFolder
 from finchshed.storage.incarnation import INCARNATION_NAME
@@ -114,7 +114,7 @@
         )
     if is_accepted:
         _write(configured, found, state)
-    show(view, _lines(view, settings), as_json=json)
+    print_result(view, _lines(view, settings), as_json=json)
     return ExitCode.OK if is_accepted else CtlExitCode.LOSS_NOT_ACCEPTED
 
 
--- a/src/finchshed/ctl/status.py
+++ b/src/finchshed/ctl/status.py
@@ -10,8 +10,8 @@
 from finchshed.ctl.client import OperatorClient
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
 from finchshed.ctl.exit_codes import CtlExitCode
-from finchshed.ctl.output import show, table
-from finchshed.ctl.values import (
+from finchshed.ctl.output import format_table, print_result
+from finchshed.ctl.views import (
     DaemonView,
     LedgerView,
     MembersView,
@@ -48,7 +48,7 @@
         Print one JSON line.
     """
     view = read_status(connect(control, token_file, timeout))
-    show(view, _status_lines(view), as_json=json)
+    print_result(view, _status_lines(view), as_json=json)
     return ExitCode.OK if view.in_force == view.known else CtlExitCode.NOT_IN_FORCE
 
 
@@ -119,7 +119,7 @@
             for member in best.members
         ),
     )
-    show(view, _member_lines(view), as_json=json)
+    print_result(view, _member_lines(view), as_json=json)
     return ExitCode.OK if view.leader else ExitCode.UNAVAILABLE
 
 
@@ -154,7 +154,7 @@
         for daemon in view.daemons
     ]
     if rows:
-        lines += table(("daemon", "endpoint", "state", "revision", "for seconds"), rows)
+        lines += format_table(("daemon", "endpoint", "state", "revision", "for seconds"), rows)
     lines += [f"control node unreachable: {text}" for text in view.unreachable]
     return lines
 
@@ -171,4 +171,4 @@
         for member in view.members
     ]
     title = f"leader {view.leader or 'unknown'}, term {view.term}, committed {view.commit_index}"
-    return [title, *table(("member", "role", "address", "on disk", "seconds silent"), rows)]
+    return [title, *format_table(("member", "role", "address", "on disk", "seconds silent"), rows)]
--- a/src/finchshed/daemon/assembly.py
+++ b/src/finchshed/daemon/assembly.py
@@ -61,7 +61,7 @@
 from finchshed.quarantine.messages import CrashNews
 from finchshed.routing.table import RoutingTable
 from finchshed.runtime import clock
-from finchshed.tls.credentials import credentials_of
+from finchshed.tls.credentials import load_credentials
 from finchshed.tls.handshakes import Connector
 from finchshed.tls.names import CertificateRole
 
@@ -116,7 +116,7 @@
         started_ms=int(time.time() * MILLISECONDS),
         identity=EndpointIdentity(settings.endpoint, settings.service),
         drain=DrainState.awaiting_registration() if awaits_registration else DrainState(),
-        credentials=credentials_of(settings),
+        credentials=load_credentials(settings),
         table=table,
         paths=PathThresholds(table.path_threshold),
         signatures=SignatureFactory(names),
--- a/src/finchshed/daemon/listeners.py
+++ b/src/finchshed/daemon/listeners.py
@@ -6,7 +6,7 @@
 
 from finchshed.daemon.sockets import listening_socket, prefer_successor
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.handshakes import Server, serve
+from finchshed.tls.handshakes import Server, start_server
 
 
 class Listeners:
@@ -28,7 +28,7 @@
             return
         listener = listening_socket(address)
         self._sockets.append(listener)
-        self._servers.append(await serve(factory, credentials, listener))
+        self._servers.append(await start_server(factory, credentials, listener))
 
     def prefer_successor(self) -> None:
         """Direct new connections to a successor on the same addresses, if there is one."""
--- a/src/finchshed/daemon/settings.py
+++ b/src/finchshed/daemon/settings.py
@@ -16,7 +16,7 @@
     OptionalName,
     ZonedAddress,
 )
-from finchshed.tls.files import AuthorityFile, CertificateFile, KeyFile, TlsFiles, problems_of
+from finchshed.tls.files import AuthorityFile, CertificateFile, KeyFile, TlsFiles, validate_files
 
 
 class DaemonSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -165,7 +165,7 @@
 
     def file_problems(self) -> Mapping[str, str]:
         """Return problems with the TLS files, by setting (called by the settings loader)."""
-        return problems_of(self.tls_files)
+        return validate_files(self.tls_files)
 
     @property
     def accepted_silence_seconds(self) -> float:
--- a/src/finchshed/distribution/server.py
+++ b/src/finchshed/distribution/server.py
@@ -33,8 +33,14 @@
 from finchshed.quarantine.messages import CrashNews
 from finchshed.quota.messages import QuotaAsk, QuotaReport, QuotaRequest
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.handshakes import Server, listening, serve
-from finchshed.tls.names import CertificateRole, has_role, name_of, proven_names, unproven
+from finchshed.tls.handshakes import Server, listening_socket, start_server
+from finchshed.tls.names import (
+    CertificateRole,
+    has_role,
+    identity_mismatch,
+    identity_uri,
+    peer_identities,
+)
 
 Answer: TypeAlias = Callable[[ControlToDaemon], None]
 Connection: TypeAlias = LineProtocol[DaemonToControl]
@@ -114,8 +120,8 @@
 
     async def start(self, host: str, port: int) -> int:
         """Start listening and return the port, chosen by the system if ``port`` is 0."""
-        listener = listening(host, port, BACKLOG)
-        self._server = await serve(self._make_protocol, self._credentials, listener)
+        listener = listening_socket(host, port, BACKLOG)
+        self._server = await start_server(self._make_protocol, self._credentials, listener)
         self._ticking = asyncio.create_task(self._tick_forever())
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -274,7 +280,7 @@
 
     Control nodes also subscribe, to reach the ledger of another control group.
     """
-    names = proven_names(connection.transport) or frozenset()
+    names = peer_identities(connection.transport) or frozenset()
     role = (
         CertificateRole.CONTROL
         if has_role(names, CertificateRole.CONTROL)
@@ -285,8 +291,8 @@
         CertificateRole.ZONE: message.zone,
         CertificateRole.ENDPOINT: message.endpoint,
     }
-    claims = [name_of(kind, name) for kind, name in claimed.items() if name or kind is role]
-    return unproven(connection.transport, claims)
+    claims = [identity_uri(kind, name) for kind, name in claimed.items() if name or kind is role]
+    return identity_mismatch(connection.transport, claims)
 
 
 def _send(connection: Connection, answer: ControlToDaemon) -> None:
--- a/src/finchshed/fleet/final_configuration.py
+++ b/src/finchshed/fleet/final_configuration.py
@@ -12,7 +12,7 @@
 
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.configuration.resources import Policy
-from finchshed.ctl.changes import read_in_force
+from finchshed.ctl.changes import read_configuration
 from finchshed.ctl.client import OperatorClient
 from finchshed.fleet.observer import FleetObserver
 from finchshed.fleet.plan import FleetPlan
@@ -38,7 +38,7 @@
         plan.rpc_addresses, plan.deployment.operator_token, READ_TIMEOUT_SECONDS
     )
     try:
-        current = read_in_force(client)
+        current = read_configuration(client)
     except ControlUnavailableError:
         return None
     finally:
--- a/src/finchshed/link/listener.py
+++ b/src/finchshed/link/listener.py
@@ -30,7 +30,7 @@
 from finchshed.observability.instruments import Counter, Gauge
 from finchshed.quarantine.messages import CrashNews
 from finchshed.runtime import clock
-from finchshed.tls.names import claims_of_link, unproven
+from finchshed.tls.names import hello_identities, identity_mismatch
 
 LINKS_REFUSED = Counter(
     "finchshed_links_refused_total", "Connections of peers closed for a fault", ["cause"]
@@ -131,8 +131,8 @@
     def _on_hello(self, message: PeerMessage) -> None:
         if not isinstance(message, Hello) or not message.epoch or not message.node:
             raise ProtocolError("the first line is no Hello")
-        claims = claims_of_link(message.node, message.service, message.zone)
-        if fault := unproven(self.lines.transport, claims):
+        claims = hello_identities(message.node, message.service, message.zone)
+        if fault := identity_mismatch(self.lines.transport, claims):
             raise ProtocolError(fault)
         self.peer = message
         self.lines.greeted()
--- a/src/finchshed/link/peer.py
+++ b/src/finchshed/link/peer.py
@@ -33,7 +33,7 @@
 from finchshed.link.states import CallContent, Connect, LinkState, ReplyCallback, SendResult
 from finchshed.observability.instruments import Counter
 from finchshed.quarantine.messages import CrashNews
-from finchshed.tls.names import claims_of_link, unproven
+from finchshed.tls.names import hello_identities, identity_mismatch
 
 EPOCH_BYTES = 8
 """Random bytes of a link's identity: equal ones between two daemons are out of the question."""
@@ -225,8 +225,8 @@
         if hello.epoch != self.epoch:
             self._end("protocol")
             return
-        claims = claims_of_link(hello.node, hello.service, hello.zone)
-        if fault := unproven(lines.transport, claims):
+        claims = hello_identities(hello.node, hello.service, hello.zone)
+        if fault := identity_mismatch(lines.transport, claims):
             logger.warning("link to {} closed: {}", self.address, fault)
             self._end("protocol")
             return
--- a/src/finchshed/rpc/conversion.py
+++ b/src/finchshed/rpc/conversion.py
@@ -26,14 +26,14 @@
 )
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
-STATES = {
+STATE_TO_MESSAGE = {
     EndpointState.ACTIVE: pb.ENDPOINT_STATE_ACTIVE,
     EndpointState.LEAVING: pb.ENDPOINT_STATE_LEAVING,
 }
-LIMITS_FIELDS = IngressLimits.__struct_fields__
+INGRESS_LIMITS_FIELDS = IngressLimits.__struct_fields__
 ALLOWED_KINDS = "service, host_route, ingress_limits, endpoint, policy, operator, tenant"
 QUOTA_FIELDS = ("quota_window_seconds", "quota_overshoot", "quota_slack")
-STATES_BACK = {number: state for state, number in STATES.items()}
+STATE_FROM_MESSAGE = {number: state for state, number in STATE_TO_MESSAGE.items()}
 
 
 def resource_to_message(resource: Resource) -> pb.Resource:
@@ -49,7 +49,7 @@
                 zone=resource.zone,
                 address=resource.address,
                 slots=resource.slots,
-                state=STATES[resource.state],
+                state=STATE_TO_MESSAGE[resource.state],
                 warm_up_seconds=resource.warm_up_seconds,
             )
         )
@@ -101,7 +101,7 @@
     if kind == "host_route":
         return _host_route_from_message(message.host_route, problems)
     if kind == "ingress_limits":
-        table = {name: getattr(message.ingress_limits, name) for name in LIMITS_FIELDS}
+        table = {name: getattr(message.ingress_limits, name) for name in INGRESS_LIMITS_FIELDS}
         return convert_table(table, IngressLimits, "ingress_limits", problems)
     if kind == "operator":
         table = {"name": message.operator.name, "token_sha256": message.operator.token_sha256}
@@ -263,8 +263,8 @@
 
 def _endpoint_from_message(message: pb.Endpoint, problems: list[str]) -> Endpoint | None:
     where = f"endpoint {message.name}"
-    if message.state not in STATES_BACK:
-        allowed = ", ".join(str(number) for number in STATES_BACK)
+    if message.state not in STATE_FROM_MESSAGE:
+        allowed = ", ".join(str(number) for number in STATE_FROM_MESSAGE)
         problems.append(f"{where}: state = {message.state}: allowed are: {allowed}")
     table = {
         "name": message.name,
@@ -273,7 +273,7 @@
         "zone": message.zone,
         "address": message.address,
         "slots": message.slots,
-        "state": STATES_BACK.get(message.state, EndpointState.ACTIVE),
+        "state": STATE_FROM_MESSAGE.get(message.state, EndpointState.ACTIVE),
     }
     if message.HasField("warm_up_seconds"):
         table["warm_up_seconds"] = message.warm_up_seconds
--- a/src/finchshed/standins/operator.py
+++ b/src/finchshed/standins/operator.py
@@ -15,7 +15,7 @@
 from finchshed.configuration.changes import Accepted, Conflict
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Policy, ResourceKey
-from finchshed.ctl.changes import read_in_force, submit
+from finchshed.ctl.changes import read_configuration, submit_change
 from finchshed.ctl.client import OperatorClient
 from finchshed.standins.records import RecordWriter, monotonic
 from finchshed.standins.settings import OperatorSettings
@@ -110,7 +110,7 @@
         self._note(change, StandinChangeOutcome.SUBMITTED, 0)
         while monotonic() < deadline:
             try:
-                result = submit(self._client, change.identity, change.expected, changed)
+                result = submit_change(self._client, change.identity, change.expected, changed)
             except ControlUnavailableError:
                 continue
             outcome, accepted = _outcome_of(result)
@@ -122,7 +122,7 @@
     def _revision(self, deadline: float) -> tuple[int, Policy] | None:
         while monotonic() < deadline:
             try:
-                current = read_in_force(self._client)
+                current = read_configuration(self._client)
             except ControlUnavailableError:
                 continue
             return current.revision, cast(Policy, current.resources[POLICY])
--- a/src/finchshed/tls/command.py
+++ b/src/finchshed/tls/command.py
@@ -14,13 +14,13 @@
 from finchshed.tls.issuing import (
     CERTIFICATE_MODE,
     KEY_MODE,
-    Issued,
-    make_authority,
+    IssuedCertificate,
+    create_authority,
     read_issued,
-    write_synced,
+    write_atomically,
 )
 from finchshed.tls.issuing import issue as issue_certificate
-from finchshed.tls.names import CONTROL_HOST, CertificateRole, name_of
+from finchshed.tls.names import CONTROL_HOST, CertificateRole, identity_uri
 
 AUTHORITY = "authority"
 AUTHORITY_DAYS = 3650.0
@@ -39,7 +39,7 @@
     path = Path(folder)
     if (path / f"{AUTHORITY}.key").exists() or (path / f"{AUTHORITY}.pem").exists():
         raise FinchshedError(f"{folder} holds an authority; it isn't replaced")
-    _write(path, AUTHORITY, make_authority(valid))
+    _write(path, AUTHORITY, create_authority(valid))
     return ExitCode.OK
 
 
@@ -70,9 +70,11 @@
     if endpoint and role != CertificateRole.DAEMON:
         problems.append("flag --endpoint: only a daemon has one")
     valid = _valid(days, problems)
-    names = [name_of(CertificateRole(role), named["name"])]
+    names = [identity_uri(CertificateRole(role), named["name"])]
     names += [
-        name_of(CertificateRole(flag), named[flag]) for flag in ("zone", "endpoint") if named[flag]
+        identity_uri(CertificateRole(flag), named[flag])
+        for flag in ("zone", "endpoint")
+        if named[flag]
     ]
     hosts = [CONTROL_HOST] if role == CertificateRole.CONTROL else []
     signer = _read_authority(Path(authority))
@@ -111,20 +113,20 @@
     return datetime.timedelta(days=days)
 
 
-def _read_authority(folder: Path) -> Issued:
+def _read_authority(folder: Path) -> IssuedCertificate:
     try:
         return read_issued(folder / f"{AUTHORITY}.pem", folder / f"{AUTHORITY}.key")
     except (OSError, ValueError) as error:
         raise FinchshedError(f"no authority in {folder}: {error}") from error
 
 
-def _write(folder: Path, name: str, issued: Issued) -> None:
+def _write(folder: Path, name: str, issued: IssuedCertificate) -> None:
     """Write both files; processes that see one new file only keep to the old pair."""
     key, certificate = folder / f"{name}.key", folder / f"{name}.pem"
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        write_synced(key, issued.key_pem(), KEY_MODE)
-        write_synced(certificate, issued.certificate_pem(), CERTIFICATE_MODE)
+        write_atomically(key, issued.key_pem(), KEY_MODE)
+        write_atomically(certificate, issued.certificate_pem(), CERTIFICATE_MODE)
     except OSError as error:
         raise FinchshedError(f"can't write to {folder}: {error}") from error
     end = issued.certificate.not_valid_after_utc.isoformat()
--- a/src/finchshed/tls/credentials.py
+++ b/src/finchshed/tls/credentials.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from finchshed.tls.files import TlsFiles, load_into, problems_of, read_certificates
+from finchshed.tls.files import TlsFiles, load_into_context, read_certificates, validate_files
 
 Stamp = tuple[tuple[int, int], ...]
 """Time of the last change in nanoseconds and inode number of each file."""
@@ -57,7 +57,7 @@
             if stamp == self._stamp:
                 return
             self._stamp = stamp
-            problems = problems_of(self.files)
+            problems = validate_files(self.files)
             if problems:
                 logger.warning("new key or certificate not taken: {}", _text(problems))
                 return
@@ -87,13 +87,13 @@
             if stamp == self._stamp:
                 return None
             self._stamp = stamp
-            return None if problems_of(self._files) else read_files(self._files)
+            return None if validate_files(self._files) else read_files(self._files)
         except OSError:
             self._stamp = ()
             return None
 
 
-def credentials_of(settings: TlsSettings) -> Credentials | None:
+def load_credentials(settings: TlsSettings) -> Credentials | None:
     """Return the credentials a program's settings name, or None for plain text; log which."""
     files = settings.tls_files
     if files.is_plain:
@@ -118,7 +118,7 @@
     # Peers are dialled by address; their names are compared with their greetings instead.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
-    load_into(context, files)
+    load_into_context(context, files)
     if protocol == ssl.PROTOCOL_TLS_SERVER:
         # A resumed session would outlive its certificate, and no client here resumes one.
         context.num_tickets = 0
--- a/src/finchshed/tls/files.py
+++ b/src/finchshed/tls/files.py
@@ -65,7 +65,7 @@
         }
 
 
-def problems_of(files: TlsFiles) -> Mapping[str, str]:
+def validate_files(files: TlsFiles) -> Mapping[str, str]:
     """Return what is wrong, in words, by the name of the setting; empty for nothing."""
     if files.is_plain:
         return {}
@@ -87,7 +87,7 @@
     return x509.load_pem_x509_certificates(Path(path).read_bytes())
 
 
-def load_into(context: ssl.SSLContext, files: TlsFiles) -> None:
+def load_into_context(context: ssl.SSLContext, files: TlsFiles) -> None:
     """Load certificate, key and authorities; a key under a password isn't asked for one."""
     context.load_cert_chain(files.certificate, files.key, password="")
     context.load_verify_locations(files.authority)
@@ -117,7 +117,7 @@
     if problems:
         return problems
     try:
-        load_into(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT), files)
+        load_into_context(ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT), files)
     except ssl.SSLError as error:
         if error.reason == "KEY_VALUES_MISMATCH":
             return {"tls_key_file": "isn't the key of the certificate"}
--- a/src/finchshed/tls/handshakes.py
+++ b/src/finchshed/tls/handshakes.py
@@ -16,7 +16,13 @@
 from loguru import logger
 
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.names import REFUSED, CertificateRole, has_role, proven_names, shown
+from finchshed.tls.names import (
+    REFUSED_CONNECTIONS,
+    CertificateRole,
+    format_identities,
+    has_role,
+    peer_identities,
+)
 
 DEFAULT_BACKLOG = 100
 ACCEPT_PAUSE_SECONDS = 0.1
@@ -40,17 +46,17 @@
         """Take no more connections; those taken go on."""
 
 
-async def serve(
+async def start_server(
     make_protocol: MakeProtocol, credentials: Credentials | None, listener: socket.socket
 ) -> Server:
     """Serve connections of a listening socket; in plain text without credentials."""
     listener.setblocking(False)
     if credentials is not None:
-        return SecuredServer(make_protocol, credentials, listener)
+        return TlsServer(make_protocol, credentials, listener)
     return await asyncio.get_running_loop().create_server(make_protocol, sock=listener)
 
 
-def listening(host: str, port: int, backlog: int = DEFAULT_BACKLOG) -> socket.socket:
+def listening_socket(host: str, port: int, backlog: int = DEFAULT_BACKLOG) -> socket.socket:
     """Return a socket that listens at ``host``; port 0: any that is free."""
     return socket.create_server((host, port), backlog=backlog)
 
@@ -85,17 +91,17 @@
         except ssl.SSLError as error:
             _refuse(f"{host}:{port}", error)
             raise
-        names = proven_names(transport) or frozenset()
+        names = peer_identities(transport) or frozenset()
         if self._role is not None and not has_role(names, self._role):
             transport.abort()
-            REFUSED.labels("name").inc()
-            text = f"{host}:{port} is {shown(names)}, not a {self._role} node"
+            REFUSED_CONNECTIONS.labels("name").inc()
+            text = f"{host}:{port} is {format_identities(names)}, not a {self._role} node"
             logger.warning("connection closed: {}", text)
             raise ConnectionAbortedError(text)
         return transport, protocol
 
 
-class SecuredServer:
+class TlsServer:
     """Accepts connections on a listening socket; each is a protocol's once its handshake is done.
 
     Parameters
@@ -152,5 +158,5 @@
 
 
 def _refuse(peer: str, error: Exception) -> None:
-    REFUSED.labels("handshake").inc()
+    REFUSED_CONNECTIONS.labels("handshake").inc()
     logger.warning("TLS handshake with {} failed: {}", peer, error)
--- a/src/finchshed/tls/issuing.py
+++ b/src/finchshed/tls/issuing.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Issued:
+class IssuedCertificate:
     """A certificate with its key."""
 
     certificate: x509.Certificate
@@ -42,23 +42,23 @@
         )
 
 
-def make_authority(valid: datetime.timedelta) -> Issued:
+def create_authority(valid: datetime.timedelta) -> IssuedCertificate:
     """Return a new authority that signs certificates of processes only."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = _subject(AUTHORITY_NAME)
     builder = _builder(name, name, key, valid)
     builder = builder.add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
     builder = builder.add_extension(_usage(signs_certificates=True), critical=True)
-    return Issued(builder.sign(key, hashes.SHA256()), key)
+    return IssuedCertificate(builder.sign(key, hashes.SHA256()), key)
 
 
 def issue(
-    authority: Issued,
+    authority: IssuedCertificate,
     common_name: str,
     names: Sequence[str],
     hosts: Sequence[str],
     valid: datetime.timedelta,
-) -> Issued:
+) -> IssuedCertificate:
     """Return a certificate that holds ``names`` as URIs and ``hosts`` as DNS names."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = _subject(common_name)
@@ -74,10 +74,10 @@
     builder = builder.add_extension(
         x509.AuthorityKeyIdentifier.from_issuer_public_key(authority_key), critical=False
     )
-    return Issued(builder.sign(authority.key, hashes.SHA256()), key)
+    return IssuedCertificate(builder.sign(authority.key, hashes.SHA256()), key)
 
 
-def read_issued(certificate_path: Path, key_path: Path) -> Issued:
+def read_issued(certificate_path: Path, key_path: Path) -> IssuedCertificate:
     """Read a certificate and its key; OSError or ValueError where they can't be used."""
     certificate = x509.load_pem_x509_certificate(certificate_path.read_bytes())
     key = serialization.load_pem_private_key(key_path.read_bytes(), password=None)
@@ -85,10 +85,10 @@
         raise ValueError("the key isn't on an elliptic curve")
     if key.public_key() != certificate.public_key():
         raise ValueError("the key isn't that of the certificate")
-    return Issued(certificate, key)
+    return IssuedCertificate(certificate, key)
 
 
-def write_synced(path: Path, content: bytes, mode: int) -> None:
+def write_atomically(path: Path, content: bytes, mode: int) -> None:
     """Write a file so that it is there whole, with ``mode``, or as it was before.
 
     It is never readable by more than ``mode`` says, not even while it is written.
--- a/src/finchshed/tls/names.py
+++ b/src/finchshed/tls/names.py
@@ -18,7 +18,7 @@
 Clients dial IP addresses; gRPC compares the certificate with a host name only.
 """
 
-REFUSED = Counter(
+REFUSED_CONNECTIONS = Counter(
     "finchshed_tls_refused_total",
     "Connections closed as the peer didn't prove who it is",
     ["cause"],
@@ -37,19 +37,19 @@
     ZONE = "zone"
 
 
-def name_of(role: CertificateRole, name: str) -> str:
+def identity_uri(role: CertificateRole, name: str) -> str:
     """Return the URI of ``name`` in ``role``."""
     return f"{SCHEME}{role}/{name}"
 
 
-def claims_of_link(node: str, service: str, zone: str) -> list[str]:
+def hello_identities(node: str, service: str, zone: str) -> list[str]:
     """Return what a link's Hello claims: a daemon beside a back end goes by its endpoint."""
     role = CertificateRole.ENDPOINT if service else CertificateRole.DAEMON
-    claims = [name_of(role, node)]
-    return [*claims, name_of(CertificateRole.ZONE, zone)] if zone else claims
+    claims = [identity_uri(role, node)]
+    return [*claims, identity_uri(CertificateRole.ZONE, zone)] if zone else claims
 
 
-def proven_names(transport: asyncio.BaseTransport | None) -> frozenset[str] | None:
+def peer_identities(transport: asyncio.BaseTransport | None) -> frozenset[str] | None:
     """Return the URIs of the peer's certificate; None on a connection in plain text."""
     if transport is None or transport.get_extra_info("ssl_object") is None:
         return None
@@ -58,26 +58,28 @@
     return frozenset(value for kind, value in entries if kind == "URI")
 
 
-def unproven(transport: asyncio.BaseTransport | None, claims: Iterable[str]) -> str:
+def identity_mismatch(transport: asyncio.BaseTransport | None, claims: Iterable[str]) -> str:
     """Return the claims that the peer's certificate doesn't hold, as text; empty for none.
 
     In plain text nothing is proven and nothing asked for: the settings say so.
     """
-    names = proven_names(transport)
+    names = peer_identities(transport)
     if names is None:
         return ""
     missing = [claim for claim in claims if claim not in names]
     if not missing:
         return ""
-    REFUSED.labels("name").inc()
-    return f"the certificate of {shown(names)} isn't that of {shown(missing)}"
+    REFUSED_CONNECTIONS.labels("name").inc()
+    return (
+        f"the certificate of {format_identities(names)} isn't that of {format_identities(missing)}"
+    )
 
 
 def has_role(names: Iterable[str], role: CertificateRole) -> bool:
     """Whether any of ``names`` is of ``role``."""
-    return any(name.startswith(name_of(role, "")) for name in names)
+    return any(name.startswith(identity_uri(role, "")) for name in names)
 
 
-def shown(names: Iterable[str]) -> str:
+def format_identities(names: Iterable[str]) -> str:
     """Return ``names`` for a person to read."""
     return ", ".join(sorted(names)) or "nobody"
--- a/src/finchshed/tls/rpc.py
+++ b/src/finchshed/tls/rpc.py
@@ -36,7 +36,7 @@
     return grpc.ssl_channel_credentials(authority, key, certificate)
 
 
-def caller_names(auth_context: Mapping[str, list[bytes]]) -> frozenset[str] | None:
+def caller_identities(auth_context: Mapping[str, list[bytes]]) -> frozenset[str] | None:
     """Return the names of a caller's certificate; None for a call in plain text."""
     if b"ssl" not in auth_context.get(SECURITY_TYPE, ()):
         return None
--- a/tests/control/group.py
+++ b/tests/control/group.py
@@ -17,7 +17,7 @@
 from finchshed.configuration.changes import Accepted, ChangeResult
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Operator, Resource
-from finchshed.ctl.changes import DeclaredConfiguration, read_in_force, submit
+from finchshed.ctl.changes import DeclaredConfiguration, read_configuration, submit_change
 from finchshed.ctl.client import OperatorClient
 from finchshed.runtime import clock
 
@@ -141,7 +141,7 @@
         """Declare the operator and ``resources``; return the revision."""
         operator = Operator(name="ana", token_sha256=digest(OPERATOR_TOKEN))
         client = self.client(self.voters, BOOTSTRAP_TOKEN, START_SECONDS)
-        result = submit(client, "bootstrap-1", 0, Difference((operator, *resources), ()))
+        result = submit_change(client, "bootstrap-1", 0, Difference((operator, *resources), ()))
         client.close()
         assert isinstance(result, Accepted), result
         return result.revision
@@ -166,5 +166,5 @@
 
 def apply_one(client: OperatorClient, change_id: str, resource: Resource) -> ChangeResult:
     """Apply ``resource`` against the revision in force."""
-    current: DeclaredConfiguration = read_in_force(client)
-    return submit(client, change_id, current.revision, Difference((resource,), ()))
+    current: DeclaredConfiguration = read_configuration(client)
+    return submit_change(client, change_id, current.revision, Difference((resource,), ()))
--- a/tests/control/test_damaged_disk.py
+++ b/tests/control/test_damaged_disk.py
@@ -8,7 +8,7 @@
 
 from finchshed.configuration.changes import Accepted
 from finchshed.configuration.resources import Service
-from finchshed.ctl.changes import read_in_force
+from finchshed.ctl.changes import read_configuration
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.runtime import clock
 from tests.control.group import START_SECONDS, Group, Node, apply_one
@@ -75,7 +75,7 @@
     wait_until_all_vote(group)
     assert incarnation_of(node) == before
     client = group.client([node])
-    assert read_in_force(client).revision == CHANGES + 1
+    assert read_configuration(client).revision == CHANGES + 1
     client.close()
 
 
@@ -92,5 +92,5 @@
     assert incarnation_of(node) != before
     assert (node.folder / "log" / f"damaged-{journal.name}").read_bytes() == bytes(content)
     client = group.client([node])
-    assert read_in_force(client).revision == CHANGES + 1
+    assert read_configuration(client).revision == CHANGES + 1
     client.close()
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -12,7 +12,7 @@
 from finchshed.configuration.changes import Accepted, ChangeResult, Conflict
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Operator, ResourceKey, Service
-from finchshed.ctl.changes import read_in_force, submit
+from finchshed.ctl.changes import read_configuration, submit_change
 from finchshed.ctl.client import OperatorClient
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.runtime import clock
@@ -55,7 +55,7 @@
     client = group.client(nodes, timeout=1.0)
     change = Difference((Service(name=f"s{number}", max_sessions=number),), ())
     try:
-        return submit(client, f"change-{number}", number + 1, change)
+        return submit_change(client, f"change-{number}", number + 1, change)
     except ControlUnavailableError:
         return None
     finally:
@@ -66,7 +66,7 @@
     client = group.client([node])
     change = Difference((Service(name=f"s{number}", max_sessions=number),), ())
     try:
-        return submit(client, f"change-{number}", number + 1, change)
+        return submit_change(client, f"change-{number}", number + 1, change)
     finally:
         client.close()
 
@@ -123,7 +123,7 @@
     run_all([submit_until_killed], kill)
     group.start_all()
     client = group.client()
-    in_force = read_in_force(client)
+    in_force = read_configuration(client)
     client.close()
     accepted = [number for number, result in answered.items() if isinstance(result, Accepted)]
     assert len(accepted) >= 14
@@ -142,13 +142,13 @@
     group.freeze(leader)
     client = group.client(others)
     assert isinstance(apply_one(client, "while-frozen", Service(name="new")), Accepted)
-    revision = read_in_force(client).revision
+    revision = read_configuration(client).revision
     read: list[int] = []
     statuses: list[pb.StatusResponse] = []
 
     def read_from_frozen() -> None:
         reader = group.client([leader])
-        read.append(read_in_force(reader).revision)
+        read.append(read_configuration(reader).revision)
         reader.close()
 
     def ask_status() -> None:
@@ -178,7 +178,7 @@
     def submit_own(racer: int) -> None:
         change = Difference((Service(name=f"by-{racer}", max_sessions=revision),), ())
         barrier.wait()
-        results[racer] = submit(clients[racer], f"{title}-{racer}", revision, change)
+        results[racer] = submit_change(clients[racer], f"{title}-{racer}", revision, change)
 
     workers = [functools.partial(submit_own, racer) for racer in range(len(clients))]
     run_all(workers, lambda: None)
@@ -204,7 +204,7 @@
         assert all(results[racer] == lost for racer in range(RACERS) if racer != winners[0])
         revision += 1
     client = group.client()
-    in_force = read_in_force(client)
+    in_force = read_configuration(client)
     assert in_force.revision == revision
     assert len([key for key in in_force.resources if key.kind == "service"]) <= ROUNDS
     for client in clients:
@@ -221,9 +221,9 @@
     client = group.client([node for node in group.nodes if node is not frozen])
     for number in range(250):  # more than snapshot_entries, so that the follower needs a snapshot
         change = Difference((Service(name="s", max_sessions=number),), ())
-        assert isinstance(submit(client, f"c{number}", 1 + number, change), Accepted)
+        assert isinstance(submit_change(client, f"c{number}", 1 + number, change), Accepted)
     group.thaw(frozen)
     woken = group.client([frozen])
-    service = read_in_force(woken).resources[ResourceKey("service", "s")]
+    service = read_configuration(woken).resources[ResourceKey("service", "s")]
     assert isinstance(service, Service)
     assert service.max_sessions == 249
--- a/tests/control/test_linearizable.py
+++ b/tests/control/test_linearizable.py
@@ -17,7 +17,7 @@
 from finchshed.configuration.changes import Accepted
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Service
-from finchshed.ctl.changes import read_in_force, submit
+from finchshed.ctl.changes import read_configuration, submit_change
 from finchshed.runtime import clock
 from tests.control.group import Group, Node
 
@@ -109,13 +109,13 @@
         self._history.append(Operation(started_at, clock.now(), is_change, revision))
 
     def _read(self) -> int:
-        return read_in_force(self._client).revision
+        return read_configuration(self._client).revision
 
     def _change(self) -> int | None:
         self._count += 1
         service = Service(name=f"s{self._number}", max_sessions=self._count)
         identity = f"{self._number}-{self._count}"
-        result = submit(self._client, identity, self._read(), Difference((service,), ()))
+        result = submit_change(self._client, identity, self._read(), Difference((service,), ()))
         return result.revision if isinstance(result, Accepted) else None
 
 
--- a/tests/control/test_real_group.py
+++ b/tests/control/test_real_group.py
@@ -11,7 +11,7 @@
 from finchshed.configuration.changes import Accepted, Conflict
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import ResourceKey, Service
-from finchshed.ctl.changes import read_in_force, submit
+from finchshed.ctl.changes import read_configuration, submit_change
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.runtime import clock
 from tests.control.group import Group, apply_one
@@ -27,7 +27,7 @@
 
 def names(group: Group) -> set[str]:
     client = group.client()
-    resources = read_in_force(client).resources
+    resources = read_configuration(client).resources
     client.close()
     return {key.name for key in resources if key.kind == "service"}
 
@@ -63,10 +63,10 @@
     others = [node for node in group.nodes if node is not leader]
     client = group.client(others)
     assert isinstance(apply_one(client, "while-frozen", Service(name="new")), Accepted)
-    revision = read_in_force(client).revision
+    revision = read_configuration(client).revision
     group.thaw(leader)
     woken = group.client([leader])
-    state = read_in_force(woken)
+    state = read_configuration(woken)
     assert state.revision >= revision
     assert ResourceKey("service", "new") in state.resources
 
@@ -79,7 +79,7 @@
     def race(number: int) -> None:
         client = group.client([group.nodes[number % 3]])
         change = Difference((Service(name=f"racer-{number}"),), ())
-        results[f"race-{number}"] = submit(client, f"race-{number}", revision, change)
+        results[f"race-{number}"] = submit_change(client, f"race-{number}", revision, change)
         client.close()
 
     threads = [threading.Thread(target=race, args=(number,)) for number in range(6)]
@@ -99,19 +99,19 @@
 ) -> None:
     group.bootstrap()
     client = group.client()
-    revision = read_in_force(client).revision
+    revision = read_configuration(client).revision
     for number in range(600):
         change = Difference((Service(name=f"s{number % 50}", max_sessions=number),), ())
-        assert submit(client, f"change-{number}", revision, change) == Accepted(revision + 1)
+        assert submit_change(client, f"change-{number}", revision, change) == Accepted(revision + 1)
         revision += 1
-    before = read_in_force(client)
+    before = read_configuration(client)
     for node in group.nodes:
         group.kill(node)
     group.start_all()
-    after = read_in_force(client)
+    after = read_configuration(client)
     assert after == before
     change = Difference((Service(name="s49", max_sessions=599),), ())
-    assert submit(client, "change-599", revision - 1, change) == Accepted(revision)
+    assert submit_change(client, "change-599", revision - 1, change) == Accepted(revision)
 
 
 def test_a_node_that_lost_its_disk_comes_back_as_a_voter(group: Group) -> None:
--- a/tests/control/test_standby.py
+++ b/tests/control/test_standby.py
@@ -10,7 +10,7 @@
 from finchshed.configuration.changes import Accepted
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Service
-from finchshed.ctl.changes import read_in_force, submit
+from finchshed.ctl.changes import read_configuration, submit_change
 from finchshed.rpc.generated import finchshed_pb2 as pb
 from finchshed.runtime import clock
 from tests.control.group import Group, Node
@@ -83,10 +83,10 @@
         client = self._group.client(running, timeout=TIMEOUT_SECONDS)
         for _ in range(count):
             change = Difference((Service(name=f"s{self._count}"),), ())
-            result = submit(client, f"c{self._count}", 1 + self._count, change)
+            result = submit_change(client, f"c{self._count}", 1 + self._count, change)
             self._count += 1
             assert result == Accepted(1 + self._count)
-        names = {key.name for key in read_in_force(client).resources}
+        names = {key.name for key in read_configuration(client).resources}
         client.close()
         assert {f"s{number}" for number in range(self._count)} <= names
 
--- a/tests/ctl/test_recovery.py
+++ b/tests/ctl/test_recovery.py
@@ -14,7 +14,7 @@
 from finchshed.configuration.difference import Difference
 from finchshed.configuration.resources import Service
 from finchshed.control.raft.recovery import REVISION_GAP
-from finchshed.ctl.changes import read_in_force, submit
+from finchshed.ctl.changes import read_configuration, submit_change
 from finchshed.ctl.connection import CONTROL_VARIABLE, TOKEN_VARIABLE
 from finchshed.distribution.messages import LedgerCompleted, LedgerGranted, LedgerUnknown
 from finchshed.ledger.keys import new_key
@@ -92,7 +92,7 @@
     keys = {name: new_key(time.time(), random.Random(name)) for name in ("begun", "done", "never")}
     client = group.client(group.voters)
     for number in range(5):
-        assert submit(client, f"c{number}", 1 + number, change_number(number)) == Accepted(
+        assert submit_change(client, f"c{number}", 1 + number, change_number(number)) == Accepted(
             2 + number
         )
     client.close()
@@ -116,11 +116,11 @@
 
     group.start(survivor)
     alone = group.client([survivor])
-    in_force = read_in_force(alone)
+    in_force = read_configuration(alone)
     assert in_force.revision == 6 + REVISION_GAP
     assert {f"s{number}" for number in range(5)} <= {key.name for key in in_force.resources}
-    assert submit(alone, "c4", 5, change_number(4)) == Accepted(6)
-    assert isinstance(submit(alone, "lost", 6, change_number(9)), Conflict)
+    assert submit_change(alone, "c4", 5, change_number(4)) == Accepted(6)
+    assert isinstance(submit_change(alone, "lost", 6, change_number(9)), Conflict)
     alone.close()
     asyncio.run(expect_ledger_after(survivor, keys))
     assert "changes after revision 6 are lost" in ctl("history")
@@ -166,9 +166,9 @@
 def test_a_group_is_begun_anew_from_a_backup(ctl: Shell, group: Group, tmp_path: Path) -> None:
     file = tmp_path / "backup.json"
     client = group.client(group.voters)
-    assert submit(client, "before", 1, change_number(0)) == Accepted(2)
+    assert submit_change(client, "before", 1, change_number(0)) == Accepted(2)
     ctl(f"backup {file}")
-    assert submit(client, "after", 2, change_number(1)) == Accepted(3)
+    assert submit_change(client, "after", 2, change_number(1)) == Accepted(3)
     client.close()
     begun, *others = group.voters
     settings = group.settings_of(begun)
@@ -187,7 +187,7 @@
     ctl(f"restore {file} --settings={settings} --accept_loss_after=2")
     group.start(begun)
     alone = group.client([begun])
-    in_force = read_in_force(alone)
+    in_force = read_configuration(alone)
     alone.close()
     assert in_force.revision == 2 + REVISION_GAP
     assert "s0" in {key.name for key in in_force.resources}
--- a/tests/standins/test_operator.py
+++ b/tests/standins/test_operator.py
@@ -45,8 +45,8 @@
 @pytest.fixture
 def group(monkeypatch: pytest.MonkeyPatch) -> Group:
     held = Group()
-    monkeypatch.setattr(operator, "read_in_force", held.read)
-    monkeypatch.setattr(operator, "submit", held.submit)
+    monkeypatch.setattr(operator, "read_configuration", held.read)
+    monkeypatch.setattr(operator, "submit_change", held.submit)
     return held
 
 
--- a/tests/tls/keys.py
+++ b/tests/tls/keys.py
@@ -7,12 +7,12 @@
 from finchshed.tls.issuing import (
     CERTIFICATE_MODE,
     KEY_MODE,
-    Issued,
+    IssuedCertificate,
+    create_authority,
     issue,
-    make_authority,
-    write_synced,
+    write_atomically,
 )
-from finchshed.tls.names import CONTROL_HOST, CertificateRole, name_of
+from finchshed.tls.names import CONTROL_HOST, CertificateRole, identity_uri
 
 DAY = datetime.timedelta(days=1)
 EXPIRED = datetime.timedelta(seconds=-1)
@@ -24,20 +24,23 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         folder.mkdir(exist_ok=True)
-        self.authority: Issued = make_authority(DAY)
+        self.authority: IssuedCertificate = create_authority(DAY)
         self.authority_file = folder / "authority.pem"
-        write_synced(self.authority_file, self.authority.certificate_pem(), CERTIFICATE_MODE)
+        write_atomically(self.authority_file, self.authority.certificate_pem(), CERTIFICATE_MODE)
 
     def issue(
         self, role: CertificateRole, name: str, valid: datetime.timedelta = DAY, **others: str
     ) -> TlsFiles:
         """Write key and certificate of ``name``; others are zone and endpoint."""
-        names = [name_of(role, name), *(name_of(CertificateRole(k), v) for k, v in others.items())]
+        names = [
+            identity_uri(role, name),
+            *(identity_uri(CertificateRole(k), v) for k, v in others.items()),
+        ]
         hosts = [CONTROL_HOST] if role is CertificateRole.CONTROL else []
         issued = issue(self.authority, name, names, hosts, valid)
         certificate, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
-        write_synced(key, issued.key_pem(), KEY_MODE)
-        write_synced(certificate, issued.certificate_pem(), CERTIFICATE_MODE)
+        write_atomically(key, issued.key_pem(), KEY_MODE)
+        write_atomically(certificate, issued.certificate_pem(), CERTIFICATE_MODE)
         return TlsFiles(str(certificate), str(key), str(self.authority_file))
 
 
--- a/tests/tls/test_command.py
+++ b/tests/tls/test_command.py
@@ -8,7 +8,7 @@
 from finchshed.cli.main import run
 from finchshed.common.errors import SettingsError
 from finchshed.ctl.connection import connect
-from finchshed.tls.files import TlsFiles, problems_of
+from finchshed.tls.files import TlsFiles, validate_files
 from finchshed.tls.names import CertificateRole
 from tests.tls.keys import Deployment
 
@@ -24,7 +24,7 @@
     flags = ("--role=daemon", "--name=d1", "--zone=a", "--endpoint=e1", "--days=0.5")
     assert issue(tmp_path, *flags) == 0
     files = TlsFiles(*(str(tmp_path / name) for name in ("d1.pem", "d1.key", "authority.pem")))
-    assert problems_of(files) == {}
+    assert validate_files(files) == {}
     for key in ("d1.key", "authority.key"):
         assert stat.S_IMODE((tmp_path / key).stat().st_mode) == 0o600
     capsys.readouterr()
--- a/tests/tls/test_connections.py
+++ b/tests/tls/test_connections.py
@@ -15,9 +15,9 @@
 from finchshed.link.lines import LineProtocol
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.files import TlsFiles
-from finchshed.tls.handshakes import Connector, serve
-from finchshed.tls.handshakes import listening as loopback
-from finchshed.tls.names import REFUSED, CertificateRole, proven_names
+from finchshed.tls.handshakes import Connector, start_server
+from finchshed.tls.handshakes import listening_socket as loopback
+from finchshed.tls.names import REFUSED_CONNECTIONS, CertificateRole, peer_identities
 from tests.tls.keys import EXPIRED, Deployment
 
 PLAIN_SECONDS = 1.0
@@ -46,7 +46,7 @@
 @asynccontextmanager
 async def listening(credentials: Credentials | None) -> AsyncIterator[Listener]:
     listener = Listener()
-    server = await serve(listener.make, credentials, loopback("127.0.0.1", 0))
+    server = await start_server(listener.make, credentials, loopback("127.0.0.1", 0))
     listener.address = server.sockets[0].getsockname()
     yield listener
     for lines in listener.opened:
@@ -78,7 +78,7 @@
 
 
 def refusals(cause: str) -> float:
-    return float(REFUSED.labels(cause).value)
+    return float(REFUSED_CONNECTIONS.labels(cause).value)
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -102,8 +102,8 @@
     async with listening(node) as listener:
         client = await dial(listener, daemon, CertificateRole.CONTROL)
         assert await client.say("hello") == Word("hello")
-        assert proven_names(client.lines.transport) == {"finchshed://control/c1"}
-        seen = proven_names(listener.opened[0].transport)
+        assert peer_identities(client.lines.transport) == {"finchshed://control/c1"}
+        seen = peer_identities(listener.opened[0].transport)
         assert seen == {
             "finchshed://daemon/d1",
             "finchshed://zone/a",
--- a/tests/tls/test_control_peers.py
+++ b/tests/tls/test_control_peers.py
@@ -16,7 +16,7 @@
 from finchshed.link.encoding import encode_line
 from finchshed.tls.credentials import Credentials
 from finchshed.tls.handshakes import Connector
-from finchshed.tls.names import REFUSED, CertificateRole
+from finchshed.tls.names import REFUSED_CONNECTIONS, CertificateRole
 from tests.control.group import free_addresses
 from tests.tls.keys import Deployment
 
@@ -107,11 +107,11 @@
         node.background,
         credentials=Credentials(node.keys.issue(CertificateRole.CONTROL, "c2")),
     )
-    before = REFUSED.labels("name").value
+    before = REFUSED_CONNECTIONS.labels("name").value
     for _ in range(150):
         other.send(node.address, raft_line("c9"))
         await asyncio.sleep(0.01)
-    refused = REFUSED.labels("name").value - before
+    refused = REFUSED_CONNECTIONS.labels("name").value - before
     other.stop()
     assert 1 <= refused <= 8
     assert node.received.empty()
--- a/tests/tls/test_deployment.py
+++ b/tests/tls/test_deployment.py
@@ -18,13 +18,13 @@
 from finchshed.common.errors import ControlUnavailableError
 from finchshed.configuration.changes import Accepted
 from finchshed.configuration.resources import Service
-from finchshed.ctl.changes import read_in_force
+from finchshed.ctl.changes import read_configuration
 from finchshed.ctl.client import AccessDeniedError, OperatorClient
 from finchshed.distribution.messages import Subscribe
 from finchshed.link.encoding import encode_line
 from finchshed.link.messages import Hello
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.files import TlsFiles, load_into
+from finchshed.tls.files import TlsFiles, load_into_context
 from finchshed.tls.handshakes import Connector
 from finchshed.tls.names import CertificateRole
 from tests.control.group import OPERATOR_TOKEN, Group, Node, apply_one
@@ -172,7 +172,7 @@
     def read(files: TlsFiles) -> None:
         client = group.client(tls=files, timeout=3.0)
         try:
-            read_in_force(client)
+            read_configuration(client)
         finally:
             client.close()
 
@@ -186,7 +186,7 @@
         await asyncio.to_thread(read, stranger)
     plain = OperatorClient((group.voters[0].rpc,), OPERATOR_TOKEN, 2.0)
     with pytest.raises(ControlUnavailableError):
-        await asyncio.to_thread(read_in_force, plain)
+        await asyncio.to_thread(read_configuration, plain)
     plain.close()
 
 
@@ -218,7 +218,7 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.set_alpn_protocols(["h2"])
-    load_into(context, files)
+    load_into_context(context, files)
     host, port = address.split(":")
     with (
         socket.create_connection((host, int(port)), ANSWER_SECONDS) as plain,
--- a/tests/tls/test_peer_link.py
+++ b/tests/tls/test_peer_link.py
@@ -9,7 +9,7 @@
 from finchshed.link.messages import Hello, PeerMessage
 from finchshed.link.peer import LinkState, PeerLink
 from finchshed.tls.credentials import Credentials
-from finchshed.tls.handshakes import Connector, listening, serve
+from finchshed.tls.handshakes import Connector, listening_socket, start_server
 from finchshed.tls.names import CertificateRole
 from tests.link.test_peer import Owner
 from tests.tls.keys import Deployment
@@ -28,7 +28,7 @@
     def make() -> LineProtocol[PeerMessage]:
         return LineProtocol(PeerMessage, answer)
 
-    server = await serve(make, listener, listening("127.0.0.1", 0))
+    server = await start_server(make, listener, listening_socket("127.0.0.1", 0))
     host, port = server.sockets[0].getsockname()
     owner = Owner()
     link = PeerLink(
