--- a/src/finchshed/tls/command.py
+++ b/src/finchshed/tls/command.py
@@ -1,4 +1,4 @@
-"""``finchshed keys``: make an authority and certificates for a deployment, and show them."""
+"""``finchshed keys``: create a certificate authority, issue certificates and show them."""
 
 import datetime
 import re
@@ -31,15 +31,16 @@
 
 
 def authority(folder: str, days: float = AUTHORITY_DAYS) -> int:
-    """Make an authority in FOLDER: authority.pem for every machine, authority.key for none.
+    """Create a certificate authority in FOLDER: authority.pem and authority.key.
 
-    An authority that is there is never replaced.
+    Copy authority.pem to every machine; keep authority.key off all of them. An existing authority
+    is never replaced.
     """
-    valid = _valid(days, [])
+    validity = _parse_validity(days, [])
     path = Path(folder)
     if (path / f"{AUTHORITY}.key").exists() or (path / f"{AUTHORITY}.pem").exists():
         raise FinchshedError(f"{folder} holds an authority; it isn't replaced")
-    _write(path, AUTHORITY, create_authority(valid))
+    _write_issued(path, AUTHORITY, create_authority(validity))
     return ExitCode.OK
 
 
@@ -53,49 +54,51 @@
     endpoint: str = "",
     days: float = CERTIFICATE_DAYS,
 ) -> int:
-    """Make a key and a certificate for NAME in FOLDER, signed by the authority in AUTHORITY.
+    """Create a key and a certificate for NAME in FOLDER, signed by the authority in AUTHORITY.
 
-    ROLE is control, daemon or operator; ZONE and ENDPOINT are those of a daemon's settings. Files
-    NAME.key and NAME.pem that are there are replaced. DAYS may be a fraction.
+    ROLE is control, daemon or operator; ZONE and ENDPOINT are those of a daemon's settings.
+    Existing files NAME.key and NAME.pem are replaced. DAYS may be a fraction.
     """
     problems: list[str] = []
     if role not in ISSUED_ROLES:
         problems.append(f"flag --role = {role}: allowed is {', '.join(ISSUED_ROLES)}")
-    named = {"name": str(name), "zone": str(zone), "endpoint": str(endpoint)}
-    for flag, value in named.items():
+    identifiers = {"name": str(name), "zone": str(zone), "endpoint": str(endpoint)}
+    for flag, value in identifiers.items():
         if (value or flag == "name") and not NAME_PATTERN.fullmatch(value):
             problems.append(
                 f"flag --{flag} = {value}: allowed is 1 to 63 of a-z, 0-9, '.', '_', '-'"
             )
     if endpoint and role != CertificateRole.DAEMON:
         problems.append("flag --endpoint: only a daemon has one")
-    valid = _valid(days, problems)
-    names = [identity_uri(CertificateRole(role), named["name"])]
+    validity = _parse_validity(days, problems)
+    names = [identity_uri(CertificateRole(role), identifiers["name"])]
     names += [
-        identity_uri(CertificateRole(flag), named[flag])
+        identity_uri(CertificateRole(flag), identifiers[flag])
         for flag in ("zone", "endpoint")
-        if named[flag]
+        if identifiers[flag]
     ]
     hosts = [CONTROL_HOST] if role == CertificateRole.CONTROL else []
     signer = _read_authority(Path(authority))
-    _write(
-        Path(folder), named["name"], issue_certificate(signer, named["name"], names, hosts, valid)
+    _write_issued(
+        Path(folder),
+        identifiers["name"],
+        issue_certificate(signer, identifiers["name"], names, hosts, validity),
     )
     return ExitCode.OK
 
 
 def show(certificate: str) -> int:
-    """Show names, validity and issuer of the certificates in the file CERTIFICATE."""
+    """Show the names, validity and issuer of the certificates in the file CERTIFICATE."""
     try:
-        found = read_certificates(certificate)
+        certificates = read_certificates(certificate)
     except (OSError, ValueError) as error:
         raise FinchshedError(f"{certificate}: {error}") from error
-    for item in found:
+    for item in certificates:
         print(f"subject    {_common_name(item.subject)}")
         print(f"issuer     {_common_name(item.issuer)}")
         print(f"valid from {item.not_valid_before_utc.isoformat()}")
         print(f"valid to   {item.not_valid_after_utc.isoformat()}")
-        for text in _alternatives(item):
+        for text in _alternative_names(item):
             print(f"name       {text}")
     return ExitCode.OK
 
@@ -103,8 +106,14 @@
 COMMANDS: Mapping[str, Callable[..., int]] = {"authority": authority, "issue": issue, "show": show}
 
 
-def _valid(days: float, problems: list[str]) -> datetime.timedelta:
-    """Return the validity; raise for this and the other problems found."""
+def _parse_validity(days: float, problems: list[str]) -> datetime.timedelta:
+    """Return ``days`` as a time span.
+
+    Raises
+    ------
+    SettingsError
+        ``days`` is out of range, or ``problems`` isn't empty.
+    """
     is_number = isinstance(days, int | float) and not isinstance(days, bool)
     if not is_number or not 0.0 < days <= MAX_DAYS:
         problems.append(f"flag --days = {days}: allowed is above 0, up to {MAX_DAYS:g}")
@@ -120,8 +129,8 @@
         raise FinchshedError(f"no authority in {folder}: {error}") from error
 
 
-def _write(folder: Path, name: str, issued: IssuedCertificate) -> None:
-    """Write both files; processes that see one new file only keep to the old pair."""
+def _write_issued(folder: Path, name: str, issued: IssuedCertificate) -> None:
+    """Write key and certificate; a process that sees only one new file keeps the old pair."""
     key, certificate = folder / f"{name}.key", folder / f"{name}.pem"
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -137,7 +146,7 @@
     return ", ".join(str(item.value) for item in name.get_attributes_for_oid(NameOID.COMMON_NAME))
 
 
-def _alternatives(certificate: x509.Certificate) -> list[str]:
+def _alternative_names(certificate: x509.Certificate) -> list[str]:
     try:
         extension = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName)
     except x509.ExtensionNotFound:
--- a/src/finchshed/tls/credentials.py
+++ b/src/finchshed/tls/credentials.py
@@ -1,8 +1,8 @@
-"""A process's TLS contexts, made anew when its files have changed.
+"""TLS contexts of a process, reloaded when its key or certificate files change.
 
-Rotation: each new connection looks at the files' times. Connections that are open go on with what
-they were made with. Files that don't fit together (half of them replaced) leave the last good ones
-in use.
+The files are checked for changes at each new connection; open connections are not affected. While
+the files are inconsistent (for example, only some have been replaced) the last valid ones stay in
+use.
 """
 
 import os
@@ -14,92 +14,92 @@
 
 from finchshed.tls.files import TlsFiles, load_into_context, read_certificates, validate_files
 
-Stamp = tuple[tuple[int, int], ...]
-"""Time of the last change in nanoseconds and inode number of each file."""
+FileVersions = tuple[tuple[int, int], ...]
+"""Modification time in nanoseconds and inode number of each file."""
 
 
 class TlsSettings(Protocol):
-    """The settings of a program that talks TLS."""
+    """Settings of a program whose connections can use TLS."""
 
     @property
     def tls_files(self) -> TlsFiles:
-        """The files named."""
+        """Files that the settings name."""
 
 
 class Credentials:
-    """Contexts of one process for both ends of connections.
+    """Server and client TLS contexts of one process.
 
     Raises
     ------
     ssl.SSLError, OSError
-        The files can't be used; the settings loader says so before.
+        The files can't be used. The settings loader reports this earlier, with the reason.
     """
 
     def __init__(self, files: TlsFiles) -> None:
         self.files = files
-        self._stamp = _stamp_of(files)
+        self._versions = _file_versions(files)
         self._server = _make_context(ssl.PROTOCOL_TLS_SERVER, files)
         self._client = _make_context(ssl.PROTOCOL_TLS_CLIENT, files)
 
     def server_context(self) -> ssl.SSLContext:
-        """Return the context for a connection that was accepted."""
-        self._take_new_files()
+        """Return the context for an accepted connection."""
+        self._reload_if_changed()
         return self._server
 
     def client_context(self) -> ssl.SSLContext:
-        """Return the context for a connection that is opened."""
-        self._take_new_files()
+        """Return the context for an outgoing connection."""
+        self._reload_if_changed()
         return self._client
 
-    def _take_new_files(self) -> None:
+    def _reload_if_changed(self) -> None:
         try:
-            stamp = _stamp_of(self.files)
-            if stamp == self._stamp:
+            versions = _file_versions(self.files)
+            if versions == self._versions:
                 return
-            self._stamp = stamp
+            self._versions = versions
             problems = validate_files(self.files)
             if problems:
-                logger.warning("new key or certificate not taken: {}", _text(problems))
+                logger.warning("changed TLS files not loaded: {}", _join_problems(problems))
                 return
             server = _make_context(ssl.PROTOCOL_TLS_SERVER, self.files)
             client = _make_context(ssl.PROTOCOL_TLS_CLIENT, self.files)
         except OSError as error:
-            # Also ssl.SSLError: the files changed between the look at them and their use.
-            self._stamp = ()
-            logger.warning("new key or certificate not taken: {}", error)
+            # Includes ssl.SSLError, if the files changed after they were validated.
+            self._versions = ()
+            logger.warning("changed TLS files not loaded: {}", error)
             return
         self._server = server
         self._client = client
-        logger.info("took new key and certificate, {}", _validity(self.files))
+        logger.info("loaded changed TLS files, {}", _describe_validity(self.files))
 
 
 class FileChangeDetector:
-    """Tells whether usable files have changed since the last look. Used by gRPC's own threads."""
+    """Reads the TLS files again after they have changed. Used by gRPC's own threads."""
 
     def __init__(self, files: TlsFiles) -> None:
         self._files = files
-        self._stamp = _stamp_of(files)
+        self._versions = _file_versions(files)
 
     def read_if_changed(self) -> tuple[bytes, bytes, bytes] | None:
-        """Return key, certificate and authorities if they are new and fit together."""
+        """Return key, certificate and authorities if they have changed and are valid."""
         try:
-            stamp = _stamp_of(self._files)
-            if stamp == self._stamp:
+            versions = _file_versions(self._files)
+            if versions == self._versions:
                 return None
-            self._stamp = stamp
+            self._versions = versions
             return None if validate_files(self._files) else read_files(self._files)
         except OSError:
-            self._stamp = ()
+            self._versions = ()
             return None
 
 
 def load_credentials(settings: TlsSettings) -> Credentials | None:
-    """Return the credentials a program's settings name, or None for plain text; log which."""
+    """Load the credentials that the settings name; None for plain text. Logs which is in use."""
     files = settings.tls_files
     if files.is_plain:
         logger.warning("connections between processes are in PLAIN TEXT: no tls_ files are set")
         return None
-    logger.info("connections between processes use mutual TLS, {}", _validity(files))
+    logger.info("connections between processes use mutual TLS, {}", _describe_validity(files))
     return Credentials(files)
 
 
@@ -115,25 +115,26 @@
 def _make_context(protocol: int, files: TlsFiles) -> ssl.SSLContext:
     context = ssl.SSLContext(protocol)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
-    # Peers are dialled by address; their names are compared with their greetings instead.
+    # Peers are dialled by IP address. The identity that a peer claims in its first message is
+    # checked against its certificate instead.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     load_into_context(context, files)
     if protocol == ssl.PROTOCOL_TLS_SERVER:
-        # A resumed session would outlive its certificate, and no client here resumes one.
+        # A resumed session could outlive the certificate; no client here resumes sessions.
         context.num_tickets = 0
     return context
 
 
-def _stamp_of(files: TlsFiles) -> Stamp:
-    described = [os.stat(path) for path in files.by_setting().values()]
-    return tuple((status.st_mtime_ns, status.st_ino) for status in described)
+def _file_versions(files: TlsFiles) -> FileVersions:
+    statuses = [os.stat(path) for path in files.by_setting().values()]
+    return tuple((status.st_mtime_ns, status.st_ino) for status in statuses)
 
 
-def _validity(files: TlsFiles) -> str:
+def _describe_validity(files: TlsFiles) -> str:
     certificate = read_certificates(files.certificate)[0]
     return f"certificate valid until {certificate.not_valid_after_utc.isoformat()}"
 
 
-def _text(problems: Mapping[str, str]) -> str:
-    return "; ".join(f"{name} {words}" for name, words in problems.items())
+def _join_problems(problems: Mapping[str, str]) -> str:
+    return "; ".join(f"{setting} {problem}" for setting, problem in problems.items())
--- a/src/finchshed/tls/files.py
+++ b/src/finchshed/tls/files.py
@@ -1,6 +1,6 @@
-"""The files of a process's key and certificates, and what is wrong with them.
+"""Paths of a process's key and certificate files, and their validation.
 
-Owns no state; a process starts only with files that fit together.
+A process starts only if its files are valid and belong together.
 """
 
 import datetime
@@ -53,11 +53,11 @@
 
     @property
     def is_plain(self) -> bool:
-        """Whether no file is named, so connections are in plain text."""
+        """Whether no file is set, so that connections are in plain text."""
         return not (self.certificate or self.key or self.authority)
 
     def by_setting(self) -> dict[str, str]:
-        """Return the paths by the name of their setting."""
+        """Return each path under the name of its setting."""
         return {
             "tls_certificate_file": self.certificate,
             "tls_key_file": self.key,
@@ -66,34 +66,45 @@
 
 
 def validate_files(files: TlsFiles) -> Mapping[str, str]:
-    """Return what is wrong, in words, by the name of the setting; empty for nothing."""
+    """Return a description of each problem by setting name; empty if the files are valid."""
     if files.is_plain:
         return {}
     problems: dict[str, str] = {}
     for setting, path in files.by_setting().items():
-        problem = _reading_problem(path)
+        problem = _describe_read_error(path)
         if problem:
             problems[setting] = problem
     if problems:
         return problems
-    return _content_problems(files)
+    return _validate_contents(files)
 
 
 def read_certificates(path: str) -> "list[x509.Certificate]":
-    """Return the certificates of a PEM file; ValueError or OSError where it holds none."""
-    # Not at the import: a process in plain text needn't hold the library in memory.
+    """Return the certificates of a PEM file.
+
+    Raises
+    ------
+    ValueError
+        The file holds no certificate in PEM.
+    OSError
+        The file can't be read.
+    """
+    # Imported here so that a process in plain text doesn't load the library.
     from cryptography import x509
 
     return x509.load_pem_x509_certificates(Path(path).read_bytes())
 
 
 def load_into_context(context: ssl.SSLContext, files: TlsFiles) -> None:
-    """Load certificate, key and authorities; a key under a password isn't asked for one."""
+    """Load certificate, key and authorities into ``context``.
+
+    An encrypted key is an error instead of a prompt for its password.
+    """
     context.load_cert_chain(files.certificate, files.key, password="")
     context.load_verify_locations(files.authority)
 
 
-def _reading_problem(path: str) -> str:
+def _describe_read_error(path: str) -> str:
     if not path:
         return "has to be given with the other two tls_ files"
     try:
@@ -103,13 +114,13 @@
     return ""
 
 
-def _content_problems(files: TlsFiles) -> dict[str, str]:
+def _validate_contents(files: TlsFiles) -> dict[str, str]:
     problems = {}
     for setting, path in files.by_setting().items():
         if setting == "tls_key_file":
             continue
         try:
-            problem = _time_problem(read_certificates(path))
+            problem = _describe_validity_error(read_certificates(path))
         except ValueError:
             problem = "holds no certificate in PEM"
         if problem:
@@ -125,7 +136,7 @@
     return {}
 
 
-def _time_problem(certificates: "list[x509.Certificate]") -> str:
+def _describe_validity_error(certificates: "list[x509.Certificate]") -> str:
     now = datetime.datetime.now(datetime.UTC)
     for certificate in certificates:
         if certificate.not_valid_after_utc <= now:
--- a/src/finchshed/tls/handshakes.py
+++ b/src/finchshed/tls/handshakes.py
@@ -1,10 +1,9 @@
-"""Both ends of a connection's TLS handshake on the event loop.
+"""Opens and accepts connections on the event loop, with TLS or in plain text.
 
-A listener's handshakes are made here, not by ``create_server(ssl=...)``: that binds one context for
-the listener's life, so new files would need a restart, and it tells nobody of a handshake that
-failed, so a stranger would leave no line in the log. ``start_tls`` on an accepted connection isn't
-used either: uvloop begins to read before the handshake's protocol is in place, and now and then
-loses the peer's first bytes.
+``create_server(ssl=...)`` isn't used: it binds one context for the listener's lifetime, so that
+changed files would need a restart, and it doesn't report failed handshakes. ``start_tls`` isn't
+used on accepted connections: uvloop starts to read before the TLS protocol is in place and can
+lose the peer's first bytes.
 """
 
 import asyncio
@@ -27,29 +26,29 @@
 DEFAULT_BACKLOG = 100
 ACCEPT_PAUSE_SECONDS = 0.1
 MAX_HANDSHAKES = 1024
-"""Handshakes in progress on a listener; more connections wait in its backlog."""
+"""Maximum concurrent handshakes per listener; further connections wait in its backlog."""
 
 HANDSHAKE_SECONDS = 5.0
-"""A peer that hasn't ended its handshake after this long is closed."""
+"""Time limit of a handshake; the connection is closed when it expires."""
 
 MakeProtocol = Callable[[], asyncio.Protocol]
 
 
 class Server(Protocol):
-    """What both kinds of servers have in common."""
+    """A running server, with TLS or in plain text."""
 
     @property
     def sockets(self) -> Sequence[socket.socket]:
-        """The listening sockets."""
+        """Sockets that the server listens on."""
 
     def close(self) -> None:
-        """Take no more connections; those taken go on."""
+        """Stop accepting connections; open ones continue."""
 
 
 async def start_server(
     make_protocol: MakeProtocol, credentials: Credentials | None, listener: socket.socket
 ) -> Server:
-    """Serve connections of a listening socket; in plain text without credentials."""
+    """Accept connections on ``listener``; without credentials in plain text."""
     listener.setblocking(False)
     if credentials is not None:
         return TlsServer(make_protocol, credentials, listener)
@@ -57,17 +56,18 @@
 
 
 def listening_socket(host: str, port: int, backlog: int = DEFAULT_BACKLOG) -> socket.socket:
-    """Return a socket that listens at ``host``; port 0: any that is free."""
+    """Return a socket that listens on ``host``; port 0 selects a free port."""
     return socket.create_server((host, port), backlog=backlog)
 
 
 class Connector:
-    """Opens connections; with credentials over TLS, in plain text without.
+    """Opens connections over TLS, or in plain text without credentials.
 
     Parameters
     ----------
     role
-        Role the peer's certificate must hold; None where its greeting is compared later.
+        Role required of the peer's certificate; None if the caller checks the identity claimed in
+        the peer's first message.
     """
 
     def __init__(
@@ -79,7 +79,13 @@
     async def __call__(
         self, make_protocol: Callable[[], asyncio.BaseProtocol], host: str, port: int
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Return transport and protocol; OSError where the peer can't be reached or proven."""
+        """Return transport and protocol.
+
+        Raises
+        ------
+        OSError
+            The peer can't be reached, or its certificate isn't accepted.
+        """
         loop = asyncio.get_running_loop()
         if self._credentials is None:
             return await loop.create_connection(make_protocol, host, port)
@@ -89,25 +95,25 @@
                 make_protocol, host, port, ssl=context
             )
         except ssl.SSLError as error:
-            _refuse(f"{host}:{port}", error)
+            _record_failed_handshake(f"{host}:{port}", error)
             raise
         names = peer_identities(transport) or frozenset()
         if self._role is not None and not has_role(names, self._role):
             transport.abort()
             REFUSED_CONNECTIONS.labels("name").inc()
-            text = f"{host}:{port} is {format_identities(names)}, not a {self._role} node"
-            logger.warning("connection closed: {}", text)
-            raise ConnectionAbortedError(text)
+            problem = f"{host}:{port} is {format_identities(names)}, not a {self._role} node"
+            logger.warning("connection closed: {}", problem)
+            raise ConnectionAbortedError(problem)
         return transport, protocol
 
 
 class TlsServer:
-    """Accepts connections on a listening socket; each is a protocol's once its handshake is done.
+    """Accepts TLS connections; each gets its protocol once the handshake has succeeded.
 
     Parameters
     ----------
     listener
-        Bound and listening; closed with the server.
+        Listening socket; closed with the server.
     """
 
     def __init__(
@@ -116,33 +122,33 @@
         self.sockets = (listener,)
         self._make_protocol = make_protocol
         self._credentials = credentials
-        self._places = asyncio.Semaphore(MAX_HANDSHAKES)
+        self._handshake_slots = asyncio.Semaphore(MAX_HANDSHAKES)
         self._handshakes: set[asyncio.Task[None]] = set()
-        self._accepting = asyncio.get_running_loop().create_task(self._accept_forever(listener))
-        # Not before the loop has stopped to watch it.
-        self._accepting.add_done_callback(lambda _: listener.close())
+        self._accept_task = asyncio.get_running_loop().create_task(self._accept_forever(listener))
+        # The socket may only be closed once the loop no longer watches it.
+        self._accept_task.add_done_callback(lambda _: listener.close())
 
     def close(self) -> None:
-        """Take no more connections; those taken go on."""
-        self._accepting.cancel()
+        """Stop accepting connections; open ones continue."""
+        self._accept_task.cancel()
 
     async def _accept_forever(self, listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await self._places.acquire()
+            await self._handshake_slots.acquire()
             try:
                 accepted, address = await loop.sock_accept(listener)
             except OSError as error:
-                # Out of descriptors, or the peer has left already.
-                logger.warning("no connection accepted: {}", error)
-                self._places.release()
+                # Out of file descriptors, or the peer has already closed the connection.
+                logger.warning("accepting a connection failed: {}", error)
+                self._handshake_slots.release()
                 await asyncio.sleep(ACCEPT_PAUSE_SECONDS)
                 continue
-            task = loop.create_task(self._secure(accepted, address))
+            task = loop.create_task(self._perform_handshake(accepted, address))
             self._handshakes.add(task)
             task.add_done_callback(self._handshakes.discard)
 
-    async def _secure(self, accepted: socket.socket, address: tuple[str, int]) -> None:
+    async def _perform_handshake(self, accepted: socket.socket, address: tuple[str, int]) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(
                 self._make_protocol,
@@ -151,12 +157,12 @@
                 ssl_handshake_timeout=HANDSHAKE_SECONDS,
             )
         except OSError as error:
-            _refuse(f"{address[0]}:{address[1]}", error)
+            _record_failed_handshake(f"{address[0]}:{address[1]}", error)
             accepted.close()
         finally:
-            self._places.release()
+            self._handshake_slots.release()
 
 
-def _refuse(peer: str, error: Exception) -> None:
+def _record_failed_handshake(peer: str, error: Exception) -> None:
     REFUSED_CONNECTIONS.labels("handshake").inc()
     logger.warning("TLS handshake with {} failed: {}", peer, error)
--- a/src/finchshed/tls/names.py
+++ b/src/finchshed/tls/names.py
@@ -1,8 +1,8 @@
-"""Names in certificates, and what a connection's certificate proves.
+"""Identities in certificates, and the check of a peer's claims against its certificate.
 
-A certificate names its holder by URIs in subjectAltName (RFC 5280, section 4.2.1.6):
-``finchshed://ROLE/NAME``. A greeting on a connection makes claims of the same form; each one has to
-stand in the certificate the peer has shown.
+A certificate identifies its holder by URIs in subjectAltName (RFC 5280, section 4.2.1.6) of the
+form ``finchshed://ROLE/NAME``. The first message on a connection claims identities; each of them
+must be in the peer's certificate.
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 
 SCHEME = "finchshed://"
 CONTROL_HOST = "control.finchshed.internal"
-"""DNS name in each control node's certificate, by which operators' gRPC clients know it.
+"""DNS name in the certificate of every control node, which operators' gRPC clients verify.
 
-Clients dial IP addresses; gRPC compares the certificate with a host name only.
+Clients dial IP addresses, but gRPC verifies a certificate by host name only.
 """
 
 REFUSED_CONNECTIONS = Counter(
@@ -26,31 +26,34 @@
 
 
 class CertificateRole(enum.StrEnum):
-    """What the holder of a certificate is."""
+    """Kind of identity in a certificate."""
 
     CONTROL = "control"
     DAEMON = "daemon"
     ENDPOINT = "endpoint"
-    """The endpoint resource a daemon stands beside."""
+    """The endpoint whose back end the daemon serves."""
 
     OPERATOR = "operator"
     ZONE = "zone"
 
 
 def identity_uri(role: CertificateRole, name: str) -> str:
-    """Return the URI of ``name`` in ``role``."""
+    """Return the URI that identifies ``name`` in ``role``."""
     return f"{SCHEME}{role}/{name}"
 
 
 def hello_identities(node: str, service: str, zone: str) -> list[str]:
-    """Return what a link's Hello claims: a daemon beside a back end goes by its endpoint."""
+    """Return the identities that a link's Hello claims.
+
+    A daemon with a back end, so with a service, identifies itself by its endpoint.
+    """
     role = CertificateRole.ENDPOINT if service else CertificateRole.DAEMON
     claims = [identity_uri(role, node)]
     return [*claims, identity_uri(CertificateRole.ZONE, zone)] if zone else claims
 
 
 def peer_identities(transport: asyncio.BaseTransport | None) -> frozenset[str] | None:
-    """Return the URIs of the peer's certificate; None on a connection in plain text."""
+    """Return the identity URIs of the peer's certificate; None on a connection in plain text."""
     if transport is None or transport.get_extra_info("ssl_object") is None:
         return None
     certificate = transport.get_extra_info("peercert") or {}
@@ -59,9 +62,9 @@
 
 
 def identity_mismatch(transport: asyncio.BaseTransport | None, claims: Iterable[str]) -> str:
-    """Return the claims that the peer's certificate doesn't hold, as text; empty for none.
+    """Describe the claims that the peer's certificate doesn't cover; empty if it covers all.
 
-    In plain text nothing is proven and nothing asked for: the settings say so.
+    On a connection in plain text claims aren't checked.
     """
     names = peer_identities(transport)
     if names is None:
@@ -76,10 +79,10 @@
 
 
 def has_role(names: Iterable[str], role: CertificateRole) -> bool:
-    """Whether any of ``names`` is of ``role``."""
+    """Whether any of the URIs in ``names`` has ``role``."""
     return any(name.startswith(identity_uri(role, "")) for name in names)
 
 
 def format_identities(names: Iterable[str]) -> str:
-    """Return ``names`` for a person to read."""
+    """Return ``names`` as text for logs and error messages."""
     return ", ".join(sorted(names)) or "nobody"
--- a/src/finchshed/tls/rpc.py
+++ b/src/finchshed/tls/rpc.py
@@ -1,6 +1,7 @@
-"""TLS of the operators' gRPC service: credentials of both ends, and who a caller is.
+"""TLS for the operators' gRPC service: server and client credentials, identities of callers.
 
-gRPC makes its own handshakes, from TLS 1.2 on; it takes new files for new connections.
+gRPC performs its own handshakes and accepts TLS 1.2 and later. Changed files apply to new
+connections.
 """
 
 from collections.abc import Mapping
@@ -14,19 +15,21 @@
 SECURITY_TYPE = "transport_security_type"
 ALTERNATIVE_NAMES = "x509_subject_alternative_name"
 TARGET_NAME_OPTION = ("grpc.ssl_target_name_override", CONTROL_HOST)
-"""Clients dial addresses and require a control node's certificate, whatever its address."""
+"""Makes clients verify the host name of control nodes although they dial IP addresses."""
 
 
 def server_credentials(credentials: Credentials) -> grpc.ServerCredentials:
-    """Return credentials that require a client's certificate and follow changes of the files."""
-    changes = FileChangeDetector(credentials.files)
+    """Return credentials that require a client certificate and reload changed files."""
+    detector = FileChangeDetector(credentials.files)
 
-    def changed() -> grpc.ServerCertificateConfiguration | None:
-        contents = changes.read_if_changed()
+    def reload_configuration() -> grpc.ServerCertificateConfiguration | None:
+        contents = detector.read_if_changed()
         return None if contents is None else _configuration(*contents)
 
     return grpc.dynamic_ssl_server_credentials(
-        _configuration(*read_files(credentials.files)), changed, require_client_authentication=True
+        _configuration(*read_files(credentials.files)),
+        reload_configuration,
+        require_client_authentication=True,
     )
 
 
@@ -37,7 +40,7 @@
 
 
 def caller_identities(auth_context: Mapping[str, list[bytes]]) -> frozenset[str] | None:
-    """Return the names of a caller's certificate; None for a call in plain text."""
+    """Return the identity URIs of a caller's certificate; None for a call in plain text."""
     if b"ssl" not in auth_context.get(SECURITY_TYPE, ()):
         return None
     names = [value.decode() for value in auth_context.get(ALTERNATIVE_NAMES, ())]
--- a/tests/tls/keys.py
+++ b/tests/tls/keys.py
@@ -1,4 +1,4 @@
-"""Authorities and certificates for tests."""
+"""Certificate authorities and certificates for tests."""
 
 import datetime
 from pathlib import Path
@@ -18,26 +18,26 @@
 EXPIRED = datetime.timedelta(seconds=-1)
 
 
-class Deployment:
-    """An authority and what it has issued, in a folder."""
+class CertificateAuthority:
+    """A certificate authority and the certificates it has issued, in a folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         folder.mkdir(exist_ok=True)
-        self.authority: IssuedCertificate = create_authority(DAY)
+        self.issuer: IssuedCertificate = create_authority(DAY)
         self.authority_file = folder / "authority.pem"
-        write_atomically(self.authority_file, self.authority.certificate_pem(), CERTIFICATE_MODE)
+        write_atomically(self.authority_file, self.issuer.certificate_pem(), CERTIFICATE_MODE)
 
     def issue(
         self, role: CertificateRole, name: str, valid: datetime.timedelta = DAY, **others: str
     ) -> TlsFiles:
-        """Write key and certificate of ``name``; others are zone and endpoint."""
+        """Issue a key and a certificate for ``name``; ``others`` may hold zone and endpoint."""
         names = [
             identity_uri(role, name),
             *(identity_uri(CertificateRole(k), v) for k, v in others.items()),
         ]
         hosts = [CONTROL_HOST] if role is CertificateRole.CONTROL else []
-        issued = issue(self.authority, name, names, hosts, valid)
+        issued = issue(self.issuer, name, names, hosts, valid)
         certificate, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
         write_atomically(key, issued.key_pem(), KEY_MODE)
         write_atomically(certificate, issued.certificate_pem(), CERTIFICATE_MODE)
@@ -50,5 +50,5 @@
 
 
 def flags(files: TlsFiles) -> dict[str, str]:
-    """Return ``files`` as flags of a program."""
+    """Return ``files`` as command line flags."""
     return {name.replace("_", "-"): path for name, path in files.by_setting().items()}
--- a/tests/tls/test_command.py
+++ b/tests/tls/test_command.py
@@ -1,4 +1,4 @@
-"""``finchshed keys``."""
+"""The commands of ``finchshed keys``."""
 
 import stat
 from pathlib import Path
@@ -10,14 +10,14 @@
 from finchshed.ctl.connection import connect
 from finchshed.tls.files import TlsFiles, validate_files
 from finchshed.tls.names import CertificateRole
-from tests.tls.keys import Deployment
+from tests.tls.keys import CertificateAuthority
 
 
 def issue(folder: Path, *flags: str) -> int:
     return run(["keys", "issue", f"--authority={folder}", f"--folder={folder}", *flags])
 
 
-def test_an_authority_issues_usable_files_that_only_their_owner_reads(
+def test_issued_files_are_valid_and_keys_readable_by_the_owner_only(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run(["keys", "authority", f"--folder={tmp_path}"]) == 0
@@ -47,24 +47,28 @@
     assert (tmp_path / "authority.key").read_bytes() == before
 
 
-def test_wrong_flags_are_told_together(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_all_invalid_flags_are_reported_together(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert run(["keys", "authority", f"--folder={tmp_path}"]) == 0
     assert issue(tmp_path, "--role=king", "--name=../d1", "--days=0") == 2
-    told = capsys.readouterr().err
+    errors = capsys.readouterr().err
     for flag in ("--role", "--name", "--days"):
-        assert f"flag {flag} = " in told
+        assert f"flag {flag} = " in errors
     assert not list(tmp_path.glob("d1*"))
 
 
-def test_no_authority_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_missing_authority_is_reported(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert issue(tmp_path, "--role=daemon", "--name=d1") == 1
     assert "no authority in" in capsys.readouterr().err
 
 
-def test_an_operator_s_files_come_from_the_environment(
+def test_operator_tls_files_are_read_from_the_environment(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    files = Deployment(tmp_path / "keys").issue(CertificateRole.OPERATOR, "ana")
+    files = CertificateAuthority(tmp_path / "keys").issue(CertificateRole.OPERATOR, "ana")
     monkeypatch.setenv("FINCHSHED_TOKEN", "secret")
     monkeypatch.setenv("FINCHSHED_TLS_CERTIFICATE_FILE", files.certificate)
     monkeypatch.setenv("FINCHSHED_TLS_KEY_FILE", "/no/such.key")
--- a/tests/tls/test_control_peers.py
+++ b/tests/tls/test_control_peers.py
@@ -1,4 +1,4 @@
-"""Control nodes take the replicated log's messages from the node they name only."""
+"""A control node accepts Raft messages only from the node named in the sender's certificate."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,7 +18,7 @@
 from finchshed.tls.handshakes import Connector
 from finchshed.tls.names import REFUSED_CONNECTIONS, CertificateRole
 from tests.control.group import free_addresses
-from tests.tls.keys import Deployment
+from tests.tls.keys import CertificateAuthority
 
 SECONDS = 10.0
 
@@ -28,14 +28,14 @@
     return RaftMessage(Envelope(NodeIdentity(sender, "1"), NodeIdentity("c1", "1"), message))
 
 
-class Node:
-    """The peer links of node ``c1``, and what came by them."""
+class LinkedNode:
+    """The peer links of node ``c1`` and the messages received on them."""
 
-    def __init__(self, keys: Deployment) -> None:
+    def __init__(self, authority: CertificateAuthority) -> None:
         self.received: asyncio.Queue[PeerMessage] = asyncio.Queue()
-        self.keys = keys
+        self.authority = authority
         (self.address,) = free_addresses(1)
-        credentials = Credentials(keys.issue(CertificateRole.CONTROL, "c1"))
+        credentials = Credentials(authority.issue(CertificateRole.CONTROL, "c1"))
         self.background = BackgroundTasks(lambda error: pytest.fail(str(error)))
         self.links = ControlNodeLinks(
             PeerHello("c1", ""),
@@ -44,68 +44,70 @@
             credentials=credentials,
         )
 
-    async def tell(self, role: CertificateRole, name: str, *messages: msgspec.Struct) -> bool:
-        """Send as ``name``; return whether the connection is closed for it."""
+    async def send_as(self, role: CertificateRole, name: str, *messages: msgspec.Struct) -> bool:
+        """Send ``messages`` as ``name``; return whether the node closes the connection."""
         reader = asyncio.StreamReader()
         host, port = self.address.split(":")
-        connector = Connector(Credentials(self.keys.issue(role, name)), CertificateRole.CONTROL)
+        connector = Connector(
+            Credentials(self.authority.issue(role, name)), CertificateRole.CONTROL
+        )
         transport, _ = await connector(
             lambda: asyncio.StreamReaderProtocol(reader), host, int(port)
         )
         transport.write(b"".join(encode_line(message) for message in messages))
-        ending = asyncio.create_task(reader.read())
-        taking = asyncio.create_task(self.received.get())
-        done, left = await asyncio.wait(
-            {ending, taking}, timeout=SECONDS, return_when=asyncio.FIRST_COMPLETED
+        closed = asyncio.create_task(reader.read())
+        received = asyncio.create_task(self.received.get())
+        done, pending = await asyncio.wait(
+            {closed, received}, timeout=SECONDS, return_when=asyncio.FIRST_COMPLETED
         )
-        for task in left:
+        for task in pending:
             task.cancel()
         transport.abort()
         assert done, "neither closed nor taken"
-        return ending in done
+        return closed in done
 
 
 @pytest.fixture
-async def node(tmp_path: Path) -> AsyncIterator[Node]:
-    made = Node(Deployment(tmp_path / "keys"))
-    await made.links.start(made.address)
-    yield made
-    made.background.cancel()
-    made.links.stop()
+async def node(tmp_path: Path) -> AsyncIterator[LinkedNode]:
+    linked = LinkedNode(CertificateAuthority(tmp_path / "keys"))
+    await linked.links.start(linked.address)
+    yield linked
+    linked.background.cancel()
+    linked.links.stop()
 
 
-async def test_a_node_speaks_for_itself_only(node: Node) -> None:
+async def test_a_node_can_send_only_under_its_own_name(node: LinkedNode) -> None:
     hello = PeerHello("c2", "")
-    assert not await node.tell(CertificateRole.CONTROL, "c2", hello, raft_line("c2"))
-    assert await node.tell(CertificateRole.CONTROL, "c2", hello, raft_line("c3"))
-    assert await node.tell(CertificateRole.CONTROL, "c3", hello, raft_line("c2"))
-    assert await node.tell(CertificateRole.CONTROL, "c2", hello, InForceReport("c3", 1))
+    assert not await node.send_as(CertificateRole.CONTROL, "c2", hello, raft_line("c2"))
+    assert await node.send_as(CertificateRole.CONTROL, "c2", hello, raft_line("c3"))
+    assert await node.send_as(CertificateRole.CONTROL, "c3", hello, raft_line("c2"))
+    assert await node.send_as(CertificateRole.CONTROL, "c2", hello, InForceReport("c3", 1))
     assert node.received.empty()
 
 
-async def test_a_daemon_can_not_speak_as_a_control_node(node: Node) -> None:
-    assert await node.tell(CertificateRole.DAEMON, "c2", PeerHello("c2", ""), raft_line("c2"))
+async def test_a_daemon_can_not_send_as_a_control_node(node: LinkedNode) -> None:
+    assert await node.send_as(CertificateRole.DAEMON, "c2", PeerHello("c2", ""), raft_line("c2"))
     assert node.received.empty()
 
 
-async def test_links_of_two_nodes_carry_messages(node: Node, tmp_path: Path) -> None:
+async def test_links_of_two_nodes_carry_messages(node: LinkedNode, tmp_path: Path) -> None:
     other = ControlNodeLinks(
         PeerHello("c2", "127.0.0.1:1"),
         lambda *_: None,
         node.background,
-        credentials=Credentials(node.keys.issue(CertificateRole.CONTROL, "c2")),
+        credentials=Credentials(node.authority.issue(CertificateRole.CONTROL, "c2")),
     )
     assert other.send(node.address, raft_line("c2"))
     assert await asyncio.wait_for(node.received.get(), SECONDS) == raft_line("c2")
     other.stop()
 
 
-async def test_a_node_that_is_refused_comes_back_less_and_less_often(node: Node) -> None:
+async def test_a_refused_node_reconnects_with_backoff(node: LinkedNode) -> None:
     other = ControlNodeLinks(
         PeerHello("c9", ""),
         lambda *_: None,
         node.background,
-        credentials=Credentials(node.keys.issue(CertificateRole.CONTROL, "c2")),
+        credentials=Credentials(node.authority.issue(CertificateRole.CONTROL, "c2")),
     )
     before = REFUSED_CONNECTIONS.labels("name").value
     for _ in range(150):
--- a/tests/tls/test_deployment.py
+++ b/tests/tls/test_deployment.py
@@ -1,4 +1,4 @@
-"""Control nodes and daemons of a deployment with TLS on."""
+"""A whole deployment with TLS: identities at every listener, and replaced certificates."""
 
 import asyncio
 import dataclasses
@@ -31,21 +31,21 @@
 from tests.daemon.deployment import SERVICE, resources_for
 from tests.daemon.processes import DaemonProcess
 from tests.daemon.scripted_backend import ScriptedBackend, echo, healthy
-from tests.tls.keys import Deployment, flags, settings_text
+from tests.tls.keys import CertificateAuthority, flags, settings_text
 
 ANSWER_SECONDS = 20.0
 POLL_SECONDS = 0.05
 
 
 class SecuredGroup(Group):
-    """A control group whose nodes and operators have certificates."""
+    """A control group whose nodes and operator have certificates."""
 
-    def __init__(self, folder: Path, keys: Deployment) -> None:
+    def __init__(self, folder: Path, authority: CertificateAuthority) -> None:
         super().__init__(folder)
         self.files = {
-            node.name: keys.issue(CertificateRole.CONTROL, node.name) for node in self.nodes
+            node.name: authority.issue(CertificateRole.CONTROL, node.name) for node in self.nodes
         }
-        self.operator = keys.issue(CertificateRole.OPERATOR, "ana")
+        self.operator = authority.issue(CertificateRole.OPERATOR, "ana")
 
     def settings_of(self, node: Node) -> Path:
         path = super().settings_of(node)
@@ -64,20 +64,20 @@
 
 
 @pytest.fixture
-def keys(tmp_path: Path) -> Deployment:
-    return Deployment(tmp_path / "keys")
+def authority(tmp_path: Path) -> CertificateAuthority:
+    return CertificateAuthority(tmp_path / "keys")
 
 
 @pytest.fixture
-async def group(tmp_path: Path, keys: Deployment) -> AsyncIterator[SecuredGroup]:
-    made = SecuredGroup(tmp_path, keys)
+async def group(tmp_path: Path, authority: CertificateAuthority) -> AsyncIterator[SecuredGroup]:
+    made = SecuredGroup(tmp_path, authority)
     made.start_all()
     yield made
     made.close()
 
 
-async def dialled(address: str, files: TlsFiles | None, line: bytes) -> bytes:
-    """Return the first line a listener answers to ``line``; empty if it closes."""
+async def exchange_line(address: str, files: TlsFiles | None, line: bytes) -> bytes:
+    """Send ``line`` and return the first line of the answer; empty if the listener closes."""
     reader = asyncio.StreamReader()
     connector = Connector(None if files is None else Credentials(files))
     host, port = address.split(":")
@@ -95,24 +95,26 @@
     return ",".join(node.distribution for node in group.voters)
 
 
-async def test_a_group_and_two_daemons_serve_a_call_and_an_apply(
-    group: SecuredGroup, keys: Deployment
+async def test_calls_and_changes_pass_and_false_link_identities_are_refused(
+    group: SecuredGroup, authority: CertificateAuthority
 ) -> None:
     async with AsyncExitStack() as stack:
         backend = await stack.enter_async_context(ScriptedBackend(echo, healthy))
-        beside = DaemonProcess(
+        callee = DaemonProcess(
             node="licence-1",
             control_address=control_addresses(group),
             service=SERVICE,
             backend_address=backend.address,
         )
-        beside.flags = flags(
-            keys.issue(CertificateRole.DAEMON, beside.node, zone=beside.zone, endpoint=beside.node)
+        callee.flags = flags(
+            authority.issue(
+                CertificateRole.DAEMON, callee.node, zone=callee.zone, endpoint=callee.node
+            )
         )
         edge = DaemonProcess(node="edge", control_address=control_addresses(group))
-        edge.flags = flags(keys.issue(CertificateRole.DAEMON, edge.node, zone=edge.zone))
-        await asyncio.to_thread(group.bootstrap, *resources_for([beside]))
-        await stack.enter_async_context(beside)
+        edge.flags = flags(authority.issue(CertificateRole.DAEMON, edge.node, zone=edge.zone))
+        await asyncio.to_thread(group.bootstrap, *resources_for([callee]))
+        await stack.enter_async_context(callee)
         await stack.enter_async_context(edge)
         session = await stack.enter_async_context(aiohttp.ClientSession())
 
@@ -126,25 +128,25 @@
         client.close()
         assert isinstance(result, Accepted)
         for _ in range(round(ANSWER_SECONDS / POLL_SECONDS)):
-            if await revision_of(session, edge) >= result.revision:
+            if await read_revision(session, edge) >= result.revision:
                 break
             await asyncio.sleep(POLL_SECONDS)
-        assert await revision_of(session, edge) == result.revision
+        assert await read_revision(session, edge) == result.revision
 
         hello = Hello("edge", "1", "epoch", "", edge.zone, 0)
-        files = keys.issue(CertificateRole.DAEMON, "edge", zone=edge.zone)
-        answer = json.loads(await dialled(beside.link_address, files, encode_line(hello)))
+        files = authority.issue(CertificateRole.DAEMON, "edge", zone=edge.zone)
+        answer = json.loads(await exchange_line(callee.link_address, files, encode_line(hello)))
         assert answer["node"] == "licence-1"
-        assert await dialled(beside.link_address, None, encode_line(hello)) == b""
+        assert await exchange_line(callee.link_address, None, encode_line(hello)) == b""
         for wrong in (
             Hello("edge-2", "1", "epoch", "", edge.zone, 0),
             Hello("edge", "1", "epoch", "", "north-2", 0),
             Hello("edge", "1", "epoch", SERVICE, edge.zone, 0),
         ):
-            assert await dialled(beside.link_address, files, encode_line(wrong)) == b"", wrong
+            assert await exchange_line(callee.link_address, files, encode_line(wrong)) == b"", wrong
 
 
-async def revision_of(session: aiohttp.ClientSession, daemon: DaemonProcess) -> float:
+async def read_revision(session: aiohttp.ClientSession, daemon: DaemonProcess) -> float:
     async with session.get(f"http://{daemon.admin_address}/metrics") as response:
         text = await response.text()
     lines = [
@@ -153,21 +155,21 @@
     return float(lines[0].split()[-1]) if lines else 0.0
 
 
-async def test_control_nodes_refuse_subscribers_and_operators_they_don_t_know(
-    group: SecuredGroup, keys: Deployment, tmp_path: Path
+async def test_control_nodes_refuse_false_identities_of_subscribers_and_operators(
+    group: SecuredGroup, authority: CertificateAuthority, tmp_path: Path
 ) -> None:
     await asyncio.to_thread(group.bootstrap)
     address = group.voters[0].distribution
-    own = keys.issue(CertificateRole.DAEMON, "d1", zone="a", endpoint="e1")
+    own_files = authority.issue(CertificateRole.DAEMON, "d1", zone="a", endpoint="e1")
     subscribe = Subscribe("d1", "1", SERVICE, "a", 0, "e1")
-    assert await dialled(address, own, encode_line(subscribe)) != b""
+    assert await exchange_line(address, own_files, encode_line(subscribe)) != b""
     for wrong in (
         Subscribe("d2", "1", SERVICE, "a", 0, "e1"),
         Subscribe("d1", "1", SERVICE, "b", 0, "e1"),
         Subscribe("d1", "1", SERVICE, "a", 0, "e2"),
     ):
-        assert await dialled(address, own, encode_line(wrong)) == b"", wrong
-    assert await dialled(address, None, encode_line(subscribe)) == b""
+        assert await exchange_line(address, own_files, encode_line(wrong)) == b"", wrong
+    assert await exchange_line(address, None, encode_line(subscribe)) == b""
 
     def read(files: TlsFiles) -> None:
         client = group.client(tls=files, timeout=3.0)
@@ -177,44 +179,44 @@
             client.close()
 
     await asyncio.to_thread(read, group.operator)
-    for other in (keys.issue(CertificateRole.OPERATOR, "ben"), own):
+    for other in (authority.issue(CertificateRole.OPERATOR, "ben"), own_files):
         with pytest.raises(AccessDeniedError, match="isn't that of operator ana"):
             await asyncio.to_thread(read, other)
-    stranger = Deployment(tmp_path / "other").issue(CertificateRole.OPERATOR, "ana")
-    stranger = dataclasses.replace(stranger, authority=str(keys.authority_file))
+    foreign_client = CertificateAuthority(tmp_path / "other").issue(CertificateRole.OPERATOR, "ana")
+    foreign_client = dataclasses.replace(foreign_client, authority=str(authority.authority_file))
     with pytest.raises(ControlUnavailableError):
-        await asyncio.to_thread(read, stranger)
+        await asyncio.to_thread(read, foreign_client)
     plain = OperatorClient((group.voters[0].rpc,), OPERATOR_TOKEN, 2.0)
     with pytest.raises(ControlUnavailableError):
         await asyncio.to_thread(read_configuration, plain)
     plain.close()
 
 
-async def test_each_listener_of_a_running_node_shows_new_files_to_new_connections(
-    group: SecuredGroup, keys: Deployment
+async def test_every_listener_presents_a_replaced_certificate_to_new_connections(
+    group: SecuredGroup, authority: CertificateAuthority
 ) -> None:
     await asyncio.to_thread(group.bootstrap)
     node = group.voters[0]
     client = group.client([node])
     listeners = (node.raft, node.distribution, node.rpc)
     for _ in range(2):
-        own = certificate_of(group.files[node.name])
+        expected = read_certificate(group.files[node.name])
         for address in listeners:
-            shown = await asyncio.to_thread(shown_certificate, address, group.operator)
-            assert shown == own, address
-        keys.issue(CertificateRole.CONTROL, node.name)
+            presented = await asyncio.to_thread(presented_certificate, address, group.operator)
+            assert presented == expected, address
+        authority.issue(CertificateRole.CONTROL, node.name)
         result = await asyncio.to_thread(apply_one, client, str(uuid4()), Service(name="permits"))
         assert isinstance(result, Accepted)
     client.close()
 
 
-def certificate_of(files: TlsFiles) -> bytes:
-    """Return the certificate (DER) of a file."""
+def read_certificate(files: TlsFiles) -> bytes:
+    """Return the certificate in ``files`` as DER."""
     return ssl.PEM_cert_to_DER_cert(Path(files.certificate).read_text())
 
 
-def shown_certificate(address: str, files: TlsFiles) -> bytes:
-    """Return the certificate (DER) that a listener shows."""
+def presented_certificate(address: str, files: TlsFiles) -> bytes:
+    """Return the certificate that a listener presents, as DER."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.set_alpn_protocols(["h2"])
--- a/tests/tls/test_peer_link.py
+++ b/tests/tls/test_peer_link.py
@@ -1,4 +1,4 @@
-"""The calling end of a link takes an answer only from the endpoint it names."""
+"""A link opens only if the listener's certificate covers the endpoint and zone it claims."""
 
 import asyncio
 from pathlib import Path
@@ -12,13 +12,13 @@
 from finchshed.tls.handshakes import Connector, listening_socket, start_server
 from finchshed.tls.names import CertificateRole
 from tests.link.test_peer import Owner
-from tests.tls.keys import Deployment
+from tests.tls.keys import CertificateAuthority
 
 SECONDS = 10.0
 
 
-async def link_to(listener: Credentials, client: Credentials) -> tuple[PeerLink, Owner]:
-    """Return a link to a listener that says it is endpoint ``e1`` in zone ``a``."""
+async def connect_to(listener: Credentials, client: Credentials) -> tuple[PeerLink, Owner]:
+    """Return a link to a listener that claims to be endpoint ``e1`` in zone ``a``."""
 
     def answer(lines: LineProtocol[PeerMessage], message: PeerMessage) -> None:
         assert isinstance(message, Hello)
@@ -58,12 +58,16 @@
         ("b", "e1", LinkState.CLOSED),
     ],
 )
-async def test_a_link_opens_to_the_endpoint_of_the_certificate_only(
+async def test_a_link_opens_only_to_the_endpoint_in_the_certificate(
     tmp_path: Path, zone: str, endpoint: str, state: LinkState
 ) -> None:
-    keys = Deployment(tmp_path / "keys")
-    listener = Credentials(keys.issue(CertificateRole.DAEMON, "d1", zone=zone, endpoint=endpoint))
-    link, owner = await link_to(listener, Credentials(keys.issue(CertificateRole.DAEMON, "me")))
+    authority = CertificateAuthority(tmp_path / "keys")
+    listener = Credentials(
+        authority.issue(CertificateRole.DAEMON, "d1", zone=zone, endpoint=endpoint)
+    )
+    link, owner = await connect_to(
+        listener, Credentials(authority.issue(CertificateRole.DAEMON, "me"))
+    )
     assert link.state is state
     assert owner.opened.is_set() == (state is LinkState.OPEN)
     link.close("stopped")
--- a/tests/tls/test_settings.py
+++ b/tests/tls/test_settings.py
@@ -1,4 +1,4 @@
-"""Files that settings name are checked by the loader."""
+"""The settings loader validates the TLS files."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from finchshed.settings.loader import load
 from finchshed.tls.files import TlsFiles
 from finchshed.tls.names import CertificateRole
-from tests.tls.keys import EXPIRED, Deployment
+from tests.tls.keys import EXPIRED, CertificateAuthority
 
 BASE = {
     "node": "d1",
@@ -31,17 +31,17 @@
 
 
 @pytest.fixture
-def keys(tmp_path: Path) -> Deployment:
-    return Deployment(tmp_path / "keys")
+def authority(tmp_path: Path) -> CertificateAuthority:
+    return CertificateAuthority(tmp_path / "keys")
 
 
-def test_files_that_fit_together_and_none_are_fine(keys: Deployment) -> None:
-    assert problems(keys.issue(CertificateRole.DAEMON, "d1")) == []
+def test_matching_files_and_no_files_are_accepted(authority: CertificateAuthority) -> None:
+    assert problems(authority.issue(CertificateRole.DAEMON, "d1")) == []
     assert problems(TlsFiles("", "", "")) == []
 
 
-def test_each_file_that_is_missing_or_not_given_is_named(keys: Deployment) -> None:
-    files = keys.issue(CertificateRole.DAEMON, "d1")
+def test_every_missing_or_unset_file_is_reported(authority: CertificateAuthority) -> None:
+    files = authority.issue(CertificateRole.DAEMON, "d1")
     found = problems(TlsFiles(files.certificate, "/no/such.key", ""))
     assert found == [
         "flag --tls_key_file: tls_key_file = /no/such.key: "
@@ -50,20 +50,23 @@
     ]
 
 
-def test_a_key_of_another_certificate_is_told(keys: Deployment) -> None:
-    one, two = keys.issue(CertificateRole.DAEMON, "d1"), keys.issue(CertificateRole.DAEMON, "d2")
+def test_a_key_of_another_certificate_is_reported(authority: CertificateAuthority) -> None:
+    one, two = (
+        authority.issue(CertificateRole.DAEMON, "d1"),
+        authority.issue(CertificateRole.DAEMON, "d2"),
+    )
     (found,) = problems(TlsFiles(one.certificate, two.key, one.authority))
     assert found.endswith("isn't the key of the certificate")
 
 
-def test_an_expired_certificate_is_told(keys: Deployment) -> None:
-    (found,) = problems(keys.issue(CertificateRole.DAEMON, "d1", EXPIRED))
+def test_an_expired_certificate_is_reported(authority: CertificateAuthority) -> None:
+    (found,) = problems(authority.issue(CertificateRole.DAEMON, "d1", EXPIRED))
     assert "tls_certificate_file" in found
     assert "expired at 20" in found
 
 
-def test_files_that_hold_something_else_are_told(keys: Deployment, tmp_path: Path) -> None:
-    files = keys.issue(CertificateRole.DAEMON, "d1")
+def test_files_without_pem_are_reported(authority: CertificateAuthority, tmp_path: Path) -> None:
+    files = authority.issue(CertificateRole.DAEMON, "d1")
     other = tmp_path / "other"
     other.write_text("no PEM")
     found = problems(TlsFiles(str(other), files.key, str(other)))
