--- a/src/finchshed/ctl/__init__.py
+++ b/src/finchshed/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' command line: a client of the control nodes' RPC service."""
+"""Operators' command line, a client of the control nodes' RPC service."""
--- a/src/finchshed/ctl/changes.py
+++ b/src/finchshed/ctl/changes.py
@@ -1,6 +1,6 @@
-"""Sub-commands that change the configuration: diff, apply, drain.
+"""Sub-commands that change the configuration: diff, apply, drain, undrain.
 
-Owns no state. Relies on the control nodes, which apply a change once by its identity.
+A change can be sent again safely: control nodes apply each change identity at most once.
 """
 
 import uuid
@@ -29,11 +29,11 @@
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 DRAIN_ATTEMPTS = 10
-"""Times a drain is made again after another change was accepted first."""
+"""Maximum attempts to drain or undrain an endpoint if other changes are accepted first."""
 
 
 class DeclaredConfiguration(msgspec.Struct, frozen=True):
-    """The configuration as read from a quorum."""
+    """The declared configuration, as confirmed by a quorum."""
 
     revision: int
     resources: dict[ResourceKey, Resource]
@@ -47,31 +47,31 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Show what an apply of the declarations in FOLDER would change.
+    """Show what applying the declarations in FOLDER would change.
 
-    Exit code 0 when nothing would change, 10 when something would.
+    Exit code 0: nothing would change. 10: something would.
 
     Parameters
     ----------
     folder
         Folder with declaration files (*.toml).
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     declared = read_declarations(Path(folder))
     client = connect(control, token_file, timeout)
     current = read_configuration(client)
-    changed = difference(current.resources, declared)
-    view = DifferenceView(current.revision, changed.puts, changed.deletes)
-    lines = describe_difference(current.resources, changed) or ["nothing to change"]
+    changes = difference(current.resources, declared)
+    view = DifferenceView(current.revision, changes.puts, changes.deletes)
+    lines = describe_difference(current.resources, changes) or ["nothing to change"]
     print_result(view, lines, as_json=json)
-    return CtlExitCode.DIFFERENT if changed else ExitCode.OK
+    return CtlExitCode.DIFFERENT if changes else ExitCode.OK
 
 
 def apply(
@@ -86,26 +86,26 @@
 ) -> int:
     """Make the declarations in FOLDER the configuration, as one change.
 
-    The change is accepted whole or not at all. Exit code 11: another change was accepted first
-    (it is named; look at the difference again). 12: the control node found problems. 3: no
-    quorum confirmed it in time; run the printed command again to learn the outcome.
+    The change is applied completely or not at all. Exit code 11: another change, which is named,
+    was accepted first; run diff again. 12: the control node found problems. 3: no quorum confirmed
+    the change in time; run the printed command to learn the outcome.
 
     Parameters
     ----------
     folder
         Folder with declaration files (*.toml).
     change_id
-        Identity of the change; give the one printed before to resend it. Empty: a new one.
+        Identity of the change; pass the one printed before to resend it. Empty: a new identity.
     expected_revision
-        Revision the change is meant for; -1: the one in force now.
+        Revision that the change is based on; -1: the current one.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     declared = read_declarations(Path(folder))
     client = connect(control, token_file, timeout)
@@ -113,23 +113,23 @@
     if first_result is not None:
         return report_result(change_id, first_result, as_json=json)
     current = read_configuration(client)
-    changed = difference(current.resources, declared)
-    if not changed:
+    changes = difference(current.resources, declared)
+    if not changes:
         lines = [f"nothing to change at revision {current.revision}"]
         print_result(ApplyView("", None), lines, as_json=json)
         return ExitCode.OK
     expected = current.revision if expected_revision < 0 else expected_revision
     identity = change_id or str(uuid.uuid4())
-    result = _submit_or_explain(client, folder, identity, expected, changed)
+    result = _submit_with_recovery_hint(client, folder, identity, expected, changes)
     return report_result(identity, result, as_json=json)
 
 
-def _submit_or_explain(
-    client: OperatorClient, folder: str, change_id: str, expected: int, changed: Difference
+def _submit_with_recovery_hint(
+    client: OperatorClient, folder: str, change_id: str, expected: int, changes: Difference
 ) -> ChangeResult:
-    """Send a change; where no answer comes, say how its outcome is learnt."""
+    """Submit a change; if its outcome is unknown, the error says how to learn it."""
     try:
-        return submit_change(client, change_id, expected, changed)
+        return submit_change(client, change_id, expected, changes)
     except ControlUnavailableError as error:
         raise ControlUnavailableError(
             f"{error}\nthe change may have been accepted; to learn its outcome: "
@@ -145,22 +145,22 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Mark ENDPOINT as leaving, so that it gets no new work; what it has in progress goes on.
+    """Mark ENDPOINT as leaving: it gets no new requests, and requests in progress continue.
 
-    Safe to run again. Exit code 0 also where it was leaving already.
+    Safe to run again; exit code 0 also if the endpoint was already leaving.
 
     Parameters
     ----------
     endpoint
         Name of a declared endpoint.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
     return _set_state(client, endpoint, EndpointState.LEAVING, as_json=json)
@@ -176,27 +176,27 @@
 ) -> int:
     """Make ENDPOINT active again after a drain.
 
-    Safe to run again. Exit code 0 also where it was active already.
+    Safe to run again; exit code 0 also if the endpoint was already active.
 
     Parameters
     ----------
     endpoint
         Name of a declared endpoint.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
     return _set_state(client, endpoint, EndpointState.ACTIVE, as_json=json)
 
 
 def _set_state(client: OperatorClient, name: str, state: EndpointState, *, as_json: bool) -> int:
-    """Put an endpoint into ``state``, again where another change was accepted first."""
+    """Set the state of an endpoint, retrying when another change is accepted first."""
     for _ in range(DRAIN_ATTEMPTS):
         current = read_configuration(client)
         endpoint = current.resources.get(ResourceKey("endpoint", name))
@@ -206,22 +206,22 @@
             lines = [f"{name} is {state.value} at revision {current.revision}"]
             print_result(ApplyView("", None), lines, as_json=as_json)
             return ExitCode.OK
-        changed = Difference((msgspec.structs.replace(endpoint, state=state),), ())
+        changes = Difference((msgspec.structs.replace(endpoint, state=state),), ())
         identity = str(uuid.uuid4())
-        result = submit_change(client, identity, current.revision, changed)
+        result = submit_change(client, identity, current.revision, changes)
         if not isinstance(result, Conflict):
             break
     return report_result(identity, result, as_json=as_json)
 
 
 def read_configuration(client: OperatorClient) -> DeclaredConfiguration:
-    """Return the configuration in force."""
+    """Return the current configuration, confirmed by a quorum."""
     answer = cast(pb.GetResponse, client.call("Get", pb.GetRequest()))
     return DeclaredConfiguration(answer.revision, resources_by_key(answer.resources))
 
 
 def find_result(client: OperatorClient, change_id: str) -> ChangeResult | None:
-    """Return the first result of an earlier change, or None when there is none."""
+    """Return the first result of an earlier change, or None if none is known."""
     try:
         answer = client.call("GetResult", pb.GetResultRequest(change_id=change_id))
     except NotFoundError:
@@ -230,14 +230,14 @@
 
 
 def submit_change(
-    client: OperatorClient, change_id: str, expected_revision: int, changed: Difference
+    client: OperatorClient, change_id: str, expected_revision: int, changes: Difference
 ) -> ChangeResult:
-    """Send a change, with the same identity to other nodes where an answer is lost."""
+    """Submit a change; it is sent to other nodes under the same identity if an answer is lost."""
     request = pb.ApplyRequest(
         change_id=change_id,
         expected_revision=expected_revision,
-        puts=[resource_to_message(resource) for resource in changed.puts],
-        deletes=[key_to_message(key) for key in changed.deletes],
+        puts=[resource_to_message(resource) for resource in changes.puts],
+        deletes=[key_to_message(key) for key in changes.deletes],
     )
     return result_from_message(cast(pb.ApplyResponse, client.call("Apply", request)))
 
--- a/src/finchshed/ctl/client.py
+++ b/src/finchshed/ctl/client.py
@@ -1,8 +1,7 @@
-"""Client of the operators' service that goes from control node to control node.
+"""Client of the operators' RPC service, with failover between control nodes.
 
-Owns the connections, and which node is asked first. A call that found no quorum, or whose answer
-was lost, is sent again to the next node. That is safe: reads change nothing, and a change keeps its
-change identity, so it is applied once.
+A call that found no quorum, or whose answer was lost, is sent again to the next node. That is safe:
+reads have no side effects, and a change keeps its identity, by which it is applied only once.
 """
 
 import time
@@ -20,18 +19,18 @@
 ResponseT = TypeVar("ResponseT")
 
 CALL_TIMEOUT_SECONDS = 6.0
-"""Longest wait for one node: above the 4 s that a node itself waits for a quorum by default."""
+"""Time limit of a call to one node; above the 4 s that a node waits for a quorum by default."""
 
 RETRY_PAUSE_SECONDS = 0.2
-"""Pause after all nodes were asked in vain. Chosen, not measured."""
+"""Pause after calls to all nodes have failed."""
 
 MAX_MESSAGE_BYTES = 64 << 20
-"""Longest answer that is read, a whole configuration. Chosen, not measured."""
+"""Maximum size of an answer, which can hold a whole configuration."""
 
 CONNECT_FAILED = "failed to connect to all addresses"
-"""How the library's text of a connection that can't be made begins; only its end says why."""
+"""Prefix of gRPC's error text for a failed connection; the cause follows the last ': '."""
 
-_RETRIED = frozenset(
+_RETRYABLE = frozenset(
     {
         grpc.StatusCode.UNAVAILABLE,
         grpc.StatusCode.DEADLINE_EXCEEDED,
@@ -43,23 +42,23 @@
 
 
 class AccessDeniedError(FinchshedError):
-    """The token is none of a declared operator."""
+    """The token or the certificate isn't that of a declared operator."""
 
 
 class NotFoundError(FinchshedError):
-    """No control node knows what was asked for."""
+    """The requested item doesn't exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeResponses:
-    """What all control nodes said to one request.
+    """Responses of all control nodes to one request.
 
     Attributes
     ----------
     answers
         Address and answer of each node that answered, in the order of the addresses.
     errors
-        One line for each node that didn't: its address, and why.
+        One line for each failed call, with the address and the cause.
     """
 
     answers: tuple[tuple[str, object], ...]
@@ -72,13 +71,13 @@
     Parameters
     ----------
     addresses
-        RPC addresses of control nodes, ``a.b.c.d:port``; asked in this order.
+        RPC addresses of control nodes, ``a.b.c.d:port``, in the order of failover.
     token
         The operator's token.
     timeout_seconds
-        Longest time for one request over all of its retries.
+        Time limit of a request, including its retries.
     tls
-        Key and certificates; None: plain text.
+        Files of key and certificates; None for plain text.
     """
 
     def __init__(
@@ -107,30 +106,30 @@
             channel.close()
 
     def call(self, method: str, request: object) -> object:
-        """Call ``method`` on the first node that can answer.
+        """Call ``method`` on one node, trying others until one answers.
 
         Raises
         ------
         ControlUnavailableError
-            No node answered with a quorum's agreement in time.
+            No node answered with the confirmation of a quorum in time.
         AccessDeniedError
-            The token was refused.
+            The operator was refused.
         FinchshedError
-            The request itself was refused.
+            The request was refused.
         """
         deadline = time.monotonic() + self._timeout
         while True:
-            last = "no control node given"
+            last_error = "no control node given"
             for _ in range(len(self._stubs)):
                 try:
                     return self._call_one(self._preferred, method, request, deadline)
                 except grpc.RpcError as error:
-                    last = f"{self.addresses[self._preferred]}: {_describe(error)}"
-                    if error.code() not in _RETRIED:
-                        raise _translated(error) from error
+                    last_error = f"{self.addresses[self._preferred]}: {_describe_error(error)}"
+                    if error.code() not in _RETRYABLE:
+                        raise _to_exception(error) from error
                     self._preferred = (self._preferred + 1) % len(self._stubs)
             if time.monotonic() + RETRY_PAUSE_SECONDS >= deadline:
-                raise ControlUnavailableError(last)
+                raise ControlUnavailableError(last_error)
             time.sleep(RETRY_PAUSE_SECONDS)
 
     def call_each(self, method: str, request: object) -> NodeResponses:
@@ -139,7 +138,7 @@
         Raises
         ------
         AccessDeniedError
-            The token was refused.
+            The operator was refused.
         """
         answers: list[tuple[str, object]] = []
         errors: list[str] = []
@@ -149,20 +148,20 @@
                 answer = self._call_one(position, method, request, deadline)
             except grpc.RpcError as error:
                 if error.code() in _DENIED:
-                    raise _translated(error) from error
-                errors.append(f"{address}: {_describe(error)}")
+                    raise _to_exception(error) from error
+                errors.append(f"{address}: {_describe_error(error)}")
             else:
                 answers.append((address, answer))
         return NodeResponses(tuple(answers), tuple(errors))
 
     def stream(self, method: str, request: object) -> Iterator[object]:
-        """Yield the answers of a streaming ``method`` of the first node that can answer.
+        """Yield the answers of the streaming ``method`` of the first node that answers.
 
         Raises
         ------
         ControlUnavailableError
-            No node began to answer in time, or the stream ended early; start again from what was
-            received.
+            No node started to answer in time, or the stream ended early. Resume after the last
+            answer received.
         """
         deadline = time.monotonic() + self._timeout
         while True:
@@ -174,9 +173,9 @@
                     yield answer
             except grpc.RpcError as error:
                 self._preferred = (self._preferred + 1) % len(self._stubs)
-                is_final = has_begun or error.code() not in _RETRIED
+                is_final = has_begun or error.code() not in _RETRYABLE
                 if is_final or time.monotonic() + RETRY_PAUSE_SECONDS >= deadline:
-                    raise _translated(error) from error
+                    raise _to_exception(error) from error
                 time.sleep(RETRY_PAUSE_SECONDS)
             else:
                 return
@@ -194,19 +193,19 @@
     return grpc.secure_channel(address, client_credentials(tls), [*options, TARGET_NAME_OPTION])
 
 
-def _describe(error: grpc.RpcError) -> str:
+def _describe_error(error: grpc.RpcError) -> str:
     details = str(error.details())
     if details.startswith(CONNECT_FAILED):
         details = f"can't be reached: {details.rpartition(': ')[2]}"
     return f"{error.code().name}: {details}"
 
 
-def _translated(error: grpc.RpcError) -> FinchshedError:
-    text = _describe(error)
+def _to_exception(error: grpc.RpcError) -> FinchshedError:
+    text = _describe_error(error)
     if error.code() in _DENIED:
         return AccessDeniedError(text)
     if error.code() is grpc.StatusCode.NOT_FOUND:
         return NotFoundError(text)
-    if error.code() in _RETRIED:
+    if error.code() in _RETRYABLE:
         return ControlUnavailableError(text)
     return FinchshedError(text)
--- a/src/finchshed/ctl/command.py
+++ b/src/finchshed/ctl/command.py
@@ -11,7 +11,7 @@
 CtlFunction = Callable[..., int]
 
 
-def _denial_as_exit_code(function: CtlFunction) -> CtlFunction:
+def _with_denied_exit_code(function: CtlFunction) -> CtlFunction:
     @wraps(function)
     def run(*arguments: object, **flags: object) -> int:
         try:
@@ -24,20 +24,20 @@
 
 
 ctl: Mapping[str, CtlFunction] = {
-    "diff": _denial_as_exit_code(changes.diff),
-    "apply": _denial_as_exit_code(changes.apply),
-    "drain": _denial_as_exit_code(changes.drain),
-    "undrain": _denial_as_exit_code(changes.undrain),
-    "get": _denial_as_exit_code(queries.get),
-    "watch": _denial_as_exit_code(queries.watch),
-    "status": _denial_as_exit_code(status.status),
-    "members": _denial_as_exit_code(status.members),
-    "explain": _denial_as_exit_code(queries.explain),
-    "quarantine": _denial_as_exit_code(quarantine.quarantine),
-    "history": _denial_as_exit_code(queries.history),
-    "replace-member": _denial_as_exit_code(maintenance.replace_member),
-    "backup": _denial_as_exit_code(maintenance.backup),
+    "diff": _with_denied_exit_code(changes.diff),
+    "apply": _with_denied_exit_code(changes.apply),
+    "drain": _with_denied_exit_code(changes.drain),
+    "undrain": _with_denied_exit_code(changes.undrain),
+    "get": _with_denied_exit_code(queries.get),
+    "watch": _with_denied_exit_code(queries.watch),
+    "status": _with_denied_exit_code(status.status),
+    "members": _with_denied_exit_code(status.members),
+    "explain": _with_denied_exit_code(queries.explain),
+    "quarantine": _with_denied_exit_code(quarantine.quarantine),
+    "history": _with_denied_exit_code(queries.history),
+    "replace-member": _with_denied_exit_code(maintenance.replace_member),
+    "backup": _with_denied_exit_code(maintenance.backup),
     "restore": restore.restore,
-    "dump": _denial_as_exit_code(maintenance.dump),
+    "dump": _with_denied_exit_code(maintenance.dump),
 }
 """Sub-command to function; each function's keyword parameters are its flags."""
--- a/src/finchshed/ctl/connection.py
+++ b/src/finchshed/ctl/connection.py
@@ -1,4 +1,4 @@
-"""Where ``finchshed ctl`` finds the control nodes and the operator's token."""
+"""Connection settings of ``finchshed ctl``, from flags and the environment."""
 
 import os
 from pathlib import Path
@@ -18,7 +18,7 @@
     "tls_key_file": "FINCHSHED_TLS_KEY_FILE",
     "tls_authority_file": "FINCHSHED_TLS_AUTHORITY_FILE",
 }
-"""Files of the operator's certificate, its key and the authority; none set: plain text."""
+"""Environment variables of the TLS files, by setting; without any, connections are plain text."""
 
 DEFAULT_TIMEOUT_SECONDS = 20.0
 
@@ -31,15 +31,15 @@
     Parameters
     ----------
     control
-        Addresses separated by commas; empty: from FINCHSHED_CONTROL.
+        Addresses separated by commas; empty: FINCHSHED_CONTROL.
     token_file
         File with the token; empty: FINCHSHED_TOKEN, or the file named by FINCHSHED_TOKEN_FILE.
-        A token is never taken from a flag: command lines are seen by others.
+        The token itself can't be passed as a flag, since other users can see command lines.
 
     Raises
     ------
     SettingsError
-        Addresses or token are missing or wrong.
+        Addresses, token or TLS files are missing or invalid.
     """
     problems: list[str] = []
     text = control or os.environ.get(CONTROL_VARIABLE, "")
@@ -51,25 +51,25 @@
         for address in addresses
         if not is_address(address)
     ]
-    token = _token(token_file, problems)
-    tls = _tls(problems)
+    token = _read_token(token_file, problems)
+    tls = _read_tls_files(problems)
     if problems:
         raise SettingsError(problems)
     return OperatorClient(addresses, token, timeout, tls)
 
 
-def _tls(problems: list[str]) -> TlsFiles | None:
-    """Return the files the environment names; None for plain text."""
+def _read_tls_files(problems: list[str]) -> TlsFiles | None:
+    """Return the files named by the environment; None for plain text."""
     paths = {name: os.environ.get(variable, "") for name, variable in TLS_VARIABLES.items()}
     files = TlsFiles(
         paths["tls_certificate_file"], paths["tls_key_file"], paths["tls_authority_file"]
     )
-    for name, words in validate_files(files).items():
-        problems.append(f"{TLS_VARIABLES[name]} = {paths[name]!r}: {words}")
+    for name, problem in validate_files(files).items():
+        problems.append(f"{TLS_VARIABLES[name]} = {paths[name]!r}: {problem}")
     return None if files.is_plain else files
 
 
-def _token(token_file: str, problems: list[str]) -> str:
+def _read_token(token_file: str, problems: list[str]) -> str:
     path = token_file or os.environ.get(TOKEN_FILE_VARIABLE, "")
     if not path:
         token = os.environ.get(TOKEN_VARIABLE, "")
--- a/src/finchshed/ctl/exit_codes.py
+++ b/src/finchshed/ctl/exit_codes.py
@@ -1,14 +1,14 @@
-"""Exit codes of ``finchshed ctl`` beyond those of every command."""
+"""Exit codes of ``finchshed ctl``, in addition to those of every command."""
 
 import enum
 from collections.abc import Mapping
 
 
 class CtlExitCode(enum.IntEnum):
-    """What the exit code of a ``ctl`` command says beyond :class:`finchshed.cli.exit_codes`."""
+    """Exit codes of ``ctl`` commands, in addition to :class:`finchshed.cli.exit_codes.ExitCode`."""
 
     DIFFERENT = 10
-    """``diff``: the declarations differ from what is in force."""
+    """``diff``: the declarations differ from the current configuration."""
 
     CONFLICT = 11
     """``apply``: another change was accepted first; nothing was changed."""
@@ -17,13 +17,13 @@
     """``apply``: the control node found problems; nothing was changed."""
 
     DENIED = 13
-    """The token is none of a declared operator."""
+    """The token or the certificate isn't that of a declared operator."""
 
     NOT_IN_FORCE = 14
     """``status``: some daemons are behind or silent."""
 
     LOSS_NOT_ACCEPTED = 15
-    """``restore``: it was only told what would be lost; nothing was written."""
+    """``restore``: the loss was reported but not accepted; nothing was written."""
 
 
 MEANINGS: Mapping[int, str] = {
--- a/src/finchshed/ctl/maintenance.py
+++ b/src/finchshed/ctl/maintenance.py
@@ -1,4 +1,4 @@
-"""Sub-commands for the control group itself: replace-member, backup, dump."""
+"""Sub-commands that maintain the control group: replace-member, backup, dump."""
 
 import hashlib
 import os
@@ -16,12 +16,12 @@
 from finchshed.ctl.output import print_error, print_result
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
-STEP_PAUSE_SECONDS = 0.5
-"""Pause between looks at a replacement that goes on. Chosen, not measured."""
+REPLACEMENT_POLL_SECONDS = 0.5
+"""Poll interval while a member is being replaced."""
 
 
 class BackupView(msgspec.Struct, frozen=True):
-    """Answer of ``backup``."""
+    """Result of ``backup``."""
 
     file: str
     revision: int
@@ -31,14 +31,14 @@
 
 
 class ReplaceMemberView(msgspec.Struct, frozen=True):
-    """Answer of ``replace-member``."""
+    """Result of ``replace-member``."""
 
     done: bool
     step: str
 
 
 class DumpView(msgspec.Struct, frozen=True):
-    """Answer of ``dump``."""
+    """Result of ``dump``."""
 
     destinations: tuple[str, ...]
 
@@ -53,34 +53,34 @@
     timeout: float = 120.0,
     json: bool = False,
 ) -> int:
-    """Put a control node in the place of another, and wait until it is done.
+    """Replace a control node by another, and wait until the replacement is complete.
 
-    The new node joins as a learner, is made a voter once it has caught up, and only then the old
-    one is taken out. Safe to run again at any time: it goes on where it stopped.
+    The new node joins as a learner, becomes a voter once it has caught up, and only then the old
+    node is removed. Safe to run again at any time: it resumes where it stopped.
 
     Parameters
     ----------
     remove
-        Member to take out; empty: none.
+        Member to remove; empty: none.
     add
-        Member to put in, running already; empty: none. It may have the name of a member whose
+        Member to add, which must be running; empty: none. It may have the name of a member whose
         disk was lost.
     standby
-        Keep the member put in as a standby that doesn't vote.
+        Keep the added member as a standby, which doesn't vote.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time to wait, seconds.
+        Time limit for the replacement, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     if not remove and not add:
         raise SettingsError(["flag --add, --remove: missing, one of them is needed"])
     client = connect(control, token_file, min(timeout, DEFAULT_TIMEOUT_SECONDS))
     request = pb.ReplaceMemberRequest(remove=remove, add=add, standby=standby)
-    step = _wait_until_replaced(client, request, timeout, says_steps=not json)
+    step = _wait_until_replaced(client, request, timeout, print_steps=not json)
     print_result(ReplaceMemberView(done=True, step=step), ["done"], as_json=json)
     return ExitCode.OK
 
@@ -93,20 +93,20 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Write a snapshot of the whole state to FILE, synced, not over an existing file.
+    """Write a snapshot of the whole state to FILE, which must not exist, and sync it to disk.
 
     Parameters
     ----------
     file
-        File to write.
+        Path of the new file.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     path = Path(file)
     if path.exists():
@@ -115,7 +115,7 @@
     pieces = client.stream("Backup", pb.BackupRequest())
     data = b"".join(cast(pb.BackupPiece, piece).data for piece in pieces)
     state = msgspec.json.decode(data, type=StateSnapshot)
-    _write_synced(path, data)
+    _write_new_file(path, data)
     digest = hashlib.sha256(data).hexdigest()
     view = BackupView(str(path), state.store.revision, state.index, len(data), digest)
     text = f"revision {view.revision}, {view.size_bytes} bytes, sha256 {digest}"
@@ -130,56 +130,56 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Have every control node write out its ring of log records.
+    """Make every control node write out its buffer of recent log records.
 
     Parameters
     ----------
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
-    said = client.call_each("Dump", pb.DumpRequest())
-    for error in said.errors:
+    responses = client.call_each("Dump", pb.DumpRequest())
+    for error in responses.errors:
         print_error(error)
     destinations = [
         f"{address}: {cast(pb.DumpResponse, answer).destination}"
-        for address, answer in said.answers
+        for address, answer in responses.answers
     ]
     print_result(DumpView(tuple(destinations)), destinations, as_json=json)
     return ExitCode.OK if destinations else ExitCode.UNAVAILABLE
 
 
 def _wait_until_replaced(
-    client: OperatorClient, request: pb.ReplaceMemberRequest, timeout: float, *, says_steps: bool
+    client: OperatorClient, request: pb.ReplaceMemberRequest, timeout: float, *, print_steps: bool
 ) -> str:
-    """Ask for each next step until none is left; return the text of the last one.
+    """Request replacement steps until none is left; return the text of the last step.
 
     Raises
     ------
     ControlUnavailableError
-        It isn't finished after ``timeout`` seconds.
+        The replacement isn't complete after ``timeout`` seconds.
     """
     deadline = time.monotonic() + timeout
     step = ""
     while True:
         answer = cast(pb.ReplaceMemberResponse, client.call("ReplaceMember", request))
-        if answer.step != step and not answer.done and says_steps:
+        if answer.step != step and not answer.done and print_steps:
             print_error(answer.step)
         step = str(answer.step)
         if answer.done:
             return step
         if time.monotonic() >= deadline:
             raise ControlUnavailableError(f"not finished yet: {step}; run the command again")
-        time.sleep(STEP_PAUSE_SECONDS)
+        time.sleep(REPLACEMENT_POLL_SECONDS)
 
 
-def _write_synced(path: Path, data: bytes) -> None:
+def _write_new_file(path: Path, data: bytes) -> None:
     with path.open("xb") as stream:
         stream.write(data)
         stream.flush()
--- a/src/finchshed/ctl/output.py
+++ b/src/finchshed/ctl/output.py
@@ -1,4 +1,4 @@
-"""Prints answers for people, or as JSON lines for programs."""
+"""Output of the sub-commands, as text or as JSON lines."""
 
 import sys
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def print_result(value: msgspec.Struct, lines: Iterable[str], *, as_json: bool) -> None:
-    """Print ``value`` as one JSON line, or ``lines`` for people."""
+    """Print ``value`` as one JSON line, or ``lines`` as text."""
     if as_json:
         sys.stdout.write(msgspec.json.encode(value).decode() + "\n")
     else:
@@ -22,7 +22,7 @@
 
 
 def format_table(header: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> list[str]:
-    """Return aligned lines of a table."""
+    """Return the lines of a table with aligned columns."""
     all_rows = [header, *rows]
     widths = [max(len(row[column]) for row in all_rows) for column in range(len(header))]
     return [
--- a/src/finchshed/ctl/quarantine.py
+++ b/src/finchshed/ctl/quarantine.py
@@ -1,4 +1,4 @@
-"""The sub-command that shows and lifts what is held against requests: quarantine."""
+"""The sub-command ``quarantine``: shows and lifts quarantines of requests."""
 
 from typing import cast
 
@@ -17,30 +17,30 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Show the requests that are suspected of crashing back ends, and those refused for it.
+    """Show requests suspected of crashing back ends, and those quarantined for it.
 
     Parameters
     ----------
     lift
-        Signature of a request to clear of the crashes known so far: it may run again at once.
+        Signature of a request whose known crashes are cleared, so that it may run again at once.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
     if lift:
         client.call("LiftQuarantine", pb.LiftQuarantineRequest(signature=lift))
     answer = cast(pb.QuarantineResponse, client.call("Quarantine", pb.QuarantineRequest()))
-    _show(answer, as_json=json)
+    _print_quarantine(answer, as_json=json)
     return ExitCode.OK
 
 
-def _show(answer: pb.QuarantineResponse, *, as_json: bool) -> None:
+def _print_quarantine(answer: pb.QuarantineResponse, *, as_json: bool) -> None:
     views = tuple(
         QuarantinedView(
             item.signature,
--- a/src/finchshed/ctl/queries.py
+++ b/src/finchshed/ctl/queries.py
@@ -1,4 +1,4 @@
-"""Sub-commands that read what is declared and was decided: get, watch, explain, history."""
+"""Sub-commands that read configuration, decisions and audit log: get, watch, explain, history."""
 
 import datetime
 from collections.abc import Iterable
@@ -33,27 +33,30 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Print the configuration in force, or the given RESOURCES (kind/name).
+    """Print the current configuration, or the given RESOURCES (kind/name).
 
     Parameters
     ----------
     resources
-        Such as service/tide-prediction; none: all.
+        For example service/tide-prediction; none: all.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
-    keys = _keys(resources)
+    keys = _parse_keys(resources)
     client = connect(control, token_file, timeout)
     request = pb.GetRequest(keys=[key_to_message(key) for key in keys])
     answer = cast(pb.GetResponse, client.call("Get", request))
     found = resources_from_messages(answer.resources, [])
-    lines = [f"revision {answer.revision}", *(_describe(item) for item in _sorted(found))]
+    lines = [
+        f"revision {answer.revision}",
+        *(_format_resource(item) for item in _sort_by_key(found)),
+    ]
     print_result(ConfigurationView(answer.revision, found), lines, as_json=json)
     missing = set(keys) - {key_of(item) for item in found}
     for key in sorted(missing):
@@ -70,35 +73,35 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Follow accepted changes until interrupted, going on through another node where one ends.
+    """Follow accepted changes until interrupted, switching to another node if a stream ends.
 
     Parameters
     ----------
     after
-        Revision to go on from; 0: print the whole configuration first.
+        Revision to resume after; 0: print the whole configuration first.
     count
-        End after this many events; 0: never.
+        Number of events after which to stop; 0: never stop.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time without any node, seconds.
+        Time limit for reaching a control node, in seconds.
     json
-        Print one JSON line for each event.
+        Print each event as one JSON line.
     """
     client = connect(control, token_file, timeout)
-    position = after
-    seen = 0
+    revision = after
+    event_count = 0
     while True:
         try:
-            for event in client.stream("Watch", pb.WatchRequest(after_revision=position)):
-                position = _print_event(cast(pb.WatchEvent, event), as_json=json)
-                seen += 1
-                if seen == count:
+            for event in client.stream("Watch", pb.WatchRequest(after_revision=revision)):
+                revision = _print_event(cast(pb.WatchEvent, event), as_json=json)
+                event_count += 1
+                if event_count == count:
                     return ExitCode.OK
         except ControlUnavailableError as error:
-            print_error(f"stream ended ({error}); going on after revision {position}")
+            print_error(f"stream ended ({error}); going on after revision {revision}")
             client.call("Members", pb.MembersRequest())
 
 
@@ -112,7 +115,7 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Show recent decisions of the daemon NODE: what it admitted, refused, retried, and why.
+    """Show recent decisions of the daemon NODE: requests admitted, refused or retried, and why.
 
     Parameters
     ----------
@@ -121,25 +124,25 @@
     root
         Identity of one root request; empty: all.
     limit
-        Decisions shown at most, newest first.
+        Maximum number of decisions, newest first.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
     request = pb.ExplainRequest(node=node, root=root, limit=limit)
-    said = client.call_each("Explain", request)
-    if not said.answers:
-        for error in said.errors:
+    responses = client.call_each("Explain", request)
+    if not responses.answers:
+        for error in responses.errors:
             print_error(error)
         return ExitCode.UNAVAILABLE
-    _, first = said.answers[0]
-    _show_decisions(node, cast(pb.ExplainResponse, first), as_json=json)
+    _, first = responses.answers[0]
+    _print_decisions(node, cast(pb.ExplainResponse, first), as_json=json)
     return ExitCode.OK
 
 
@@ -151,26 +154,26 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Show who changed what, newest first: changes, and actions on the control group itself.
+    """Show the audit log, newest first: changes, and actions on the control group itself.
 
     Parameters
     ----------
     limit
-        Entries shown at most; 0: as many as the control node gives.
+        Maximum number of entries; 0: as many as the control node returns.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
     answer = cast(pb.HistoryResponse, client.call("History", pb.HistoryRequest(limit=limit)))
     entries = tuple(
         HistoryEntryView(
-            _utc_text(entry.time), entry.operator, entry.action, entry.subject, entry.outcome
+            _format_utc(entry.time), entry.operator, entry.action, entry.subject, entry.outcome
         )
         for entry in answer.entries
     )
@@ -180,7 +183,7 @@
     return ExitCode.OK
 
 
-def _show_decisions(node: str, answer: pb.ExplainResponse, *, as_json: bool) -> None:
+def _print_decisions(node: str, answer: pb.ExplainResponse, *, as_json: bool) -> None:
     decisions = tuple(
         DecisionView(
             item.age_seconds, item.root, item.action, item.reason, item.endpoint, item.detail
@@ -195,12 +198,12 @@
     print_result(ExplainView(node, decisions), format_table(header, rows), as_json=as_json)
 
 
-def _utc_text(unix_seconds: float) -> str:
-    moment = datetime.datetime.fromtimestamp(unix_seconds, datetime.UTC)
-    return moment.isoformat(timespec="seconds")
+def _format_utc(unix_seconds: float) -> str:
+    time = datetime.datetime.fromtimestamp(unix_seconds, datetime.UTC)
+    return time.isoformat(timespec="seconds")
 
 
-def _keys(texts: Iterable[str]) -> list[ResourceKey]:
+def _parse_keys(texts: Iterable[str]) -> list[ResourceKey]:
     keys = []
     problems = []
     for text in texts:
@@ -214,11 +217,11 @@
     return keys
 
 
-def _sorted(resources: Iterable[Resource]) -> list[Resource]:
+def _sort_by_key(resources: Iterable[Resource]) -> list[Resource]:
     return sorted(resources, key=key_of)
 
 
-def _describe(resource: Resource) -> str:
+def _format_resource(resource: Resource) -> str:
     key = key_of(resource)
     fields = {
         field: getattr(resource, field) for field in resource.__struct_fields__ if field != "name"
@@ -230,7 +233,7 @@
     puts = resources_from_messages(event.puts, [])
     deletes = tuple(key_from_message(key) for key in event.deletes)
     title = f"revision {event.revision}" + (" (whole configuration)" if event.base == 0 else "")
-    lines = [title, *(f"  = {_describe(item)}" for item in _sorted(puts))]
+    lines = [title, *(f"  = {_format_resource(item)}" for item in _sort_by_key(puts))]
     lines += [f"  - {key.kind}/{key.name}" for key in deletes]
     view = ConfigurationView(event.revision, puts, base=event.base, deletes=deletes)
     print_result(view, lines, as_json=as_json)
--- a/src/finchshed/ctl/restore.py
+++ b/src/finchshed/ctl/restore.py
@@ -1,6 +1,7 @@
-"""Sub-command ``restore``: begin a control group anew, from a backup or a surviving disk.
+"""Sub-command ``restore``: starts a new control group from a backup or a surviving disk.
 
-Works on the files of the machine it runs on, while no control node runs there; it calls nobody.
+It works on local files while no control node runs on the machine. On the network it only checks
+that no member of the old group is reachable.
 """
 
 import random
@@ -38,18 +39,18 @@
 
 
 class RestoreView(msgspec.Struct, frozen=True):
-    """Answer of ``restore``.
+    """Result of ``restore``.
 
     Attributes
     ----------
     revision
-        Last revision that is left.
+        Last surviving revision.
     new_revision
-        Revision the new group begins with.
+        First revision of the new group.
     entry
-        Last entry of the log that is left; 0 in a backup that was made of none.
+        Index of the last surviving log entry; 0 for a backup of an empty log.
     restored
-        False: nothing was written, the loss wasn't accepted.
+        False if nothing was written because the loss wasn't accepted.
     """
 
     source: str
@@ -61,8 +62,8 @@
     restored: bool
 
 
-class _Source(msgspec.Struct, frozen=True):
-    """What is left of the old group."""
+class _RecoverySource(msgspec.Struct, frozen=True):
+    """Surviving state of the old group."""
 
     text: str
     state: StateSnapshot
@@ -72,11 +73,11 @@
 
 
 def restore(source: str, *, settings: str, accept_loss_after: int = -1, json: bool = False) -> int:
-    """Begin the control group anew from SOURCE, after its majority was lost for good.
+    """Start a new control group from SOURCE, after the majority was lost permanently.
 
     Run it on one machine, with its control node stopped and its data folder empty. Without
-    --accept_loss_after it only says what would be lost (exit code 15). No other member of the old
-    group may answer. The new group has one voter; start it, then put the others in with
+    --accept_loss_after it only shows what would be lost (exit code 15). No other member of the old
+    group may be reachable. The new group has one voter; start it, then add the others with
     replace-member, each with an empty data folder.
 
     Parameters
@@ -84,23 +85,23 @@
     source
         File written by ``backup``, or the data folder of a member of the old group.
     settings
-        Settings file of the control node that begins the new group.
+        Settings file of the first control node of the new group.
     accept_loss_after
-        The last revision that is left, as printed by a run without this flag: says that all
-        changes accepted after it may be lost.
+        Last surviving revision, as printed by a run without this flag. Accepts the loss of all
+        changes accepted after it.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
-    configured = load(ControlSettings, settings, {}).value
-    found = _read(Path(source))
-    _require_silence(configured, found)
-    state = recovered_state(found.state, found.index, time.time(), found.text)
-    is_accepted = accept_loss_after == found.state.store.revision
+    control_settings = load(ControlSettings, settings, {}).value
+    recovered = _read_source(Path(source))
+    _require_old_group_stopped(control_settings, recovered)
+    state = recovered_state(recovered.state, recovered.index, time.time(), recovered.text)
+    is_accepted = accept_loss_after == recovered.state.store.revision
     view = RestoreView(
         source=source,
-        revision=found.state.store.revision,
+        revision=recovered.state.store.revision,
         new_revision=state.store.revision,
-        entry=found.index,
+        entry=recovered.index,
         resources=len(state.store.resources),
         ledger_keys=len(state.ledger.entries),
         restored=is_accepted,
@@ -113,12 +114,12 @@
             ]
         )
     if is_accepted:
-        _write(configured, found, state)
-    print_result(view, _lines(view, settings), as_json=json)
+        _write_new_group(control_settings, recovered, state)
+    print_result(view, _report_lines(view, settings), as_json=json)
     return ExitCode.OK if is_accepted else CtlExitCode.LOSS_NOT_ACCEPTED
 
 
-def _read(path: Path) -> _Source:
+def _read_source(path: Path) -> _RecoverySource:
     if path.is_dir():
         return _read_folder(path)
     try:
@@ -128,10 +129,10 @@
         raise SettingsError([f"source = {str(path)!r}: {error.strerror}"]) from error
     except msgspec.DecodeError as error:
         raise SettingsError([f"source = {str(path)!r}: no backup: {error}"]) from error
-    return _Source(f"backup {path.name}", state, state.index, 1, {})
+    return _RecoverySource(f"backup {path.name}", state, state.index, 1, {})
 
 
-def _read_folder(path: Path) -> _Source:
+def _read_folder(path: Path) -> _RecoverySource:
     folder_path = path / LOG_FOLDER if (path / LOG_FOLDER).is_dir() else path
     if not (folder_path / INCARNATION_NAME).exists():
         raise SettingsError([f"source = {str(path)!r}: allowed is a folder that holds a log"])
@@ -145,8 +146,11 @@
     return _replay(str(path), stored)
 
 
-def _replay(text: str, stored: StoredState) -> _Source:
-    """Apply every entry that is left: one that wasn't committed was refused to nobody."""
+def _replay(text: str, stored: StoredState) -> _RecoverySource:
+    """Apply all surviving log entries.
+
+    This includes uncommitted entries, since no sender was told that they failed.
+    """
     machine = ControlStateMachine()
     membership = Membership()
     index = 0
@@ -162,23 +166,27 @@
             membership = decode_membership(entry.data)
     state = msgspec.json.decode(machine.snapshot(), type=StateSnapshot)
     addresses = {member.identity.name: member.address for member in membership.members}
-    return _Source(f"disk {text}", state, index, max(1, stored.vote.term), addresses)
-
-
-def _require_silence(configured: ControlSettings, found: _Source) -> None:
-    """Refuse while a member of the old group answers: two groups would serve."""
-    addresses = {**member_addresses(configured.voters), **found.addresses}
-    answering = [
-        f"{name} at {address}" for name, address in sorted(addresses.items()) if _answers(address)
+    return _RecoverySource(f"disk {text}", state, index, max(1, stored.vote.term), addresses)
+
+
+def _require_old_group_stopped(
+    control_settings: ControlSettings, recovered: _RecoverySource
+) -> None:
+    """Raise if a member of the old group is reachable, since two groups would be active."""
+    addresses = {**member_addresses(control_settings.voters), **recovered.addresses}
+    reachable = [
+        f"{name} at {address}"
+        for name, address in sorted(addresses.items())
+        if _is_reachable(address)
     ]
-    if answering:
+    if reachable:
         raise FinchshedError(
-            f"still answering: {', '.join(answering)}. Is the majority really lost? "
+            f"still answering: {', '.join(reachable)}. Is the majority really lost? "
             "If it is, stop these nodes for good first; nothing was written"
         )
 
 
-def _answers(address: str) -> bool:
+def _is_reachable(address: str) -> bool:
     host, port = split_address(address)
     try:
         socket.create_connection((host, port), CONNECT_SECONDS).close()
@@ -187,29 +195,34 @@
     return True
 
 
-def _write(configured: ControlSettings, found: _Source, state: StateSnapshot) -> None:
-    folder = open_log_folder(configured.data_folder)
+def _write_new_group(
+    control_settings: ControlSettings, recovered: _RecoverySource, state: StateSnapshot
+) -> None:
+    folder = open_log_folder(control_settings.data_folder)
     try:
         if [name for name in folder.names() if not name.startswith(DAMAGED_PREFIX)]:
             raise SettingsError(
-                [f"data_folder = {configured.data_folder!r}: allowed is a folder without a log"]
+                [
+                    f"data_folder = {control_settings.data_folder!r}: "
+                    "allowed is a folder without a log"
+                ]
             )
         opened = open_store(folder, random.Random())
-        identity = NodeIdentity(configured.node, opened.stored.incarnation)
-        address = configured.raft_advertised_address or configured.raft_address
+        identity = NodeIdentity(control_settings.node, opened.stored.incarnation)
+        address = control_settings.raft_advertised_address or control_settings.raft_address
         membership = Membership().with_member(Member(identity, address, MemberRole.VOTER))
         snapshot = Snapshot(
-            index=found.index,
-            term=found.term,
+            index=recovered.index,
+            term=recovered.term,
             membership=encode_membership(membership),
             data=msgspec.json.encode(state),
         )
-        opened.store.write([Write(vote=Vote(found.term), snapshot=snapshot)])
+        opened.store.write([Write(vote=Vote(recovered.term), snapshot=snapshot)])
     finally:
         folder.close()
 
 
-def _lines(view: RestoreView, settings: str) -> list[str]:
+def _report_lines(view: RestoreView, settings: str) -> list[str]:
     left = (
         f"left in {view.source}: revision {view.revision}, entry {view.entry} of the log, "
         f"{view.resources} resources, {view.ledger_keys} ledger keys"
--- a/src/finchshed/ctl/status.py
+++ b/src/finchshed/ctl/status.py
@@ -1,6 +1,6 @@
 """Sub-commands that show the daemons and the members of the control group: status, members.
 
-Owns no state. Relies on the best informed of the control nodes that answer.
+All control nodes are asked; the most up-to-date answer is shown.
 """
 
 from typing import cast
@@ -33,19 +33,19 @@
 ) -> int:
     """Show the revision in force, and the daemons that are behind or silent.
 
-    Each control node knows the daemons of all; of those that answer the best informed is shown.
-    Exit code 14 when some daemon is behind or silent.
+    Every control node knows all daemons; the most up-to-date answer is shown.
+    Exit code 14: some daemons are behind or silent.
 
     Parameters
     ----------
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     view = read_status(connect(control, token_file, timeout))
     print_result(view, _status_lines(view), as_json=json)
@@ -53,28 +53,28 @@
 
 
 def read_status(client: OperatorClient) -> StatusView:
-    """Return the state of all daemons, from the best informed control node that answers."""
-    said = client.call_each("Status", pb.StatusRequest())
-    if not said.answers:
-        raise ControlUnavailableError("; ".join(said.errors))
-    answers = [cast(pb.StatusResponse, answer) for _, answer in said.answers]
-    best = max(answers, key=lambda answer: (answer.confirmed, answer.revision, answer.in_force))
-    daemons = [_daemon_view(daemon, BEHIND) for daemon in best.behind]
-    daemons += [_daemon_view(daemon, SILENT) for daemon in best.silent]
+    """Return the state of all daemons from the most up-to-date control node that answers."""
+    responses = client.call_each("Status", pb.StatusRequest())
+    if not responses.answers:
+        raise ControlUnavailableError("; ".join(responses.errors))
+    answers = [cast(pb.StatusResponse, answer) for _, answer in responses.answers]
+    latest = max(answers, key=lambda answer: (answer.confirmed, answer.revision, answer.in_force))
+    daemons = [_make_daemon_view(daemon, BEHIND) for daemon in latest.behind]
+    daemons += [_make_daemon_view(daemon, SILENT) for daemon in latest.silent]
     return StatusView(
-        revision=best.revision,
-        leader=best.leader,
-        confirmed=best.confirmed,
-        in_force=best.in_force,
-        known=best.known,
+        revision=latest.revision,
+        leader=latest.leader,
+        confirmed=latest.confirmed,
+        in_force=latest.in_force,
+        known=latest.known,
         ledger=LedgerView(
-            best.ledger.free,
-            best.ledger.begun,
-            best.ledger.completed,
-            best.ledger.answer_bytes,
+            latest.ledger.free,
+            latest.ledger.begun,
+            latest.ledger.completed,
+            latest.ledger.answer_bytes,
         ),
         daemons=tuple(daemons),
-        unreachable=said.errors,
+        unreachable=responses.errors,
     )
 
 
@@ -85,29 +85,29 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Show the members of the control group, as its leader sees them.
+    """Show the members of the control group as known to its leader.
 
     Parameters
     ----------
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
-    said = client.call_each("Members", pb.MembersRequest())
-    if not said.answers:
+    responses = client.call_each("Members", pb.MembersRequest())
+    if not responses.answers:
         raise ControlUnavailableError("no control node answered")
-    answers = [cast(pb.MembersResponse, answer) for _, answer in said.answers]
-    best = max(answers, key=lambda answer: (answer.node == answer.leader, answer.term))
+    answers = [cast(pb.MembersResponse, answer) for _, answer in responses.answers]
+    latest = max(answers, key=lambda answer: (answer.node == answer.leader, answer.term))
     view = MembersView(
-        leader=best.leader,
-        term=best.term,
-        commit_index=best.commit_index,
+        leader=latest.leader,
+        term=latest.term,
+        commit_index=latest.commit_index,
         members=tuple(
             MemberView(
                 member.name,
@@ -116,14 +116,14 @@
                 member.match_index,
                 member.silent_seconds,
             )
-            for member in best.members
+            for member in latest.members
         ),
     )
     print_result(view, _member_lines(view), as_json=json)
     return ExitCode.OK if view.leader else ExitCode.UNAVAILABLE
 
 
-def _daemon_view(daemon: pb.DaemonStatus, state: str) -> DaemonView:
+def _make_daemon_view(daemon: pb.DaemonStatus, state: str) -> DaemonView:
     return DaemonView(
         node=daemon.node,
         endpoint=daemon.endpoint,
--- a/src/finchshed/ctl/views.py
+++ b/src/finchshed/ctl/views.py
@@ -1,4 +1,4 @@
-"""What ``finchshed ctl`` prints with ``--json``."""
+"""Structures that ``finchshed ctl`` prints with ``--json``."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class DifferenceView(msgspec.Struct, frozen=True):
-    """Answer of ``diff``."""
+    """Result of ``diff``."""
 
     revision: int
     puts: tuple[Resource, ...]
@@ -15,14 +15,14 @@
 
 
 class ApplyView(msgspec.Struct, frozen=True):
-    """Answer of ``apply`` and ``drain``. ``result`` is None when nothing had to change."""
+    """Result of ``apply``, ``drain``, ``undrain``; ``result`` is None if nothing had to change."""
 
     change_id: str
     result: ChangeResult | None
 
 
 class ConfigurationView(msgspec.Struct, frozen=True):
-    """Answer of ``get``; also one line of ``watch``, where ``base`` 0 means the whole."""
+    """Result of ``get``, or an event of ``watch``; ``base`` 0 means the whole configuration."""
 
     revision: int
     resources: tuple[Resource, ...]
@@ -31,7 +31,7 @@
 
 
 class DaemonView(msgspec.Struct, frozen=True):
-    """One daemon in ``status`` that is behind or silent, and for how many seconds."""
+    """A daemon in ``status`` that has been behind or silent for ``seconds``."""
 
     node: str
     endpoint: str
@@ -43,7 +43,7 @@
 
 
 class LedgerView(msgspec.Struct, frozen=True):
-    """Keys of the at-most-once ledger that the control group itself holds, by state."""
+    """Number of keys by state in the at-most-once ledger of the control group."""
 
     free: int
     begun: int
@@ -52,7 +52,7 @@
 
 
 class StatusView(msgspec.Struct, frozen=True):
-    """Answer of ``status``."""
+    """Result of ``status``."""
 
     revision: int
     leader: str
@@ -65,7 +65,7 @@
 
 
 class MemberView(msgspec.Struct, frozen=True):
-    """One member in ``members``."""
+    """A member in ``members``."""
 
     name: str
     address: str
@@ -75,7 +75,7 @@
 
 
 class MembersView(msgspec.Struct, frozen=True):
-    """Answer of ``members``."""
+    """Result of ``members``."""
 
     leader: str
     term: int
@@ -84,7 +84,7 @@
 
 
 class HistoryEntryView(msgspec.Struct, frozen=True):
-    """One entry in ``history``. ``time`` is ISO 8601, UTC, by the leader's clock."""
+    """An entry of ``history``; ``time`` is ISO 8601 in UTC, by the leader's clock."""
 
     time: str
     operator: str
@@ -94,13 +94,13 @@
 
 
 class HistoryView(msgspec.Struct, frozen=True):
-    """Answer of ``history``, newest first."""
+    """Result of ``history``, newest first."""
 
     entries: tuple[HistoryEntryView, ...]
 
 
 class DecisionView(msgspec.Struct, frozen=True):
-    """One decision in ``explain``."""
+    """A decision in ``explain``."""
 
     age_seconds: float
     root: str
@@ -111,7 +111,7 @@
 
 
 class QuarantinedView(msgspec.Struct, frozen=True):
-    """One request in ``quarantine``. Times are in seconds."""
+    """A suspected or quarantined request in ``quarantine``."""
 
     signature: str
     standing: str
@@ -121,13 +121,13 @@
 
 
 class QuarantineView(msgspec.Struct, frozen=True):
-    """Answer of ``quarantine``."""
+    """Result of ``quarantine``."""
 
     requests: tuple[QuarantinedView, ...]
 
 
 class ExplainView(msgspec.Struct, frozen=True):
-    """Answer of ``explain``."""
+    """Result of ``explain``."""
 
     node: str
     decisions: tuple[DecisionView, ...]
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -1,4 +1,4 @@
-"""Every sub-command of ``finchshed ctl`` against real control nodes, with its exit code."""
+"""Sub-commands of ``finchshed ctl`` and their exit codes, against running control nodes."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 from finchshed.rpc.generated import finchshed_pb2_grpc as pb_grpc
 from tests.control.daemons import StubDaemon, running
 from tests.control.group import OPERATOR_TOKEN, Group, digest, free_addresses
-from tests.ctl.shell import Shell
+from tests.ctl.runner import CtlRunner
 
 DECLARATIONS = """
 [[service]]
@@ -46,23 +46,25 @@
 
 @pytest.fixture(scope="module")
 def group(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Group]:
-    made = Group(tmp_path_factory.mktemp("group"))
-    made.start_all()
-    made.bootstrap()
-    yield made
-    made.close()
+    control_group = Group(tmp_path_factory.mktemp("group"))
+    control_group.start_all()
+    control_group.bootstrap()
+    yield control_group
+    control_group.close()
 
 
 @pytest.fixture
-def ctl(group: Group, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> Shell:
+def ctl(
+    group: Group, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> CtlRunner:
     monkeypatch.setenv(CONTROL_VARIABLE, ",".join(node.rpc for node in group.nodes))
     monkeypatch.setenv(TOKEN_VARIABLE, OPERATOR_TOKEN)
-    return Shell(capsys)
+    return CtlRunner(capsys)
 
 
 @pytest.fixture
-def declared(tmp_path: Path, ctl: Shell) -> Path:
-    """Return a folder of declarations that are in force."""
+def declared(tmp_path: Path, ctl: CtlRunner) -> Path:
+    """Return a folder of declarations that have been applied."""
     folder = tmp_path / "declarations"
     folder.mkdir()
     (folder / "operators.toml").write_text(OPERATOR)
@@ -71,7 +73,7 @@
     return folder
 
 
-def test_a_change_is_shown_applied_and_read_back(ctl: Shell, declared: Path) -> None:
+def test_diff_apply_and_get_of_a_change(ctl: CtlRunner, declared: Path) -> None:
     revision = msgspec.json.decode(ctl("get --json"))["revision"]
     (declared / "sales.toml").write_text(DECLARATIONS.format(slots=9))
     assert "~ endpoint sales-1: slots: 8 -> 9" in ctl(f"diff {declared}", code=10)
@@ -86,7 +88,9 @@
     assert "to-nine" in ctl("history --limit=1")
 
 
-def test_a_change_against_an_old_revision_names_the_winner(ctl: Shell, declared: Path) -> None:
+def test_a_change_against_an_old_revision_names_the_conflicting_change(
+    ctl: CtlRunner, declared: Path
+) -> None:
     revision = msgspec.json.decode(ctl("get --json"))["revision"]
     (declared / "sales.toml").write_text(DECLARATIONS.format(slots=20))
     ctl(f"apply {declared} --change_id=winner-{revision}")
@@ -99,13 +103,13 @@
     assert (result["type"], result["winner_change_id"]) == ("conflict", f"winner-{revision}")
 
 
-def test_declarations_without_an_operator_change_nothing(ctl: Shell, declared: Path) -> None:
+def test_declarations_without_an_operator_are_rejected(ctl: CtlRunner, declared: Path) -> None:
     (declared / "operators.toml").unlink()
     text = ctl(f"apply {declared}", code=12)
     assert "operator: none would be left" in text
 
 
-def test_a_drain_is_kept_by_an_apply_and_taken_back_by_undrain(ctl: Shell, declared: Path) -> None:
+def test_a_drain_survives_apply_and_is_reverted_by_undrain(ctl: CtlRunner, declared: Path) -> None:
     ctl("drain sales-1")
     assert "leaving" in ctl("drain sales-1")
     assert '"state":"leaving"' in ctl("get endpoint/sales-1")
@@ -118,7 +122,7 @@
     assert "allowed are declared endpoints" in ctl.errors
 
 
-def test_watch_goes_on_from_a_revision(ctl: Shell, declared: Path) -> None:
+def test_watch_resumes_after_a_revision(ctl: CtlRunner, declared: Path) -> None:
     revision = msgspec.json.decode(ctl("get --json"))["revision"]
     ctl("drain sales-1")
     ctl("undrain sales-1")
@@ -129,8 +133,8 @@
     assert "whole configuration" in ctl("watch --count=1")
 
 
-def while_daemons_run(daemons: list[StubDaemon], act: Callable[[], None]) -> None:
-    """Run ``daemons`` on a loop in another thread during ``act``."""
+def while_daemons_run(daemons: list[StubDaemon], action: Callable[[], None]) -> None:
+    """Run ``daemons`` on an event loop in another thread while ``action`` runs."""
     started, ended = threading.Event(), threading.Event()
 
     async def run() -> None:
@@ -144,14 +148,14 @@
     thread.start()
     try:
         assert started.wait(60.0)
-        act()
+        action()
     finally:
         ended.set()
         thread.join(timeout=60.0)
 
 
 def test_status_names_daemons_in_force_behind_and_silent(
-    ctl: Shell, declared: Path, group: Group
+    ctl: CtlRunner, declared: Path, group: Group
 ) -> None:
     prompt = StubDaemon("daemon-prompt", group.nodes, endpoint="sales-1")
     slow = StubDaemon("daemon-slow", group.nodes)
@@ -181,7 +185,7 @@
 
 
 def wait_for_status(
-    ctl: Shell, condition: Callable[[dict[str, object]], bool]
+    ctl: CtlRunner, condition: Callable[[dict[str, object]], bool]
 ) -> dict[str, object]:
     for _ in range(300):
         status: dict[str, object] = msgspec.json.decode(ctl("status --json", code=None))
@@ -191,7 +195,7 @@
     raise AssertionError(status)
 
 
-def test_explain_shows_a_daemons_decisions(ctl: Shell, declared: Path, group: Group) -> None:
+def test_explain_shows_a_daemons_decisions(ctl: CtlRunner, declared: Path, group: Group) -> None:
     daemon = StubDaemon("daemon-explained", group.nodes)
     decision = Decision(0.5, "root-1", "refused", "overload", "sales-1", "queue 7 ms")
     daemon.client.on_explain = lambda request: (decision,) if request.root == "root-1" else ()
@@ -207,12 +211,12 @@
     assert "isn't connected here" in ctl.errors
 
 
-def test_quarantine_shows_and_lifts_what_is_held_against_a_request(
-    ctl: Shell, declared: Path, group: Group
+def test_quarantine_shows_and_lifts_a_quarantined_request(
+    ctl: CtlRunner, declared: Path, group: Group
 ) -> None:
     daemon = StubDaemon("daemon-beside", group.nodes)
-    heard: list[CrashNews] = []
-    daemon.client.on_crash_news = heard.append
+    received_news: list[CrashNews] = []
+    daemon.client.on_crash_news = received_news.append
     crashes = tuple(Crash(f"i-{number}", True) for number in range(3))
 
     def act() -> None:
@@ -227,10 +231,10 @@
         assert "quarantined" in text
         assert "5ab1" not in ctl("quarantine --lift=5ab1")
         for _ in range(100):
-            if heard[-1].records[0].refuted:
+            if received_news[-1].records[0].refuted:
                 break
             threading.Event().wait(0.05)
-        assert heard[-1].records[0].refuted == ("i-0", "i-1", "i-2")
+        assert received_news[-1].records[0].refuted == ("i-0", "i-1", "i-2")
 
     while_daemons_run([daemon], act)
     ctl("quarantine --lift=nothing", code=None)
@@ -238,7 +242,7 @@
     assert "lift quarantine" in ctl("history")
 
 
-def test_backup_members_and_dump(ctl: Shell, declared: Path, tmp_path: Path) -> None:
+def test_backup_members_and_dump(ctl: CtlRunner, declared: Path, tmp_path: Path) -> None:
     file = tmp_path / "state.json"
     view = msgspec.json.decode(ctl(f"backup {file} --json"))
     state = msgspec.json.decode(file.read_bytes(), type=StateSnapshot)
@@ -255,18 +259,18 @@
     assert history[0]["operator"] == "ana"
 
 
-def test_a_node_that_is_down_does_not_keep_a_backup_or_watch_from_another(
-    ctl: Shell, declared: Path, group: Group, tmp_path: Path
+def test_backup_and_watch_fail_over_from_a_node_that_is_down(
+    ctl: CtlRunner, declared: Path, group: Group, tmp_path: Path
 ) -> None:
-    (nobody,) = free_addresses(1)
-    nodes = f"--control={nobody},{group.nodes[1].rpc}"
+    (unused_address,) = free_addresses(1)
+    nodes = f"--control={unused_address},{group.nodes[1].rpc}"
     ctl(f"backup {tmp_path / 'by-another.json'} {nodes}")
     assert "whole configuration" in ctl(f"watch --count=1 {nodes}")
-    ctl(f"backup {tmp_path / 'none.json'} --control={nobody} --timeout=0.5", code=3)
+    ctl(f"backup {tmp_path / 'none.json'} --control={unused_address} --timeout=0.5", code=3)
 
 
-def test_an_unknown_token_is_told_so_by_every_command(
-    ctl: Shell, declared: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_every_command_rejects_an_unknown_token(
+    ctl: CtlRunner, declared: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     before = ctl("history")
     monkeypatch.setenv(TOKEN_VARIABLE, "stolen")
@@ -340,40 +344,48 @@
 
 
 def test_commands_without_control_nodes_or_token(
-    ctl: Shell, declared: Path, monkeypatch: pytest.MonkeyPatch
+    ctl: CtlRunner, declared: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    (nobody,) = free_addresses(1)
-    ctl(f"get --control={nobody} --timeout=0.5", code=3)
+    (unused_address,) = free_addresses(1)
+    ctl(f"get --control={unused_address} --timeout=0.5", code=3)
     ctl("get --control=somewhere", code=2)
     (declared / "sales.toml").write_text(DECLARATIONS.format(slots=30))
-    ctl(f"apply {declared} --control={nobody} --timeout=0.5", code=3)
+    ctl(f"apply {declared} --control={unused_address} --timeout=0.5", code=3)
     monkeypatch.delenv(TOKEN_VARIABLE)
     ctl("get", code=2)
     assert "flag --token_file: missing" in ctl.errors
 
 
-GARBAGE = [b"\x00\xff" * 500, b"{}\n", b'{"type":"ledger_begin"}\n', b"x" * 100_000, b"\n" * 50]
+MALFORMED_INPUTS = [
+    b"\x00\xff" * 500,
+    b"{}\n",
+    b'{"type":"ledger_begin"}\n',
+    b"x" * 100_000,
+    b"\n" * 50,
+]
 
 
-def send_and_read_to_the_end(connection: socket.socket, data: bytes) -> None:
-    """The other side may close at any point, but must close."""
+def send_and_read_until_closed(connection: socket.socket, data: bytes) -> None:
+    """Send ``data`` and read until the peer closes; it may close at any point, but must close."""
     connection.settimeout(30.0)
     with contextlib.suppress(ConnectionError):
         connection.sendall(data)
-    with contextlib.suppress(OSError):  # not connected any more
+    with contextlib.suppress(OSError):  # the peer has already closed
         connection.shutdown(socket.SHUT_WR)
     with contextlib.suppress(ConnectionError):
         while connection.recv(65_536):
             pass
 
 
-def test_garbage_at_every_port_harms_nobody(ctl: Shell, declared: Path, group: Group) -> None:
+def test_control_nodes_survive_malformed_input_on_every_port(
+    ctl: CtlRunner, declared: Path, group: Group
+) -> None:
     node = group.nodes[0]
     for address in (node.raft, node.distribution, node.rpc):
         host, _, port = address.rpartition(":")
-        for data in GARBAGE:
+        for data in MALFORMED_INPUTS:
             with socket.create_connection((host, int(port)), 30.0) as connection:
-                send_and_read_to_the_end(connection, data)
+                send_and_read_until_closed(connection, data)
     ctl(f"get service/sales --control={node.rpc}")
     ctl("drain sales-1")
     ctl("undrain sales-1")
--- a/tests/ctl/test_recovery.py
+++ b/tests/ctl/test_recovery.py
@@ -1,4 +1,4 @@
-"""Replacement of a control machine, and a group begun anew after a lost majority."""
+"""Replacement of a control node, and recovery of a group that has lost its majority."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 from finchshed.ledger.keys import new_key
 from tests.control.daemons import StubDaemon, running
 from tests.control.group import OPERATOR_TOKEN, Group, Node, apply_one
-from tests.ctl.shell import Shell
+from tests.ctl.runner import CtlRunner
 
 ANSWER = Answered(201, (), b"licence 7")
 SECONDS = 30.0
@@ -29,26 +29,28 @@
 
 @pytest.fixture
 def group(tmp_path: Path) -> Iterator[Group]:
-    made = Group(tmp_path, spares=1)
-    made.start_all()
-    made.bootstrap()
-    yield made
-    made.close()
+    control_group = Group(tmp_path, spares=1)
+    control_group.start_all()
+    control_group.bootstrap()
+    yield control_group
+    control_group.close()
 
 
 @pytest.fixture
-def ctl(group: Group, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> Shell:
+def ctl(
+    group: Group, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> CtlRunner:
     monkeypatch.setenv(CONTROL_VARIABLE, ",".join(node.rpc for node in group.nodes))
     monkeypatch.setenv(TOKEN_VARIABLE, OPERATOR_TOKEN)
-    return Shell(capsys)
+    return CtlRunner(capsys)
 
 
-def roles(ctl: Shell) -> dict[str, str]:
+def roles(ctl: CtlRunner) -> dict[str, str]:
     members = msgspec.json.decode(ctl("members --json"))["members"]
     return {item["name"]: item["role"].replace("leader", "voter") for item in members}
 
 
-def test_one_command_replaces_a_machine_and_is_safe_to_repeat(ctl: Shell, group: Group) -> None:
+def test_replace_member_replaces_a_node_and_is_idempotent(ctl: CtlRunner, group: Group) -> None:
     first, second, lost, spare = group.nodes
     group.kill(lost)
     command = f"replace-member --remove={lost.name} --add={spare.name}"
@@ -74,12 +76,12 @@
     assert actions[0]["operator"] == "ana"
 
 
-def change_number(number: int) -> Difference:
+def make_change(number: int) -> Difference:
     return Difference((Service(name=f"s{number}"),), ())
 
 
 def lose_majority(group: Group) -> Node:
-    """Return the survivor, stopped, its data set aside."""
+    """Kill all voters but one and delete their data; return the survivor, still running."""
     survivor = group.nodes[1]
     for node in group.voters:
         if node is not survivor:
@@ -88,30 +90,30 @@
     return survivor
 
 
-def test_a_group_is_begun_anew_from_the_disk_that_is_left(ctl: Shell, group: Group) -> None:
+def test_restore_from_a_surviving_disk(ctl: CtlRunner, group: Group) -> None:
     keys = {name: new_key(time.time(), random.Random(name)) for name in ("begun", "done", "never")}
     client = group.client(group.voters)
     for number in range(5):
-        assert submit_change(client, f"c{number}", 1 + number, change_number(number)) == Accepted(
+        assert submit_change(client, f"c{number}", 1 + number, make_change(number)) == Accepted(
             2 + number
         )
     client.close()
     asyncio.run(use_ledger(group, keys))
     survivor = lose_majority(group)
     settings = group.settings_of(survivor)
-    kept = group.folder / "kept"
+    old_folder = group.folder / "kept"
 
     ctl(f"restore {survivor.folder} --settings={settings} --accept_loss_after=6", code=1)
     assert "another process uses" in ctl.errors
     group.kill(survivor)
-    survivor.folder.rename(kept)
-    told = ctl(f"restore {kept} --settings={settings}", code=15)
-    assert "every change accepted after revision 6" in told
+    survivor.folder.rename(old_folder)
+    report = ctl(f"restore {old_folder} --settings={settings}", code=15)
+    assert "every change accepted after revision 6" in report
     assert not survivor.folder.exists()
-    ctl(f"restore {kept} --settings={settings} --accept_loss_after=5", code=2)
+    ctl(f"restore {old_folder} --settings={settings} --accept_loss_after=5", code=2)
     assert "allowed is 6" in ctl.errors
-    ctl(f"restore {kept} --settings={settings} --accept_loss_after=6")
-    ctl(f"restore {kept} --settings={settings} --accept_loss_after=6", code=2)
+    ctl(f"restore {old_folder} --settings={settings} --accept_loss_after=6")
+    ctl(f"restore {old_folder} --settings={settings} --accept_loss_after=6", code=2)
     assert "allowed is a folder without a log" in ctl.errors
 
     group.start(survivor)
@@ -119,10 +121,10 @@
     in_force = read_configuration(alone)
     assert in_force.revision == 6 + REVISION_GAP
     assert {f"s{number}" for number in range(5)} <= {key.name for key in in_force.resources}
-    assert submit_change(alone, "c4", 5, change_number(4)) == Accepted(6)
-    assert isinstance(submit_change(alone, "lost", 6, change_number(9)), Conflict)
+    assert submit_change(alone, "c4", 5, make_change(4)) == Accepted(6)
+    assert isinstance(submit_change(alone, "lost", 6, make_change(9)), Conflict)
     alone.close()
-    asyncio.run(expect_ledger_after(survivor, keys))
+    asyncio.run(check_ledger_after_recovery(survivor, keys))
     assert "changes after revision 6 are lost" in ctl("history")
 
     for node in group.voters:
@@ -146,8 +148,8 @@
         assert await daemon.client.ledger.complete(keys["done"], "a", ANSWER, SECONDS)
 
 
-async def expect_ledger_after(survivor: Node, keys: dict[str, str]) -> None:
-    """No key made before the recovery runs, whether the disk that is left knows it or not."""
+async def check_ledger_after_recovery(survivor: Node, keys: dict[str, str]) -> None:
+    """Check that no key made before the recovery is granted, even one the ledger doesn't know."""
     daemon = StubDaemon("edge", [survivor])
     daemon.revision = 7
     async with running(daemon):
@@ -163,20 +165,20 @@
         assert isinstance(await daemon.client.ledger.begin(ahead, "b", SECONDS), LedgerUnknown)
 
 
-def test_a_group_is_begun_anew_from_a_backup(ctl: Shell, group: Group, tmp_path: Path) -> None:
+def test_restore_from_a_backup(ctl: CtlRunner, group: Group, tmp_path: Path) -> None:
     file = tmp_path / "backup.json"
     client = group.client(group.voters)
-    assert submit_change(client, "before", 1, change_number(0)) == Accepted(2)
+    assert submit_change(client, "before", 1, make_change(0)) == Accepted(2)
     ctl(f"backup {file}")
-    assert submit_change(client, "after", 2, change_number(1)) == Accepted(3)
+    assert submit_change(client, "after", 2, make_change(1)) == Accepted(3)
     client.close()
-    begun, *others = group.voters
-    settings = group.settings_of(begun)
-    group.kill(begun)
-    group.lose_disk(begun)
+    first, *others = group.voters
+    settings = group.settings_of(first)
+    group.kill(first)
+    group.lose_disk(first)
     ctl(f"restore {file} --settings={settings} --accept_loss_after=2", code=1)
     assert f"still answering: {others[0].name}" in ctl.errors
-    assert not begun.folder.exists()
+    assert not first.folder.exists()
     for node in others:
         group.kill(node)
         group.lose_disk(node)
@@ -185,8 +187,8 @@
     ctl(f"restore {tmp_path / 'cut.json'} --settings={settings}", code=2)
     assert "no backup" in ctl.errors
     ctl(f"restore {file} --settings={settings} --accept_loss_after=2")
-    group.start(begun)
-    alone = group.client([begun])
+    group.start(first)
+    alone = group.client([first])
     in_force = read_configuration(alone)
     alone.close()
     assert in_force.revision == 2 + REVISION_GAP
