--- a/src/finchshed/rpc/__init__.py
+++ b/src/finchshed/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Remote procedure calls towards operators: the schema and the code generated from it."""
+"""The operators' RPC service: its schema, generated code and message conversion."""
--- a/src/finchshed/rpc/change_results.py
+++ b/src/finchshed/rpc/change_results.py
@@ -1,14 +1,11 @@
-"""Results of a change as messages of the operators' schema, and back.
-
-Owns nothing; relies on the generated schema alone.
-"""
+"""Converts results of configuration changes to and from RPC messages."""
 
 from finchshed.configuration.changes import Accepted, ChangeResult, Conflict, Invalid
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 
 def result_to_message(result: ChangeResult) -> pb.ApplyResponse:
-    """Return ``result`` as a message of the schema."""
+    """Return ``result`` as an RPC message."""
     if isinstance(result, Accepted):
         return pb.ApplyResponse(accepted=pb.Accepted(revision=result.revision))
     if isinstance(result, Conflict):
--- a/src/finchshed/rpc/conversion.py
+++ b/src/finchshed/rpc/conversion.py
@@ -1,7 +1,4 @@
-"""Converts resources and results between the schema's messages and the typed values.
-
-Owns no state; the only place where both forms of a resource are named.
-"""
+"""Converts configuration resources and their keys to and from RPC messages."""
 
 from collections.abc import Iterable
 
@@ -32,12 +29,12 @@
 }
 INGRESS_LIMITS_FIELDS = IngressLimits.__struct_fields__
 ALLOWED_KINDS = "service, host_route, ingress_limits, endpoint, policy, operator, tenant"
-QUOTA_FIELDS = ("quota_window_seconds", "quota_overshoot", "quota_slack")
+OPTIONAL_POLICY_FIELDS = ("quota_window_seconds", "quota_overshoot", "quota_slack")
 STATE_FROM_MESSAGE = {number: state for state, number in STATE_TO_MESSAGE.items()}
 
 
 def resource_to_message(resource: Resource) -> pb.Resource:
-    """Return ``resource`` as a message of the schema."""
+    """Return ``resource`` as an RPC message."""
     if isinstance(resource, Service):
         return pb.Resource(service=_service_to_message(resource))
     if isinstance(resource, Endpoint):
@@ -61,7 +58,9 @@
                 retry_ratio=resource.retry_ratio,
                 key_window_seconds=resource.key_window_seconds,
                 retry_burst=resource.retry_burst,
-                ledger_shards=[pb.LedgerShard(addresses=it) for it in resource.ledger_shards],
+                ledger_shards=[
+                    pb.LedgerShard(addresses=addresses) for addresses in resource.ledger_shards
+                ],
                 key_trust_seconds=resource.key_trust_seconds,
                 quota_window_seconds=resource.quota_window_seconds,
                 quota_overshoot=resource.quota_overshoot,
@@ -80,17 +79,17 @@
 
 
 def resource_from_message(message: pb.Resource, problems: list[str]) -> Resource | None:
-    """Return the checked resource in ``message``, or None after adding to ``problems``.
+    """Return the validated resource in ``message``; add to ``problems`` and return None if invalid.
 
-    A resource of which a part is wrong (a route, a destination) is wrong as a whole.
+    An invalid part (a route, a destination) makes the whole resource invalid.
     """
-    found: list[str] = []
-    resource = _resource_of(message, found)
-    problems += found
-    return None if found else resource
+    new_problems: list[str] = []
+    resource = _convert_by_kind(message, new_problems)
+    problems += new_problems
+    return None if new_problems else resource
 
 
-def _resource_of(message: pb.Resource, problems: list[str]) -> Resource | None:
+def _convert_by_kind(message: pb.Resource, problems: list[str]) -> Resource | None:
     kind = message.WhichOneof("kind")
     if kind == "service":
         return _service_from_message(message.service, problems)
@@ -115,19 +114,19 @@
 def resources_from_messages(
     messages: Iterable[pb.Resource], problems: list[str]
 ) -> tuple[Resource, ...]:
-    """Return the checked resources; those with problems are left out and told."""
+    """Return the valid resources; the problems of the others are added to ``problems``."""
     converted = (resource_from_message(message, problems) for message in messages)
     return tuple(resource for resource in converted if resource is not None)
 
 
 def resources_by_key(messages: Iterable[pb.Resource]) -> dict[ResourceKey, Resource]:
-    """Return resources a server sent, by key."""
+    """Return the resources sent by a server, by key."""
     resources = resources_from_messages(messages, [])
     return {key_of(resource): resource for resource in resources}
 
 
 def key_to_message(key: ResourceKey) -> pb.ResourceKey:
-    """Return ``key`` as a message of the schema."""
+    """Return ``key`` as an RPC message."""
     return pb.ResourceKey(kind=key.kind, name=key.name)
 
 
@@ -164,7 +163,7 @@
     for position, route in enumerate(message.routes, start=1):
         table = {
             "prefix": route.prefix,
-            "importance": _importance(route.importance, where, problems),
+            "importance": _importance_from_number(route.importance, where, problems),
             "repeatable": route.repeatable,
             "session": route.session,
         }
@@ -217,7 +216,7 @@
         "host": message.host,
         "prefix": message.prefix,
         "destinations": tuple(destinations),
-        "importance": _importance(message.importance, where, problems),
+        "importance": _importance_from_number(message.importance, where, problems),
         "repeatable": message.repeatable,
         "timeout_seconds": message.timeout_seconds,
         "target_seconds": message.target_seconds,
@@ -248,11 +247,11 @@
         "burst_requests": message.burst_requests,
     }
     if message.HasField("importance"):
-        table["importance"] = _importance(message.importance, where, problems)
+        table["importance"] = _importance_from_number(message.importance, where, problems)
     return convert_table(table, Tenant, where, problems)
 
 
-def _importance(number: int, where: str, problems: list[str]) -> Importance:
+def _importance_from_number(number: int, where: str, problems: list[str]) -> Importance:
     try:
         return Importance(number)
     except ValueError:
@@ -290,7 +289,7 @@
         "key_trust_seconds": message.key_trust_seconds,
         "ledger_shards": tuple(tuple(shard.addresses) for shard in message.ledger_shards),
     }
-    for field in QUOTA_FIELDS:
+    for field in OPTIONAL_POLICY_FIELDS:
         if message.HasField(field):
             table[field] = getattr(message, field)
     return convert_table(table, Policy, f"policy {message.name}", problems)
--- a/src/finchshed/rpc/generate.py
+++ b/src/finchshed/rpc/generate.py
@@ -1,9 +1,9 @@
-"""Generate the Python code of the schema (developers only; needs grpcio-tools).
+"""Generates the Python code of the RPC schema; a developers' tool that needs grpcio-tools.
 
-Run ``python -m finchshed.rpc.generate`` after a change of ``finchshed.proto``; the result is
-committed, so that a build needs no generator. With ``--check`` nothing is written.
+Run ``python -m finchshed.rpc.generate`` after changing ``finchshed.proto`` and commit the result;
+builds then need no generator. With ``--check`` nothing is written.
 
-Exit codes: 0 done, 1 the committed code doesn't match the schema (``--check``), 2 wrong usage.
+Exit codes: 0 success, 1 the committed code doesn't match the schema (``--check``), 2 invalid usage.
 """
 
 import importlib
@@ -17,8 +17,8 @@
 CHECK_FLAG = "--check"
 PACKAGE_FOLDER = Path(__file__).parent
 GENERATED_FOLDER = PACKAGE_FOLDER / "generated"
-RELATIVE_IMPORT = "from finchshed.rpc.generated import finchshed_pb2 as finchshed__pb2"
-PLAIN_IMPORT = "import finchshed_pb2 as finchshed__pb2"
+PACKAGE_IMPORT = "from finchshed.rpc.generated import finchshed_pb2 as finchshed__pb2"
+GENERATED_IMPORT = "import finchshed_pb2 as finchshed__pb2"
 
 
 def generate(folder: Path) -> None:
@@ -29,7 +29,7 @@
     ModuleNotFoundError
         grpcio-tools isn't installed.
     RuntimeError
-        The schema is wrong; the generator has printed why.
+        The schema is invalid; the compiler has printed the errors.
     """
     compiler = importlib.import_module("grpc_tools.protoc")
     arguments = [
@@ -42,12 +42,12 @@
     if compiler.main(arguments) != 0:
         raise RuntimeError(f"{SCHEMA} can't be compiled")
     service = folder / "finchshed_pb2_grpc.py"
-    text = service.read_text().replace(PLAIN_IMPORT, RELATIVE_IMPORT)
+    text = service.read_text().replace(GENERATED_IMPORT, PACKAGE_IMPORT)
     service.write_text(text)
 
 
 def outdated_files() -> list[str]:
-    """Return the names of committed modules that differ from what the schema gives."""
+    """Return the names of committed modules that are missing or don't match the schema."""
     with tempfile.TemporaryDirectory() as name:
         fresh_folder = Path(name)
         generate(fresh_folder)
@@ -63,7 +63,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Generate, or check with ``--check``; return the exit code."""
+    """Generate the code, or compare it with ``--check``; return the exit code."""
     if arguments not in ([], [CHECK_FLAG]):
         print(f"usage: python -m finchshed.rpc.generate [{CHECK_FLAG}]", file=sys.stderr)
         return ExitCode.USAGE
--- a/tests/rpc/test_conversion.py
+++ b/tests/rpc/test_conversion.py
@@ -1,3 +1,5 @@
+"""Conversion of resources and change results to and from RPC messages."""
+
 import pytest
 from google.protobuf.message import DecodeError
 from hypothesis import given, settings
@@ -68,7 +70,7 @@
 
 
 @pytest.mark.parametrize("resource", RESOURCES, ids=lambda item: type(item).__name__)
-def test_a_resource_comes_back_as_it_was(resource: Resource) -> None:
+def test_resource_round_trip(resource: Resource) -> None:
     problems: list[str] = []
     wire = resource_to_message(resource).SerializeToString()
     assert resource_from_message(pb.Resource.FromString(wire), problems) == resource
@@ -76,11 +78,11 @@
 
 
 @pytest.mark.parametrize("result", [Accepted(3), Conflict(4, "w", "ana"), Invalid(("a", "b"))])
-def test_a_result_comes_back_as_it_was(result: ChangeResult) -> None:
+def test_change_result_round_trip(result: ChangeResult) -> None:
     assert result_from_message(result_to_message(result)) == result
 
 
-def test_every_problem_of_a_message_is_told() -> None:
+def test_every_problem_of_a_message_is_reported() -> None:
     problems: list[str] = []
     route = pb.Route(prefix="no-slash", importance=9)
     service = pb.Service(name="BAD", routes=[route], deadline_seconds=-1.0)
@@ -130,7 +132,7 @@
     ],
     ids=["route", "destination"],
 )
-def test_a_resource_with_a_wrong_part_is_not_taken_without_it(message: pb.Resource) -> None:
+def test_an_invalid_part_invalidates_the_whole_resource(message: pb.Resource) -> None:
     problems: list[str] = []
     assert resource_from_message(message, problems) is None
     assert len(problems) == 1
--- a/tests/rpc/test_schema.py
+++ b/tests/rpc/test_schema.py
@@ -1,3 +1,5 @@
+"""The committed generated code matches the schema, and ``generate --check`` tells if not."""
+
 from pathlib import Path
 
 import pytest
@@ -7,7 +9,7 @@
 from finchshed.rpc.generate import GENERATED_FOLDER, generate, main
 
 
-def test_committed_code_is_what_the_schema_generates(tmp_path: Path) -> None:
+def test_committed_code_matches_the_schema(tmp_path: Path) -> None:
     pytest.importorskip("grpc_tools", reason="the generator isn't installed")
     generate(tmp_path)
     generated = sorted(path.name for path in tmp_path.iterdir())
@@ -16,7 +18,7 @@
         assert (GENERATED_FOLDER / name).read_text() == (tmp_path / name).read_text()
 
 
-def test_the_check_fails_where_the_committed_code_differs(
+def test_check_fails_if_the_committed_code_differs(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     pytest.importorskip("grpc_tools", reason="the generator isn't installed")
@@ -30,7 +32,7 @@
 
 
 @pytest.mark.parametrize("arguments", [["--chek"], ["--check", "more"], ["somewhere"]])
-def test_other_arguments_are_refused(
+def test_invalid_arguments_are_rejected(
     arguments: list[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     monkeypatch.setattr(generator, "GENERATED_FOLDER", tmp_path)
