--- a/src/finchshed/tls/command.py
+++ b/src/finchshed/tls/command.py
@@ -33,8 +33,8 @@
 def authority(folder: str, days: float = AUTHORITY_DAYS) -> int:
     """Create a certificate authority in FOLDER: authority.pem and authority.key.
 
-    Copy authority.pem to every machine; keep authority.key off all of them. An existing authority
-    is never replaced.
+    Copy authority.pem to every machine of the deployment, but authority.key to none. An existing
+    authority is never replaced.
     """
     validity = _parse_validity(days, [])
     path = Path(folder)
--- a/src/finchshed/tls/handshakes.py
+++ b/src/finchshed/tls/handshakes.py
@@ -79,7 +79,7 @@
     async def __call__(
         self, make_protocol: Callable[[], asyncio.BaseProtocol], host: str, port: int
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Return transport and protocol.
+        """Open a connection and return its transport and protocol.
 
         Raises
         ------
--- a/tests/tls/test_control_peers.py
+++ b/tests/tls/test_control_peers.py
@@ -23,7 +23,7 @@
 SECONDS = 10.0
 
 
-def raft_line(sender: str) -> RaftMessage:
+def raft_message(sender: str) -> RaftMessage:
     message = PreVoteReply(term=1, granted=True)
     return RaftMessage(Envelope(NodeIdentity(sender, "1"), NodeIdentity("c1", "1"), message))
 
@@ -63,7 +63,7 @@
         for task in pending:
             task.cancel()
         transport.abort()
-        assert done, "neither closed nor taken"
+        assert done, "connection neither closed nor message received"
         return closed in done
 
 
@@ -78,15 +78,15 @@
 
 async def test_a_node_can_send_only_under_its_own_name(node: LinkedNode) -> None:
     hello = PeerHello("c2", "")
-    assert not await node.send_as(CertificateRole.CONTROL, "c2", hello, raft_line("c2"))
-    assert await node.send_as(CertificateRole.CONTROL, "c2", hello, raft_line("c3"))
-    assert await node.send_as(CertificateRole.CONTROL, "c3", hello, raft_line("c2"))
+    assert not await node.send_as(CertificateRole.CONTROL, "c2", hello, raft_message("c2"))
+    assert await node.send_as(CertificateRole.CONTROL, "c2", hello, raft_message("c3"))
+    assert await node.send_as(CertificateRole.CONTROL, "c3", hello, raft_message("c2"))
     assert await node.send_as(CertificateRole.CONTROL, "c2", hello, InForceReport("c3", 1))
     assert node.received.empty()
 
 
 async def test_a_daemon_can_not_send_as_a_control_node(node: LinkedNode) -> None:
-    assert await node.send_as(CertificateRole.DAEMON, "c2", PeerHello("c2", ""), raft_line("c2"))
+    assert await node.send_as(CertificateRole.DAEMON, "c2", PeerHello("c2", ""), raft_message("c2"))
     assert node.received.empty()
 
 
@@ -97,8 +97,8 @@
         node.background,
         credentials=Credentials(node.authority.issue(CertificateRole.CONTROL, "c2")),
     )
-    assert other.send(node.address, raft_line("c2"))
-    assert await asyncio.wait_for(node.received.get(), SECONDS) == raft_line("c2")
+    assert other.send(node.address, raft_message("c2"))
+    assert await asyncio.wait_for(node.received.get(), SECONDS) == raft_message("c2")
     other.stop()
 
 
@@ -111,7 +111,7 @@
     )
     before = REFUSED_CONNECTIONS.labels("name").value
     for _ in range(150):
-        other.send(node.address, raft_line("c9"))
+        other.send(node.address, raft_message("c9"))
         await asyncio.sleep(0.01)
     refused = REFUSED_CONNECTIONS.labels("name").value - before
     other.stop()
