--- a/src/finchshed/ctl/changes.py
+++ b/src/finchshed/ctl/changes.py
@@ -1,6 +1,6 @@
-"""Sub-commands that change the configuration: diff, apply, drain.
+"""Sub-commands that change the configuration: diff, apply, drain, undrain.
 
-Owns no state. Relies on the control nodes, which apply a change once by its identity.
+A change can be sent again safely: control nodes apply each change identity at most once.
 """
 
 import uuid
@@ -18,8 +18,8 @@
 from finchshed.ctl.client import NotFoundError, OperatorClient
 from finchshed.ctl.connection import DEFAULT_TIMEOUT_SECONDS, connect
 from finchshed.ctl.exit_codes import CtlExitCode
-from finchshed.ctl.output import show
-from finchshed.ctl.values import ApplyView, DifferenceView
+from finchshed.ctl.output import print_result
+from finchshed.ctl.views import ApplyView, DifferenceView
 from finchshed.rpc.change_results import result_from_message
 from finchshed.rpc.conversion import (
     key_to_message,
@@ -29,11 +29,11 @@
 from finchshed.rpc.generated import finchshed_pb2 as pb
 
 DRAIN_ATTEMPTS = 10
-"""Times a drain is made again after another change was accepted first."""
+"""Maximum attempts to drain or undrain an endpoint if other changes are accepted first."""
 
 
 class DeclaredConfiguration(msgspec.Struct, frozen=True):
-    """The configuration as read from a quorum."""
+    """The declared configuration, as confirmed by a quorum."""
 
     revision: int
     resources: dict[ResourceKey, Resource]
@@ -47,31 +47,31 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Show what an apply of the declarations in FOLDER would change.
+    """Show what applying the declarations in FOLDER would change.
 
-    Exit code 0 when nothing would change, 10 when something would.
+    Exit code 0: nothing would change. 10: something would.
 
     Parameters
     ----------
     folder
         Folder with declaration files (*.toml).
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     declared = read_declarations(Path(folder))
     client = connect(control, token_file, timeout)
-    current = read_in_force(client)
-    changed = difference(current.resources, declared)
-    view = DifferenceView(current.revision, changed.puts, changed.deletes)
-    lines = describe_difference(current.resources, changed) or ["nothing to change"]
-    show(view, lines, as_json=json)
-    return CtlExitCode.DIFFERENT if changed else ExitCode.OK
+    current = read_configuration(client)
+    changes = difference(current.resources, declared)
+    view = DifferenceView(current.revision, changes.puts, changes.deletes)
+    lines = describe_difference(current.resources, changes) or ["nothing to change"]
+    print_result(view, lines, as_json=json)
+    return CtlExitCode.DIFFERENT if changes else ExitCode.OK
 
 
 def apply(
@@ -86,50 +86,50 @@
 ) -> int:
     """Make the declarations in FOLDER the configuration, as one change.
 
-    The change is accepted whole or not at all. Exit code 11: another change was accepted first
-    (it is named; look at the difference again). 12: the control node found problems. 3: no
-    quorum confirmed it in time; run the printed command again to learn the outcome.
+    The change is applied completely or not at all. Exit code 11: another change, which is named,
+    was accepted first; run diff again. 12: the control node found problems. 3: no quorum confirmed
+    the change in time; run the printed command to learn the outcome.
 
     Parameters
     ----------
     folder
         Folder with declaration files (*.toml).
     change_id
-        Identity of the change; give the one printed before to resend it. Empty: a new one.
+        Identity of the change; pass the one printed before to resend it. Empty: a new identity.
     expected_revision
-        Revision the change is meant for; -1: the one in force now.
+        Revision that the change is based on; -1: the current one.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     declared = read_declarations(Path(folder))
     client = connect(control, token_file, timeout)
-    first_result = first_result_of(client, change_id) if change_id else None
+    first_result = find_result(client, change_id) if change_id else None
     if first_result is not None:
-        return report(change_id, first_result, as_json=json)
-    current = read_in_force(client)
-    changed = difference(current.resources, declared)
-    if not changed:
+        return report_result(change_id, first_result, as_json=json)
+    current = read_configuration(client)
+    changes = difference(current.resources, declared)
+    if not changes:
         lines = [f"nothing to change at revision {current.revision}"]
-        show(ApplyView("", None), lines, as_json=json)
+        print_result(ApplyView("", None), lines, as_json=json)
         return ExitCode.OK
     expected = current.revision if expected_revision < 0 else expected_revision
     identity = change_id or str(uuid.uuid4())
-    result = _submit_or_explain(client, folder, identity, expected, changed)
-    return report(identity, result, as_json=json)
+    result = _submit_with_recovery_hint(client, folder, identity, expected, changes)
+    return report_result(identity, result, as_json=json)
 
 
-def _submit_or_explain(
-    client: OperatorClient, folder: str, change_id: str, expected: int, changed: Difference
+def _submit_with_recovery_hint(
+    client: OperatorClient, folder: str, change_id: str, expected: int, changes: Difference
 ) -> ChangeResult:
-    """Send a change; where no answer comes, say how its outcome is learnt."""
+    """Submit a change; if its outcome is unknown, the error says how to learn it."""
     try:
-        return submit(client, change_id, expected, changed)
+        return submit_change(client, change_id, expected, changes)
     except ControlUnavailableError as error:
         raise ControlUnavailableError(
             f"{error}\nthe change may have been accepted; to learn its outcome: "
@@ -145,22 +145,22 @@
     timeout: float = DEFAULT_TIMEOUT_SECONDS,
     json: bool = False,
 ) -> int:
-    """Mark ENDPOINT as leaving, so that it gets no new work; what it has in progress goes on.
+    """Mark ENDPOINT as leaving: it gets no new requests, and requests in progress continue.
 
-    Safe to run again. Exit code 0 also where it was leaving already.
+    Safe to run again; exit code 0 also if the endpoint was already leaving.
 
     Parameters
     ----------
     endpoint
         Name of a declared endpoint.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
     return _set_state(client, endpoint, EndpointState.LEAVING, as_json=json)
@@ -176,52 +176,52 @@
 ) -> int:
     """Make ENDPOINT active again after a drain.
 
-    Safe to run again. Exit code 0 also where it was active already.
+    Safe to run again; exit code 0 also if the endpoint was already active.
 
     Parameters
     ----------
     endpoint
         Name of a declared endpoint.
     control
-        Addresses of control nodes for operators, a.b.c.d:port,...; or FINCHSHED_CONTROL.
+        RPC addresses of control nodes, a.b.c.d:port,...; default: FINCHSHED_CONTROL.
     token_file
-        File with the operator's token; or FINCHSHED_TOKEN, FINCHSHED_TOKEN_FILE.
+        File with the operator's token; default: FINCHSHED_TOKEN or FINCHSHED_TOKEN_FILE.
     timeout
-        Longest time for the request over all control nodes, seconds.
+        Time limit for the request over all control nodes, in seconds.
     json
-        Print one JSON line.
+        Print the result as one JSON line.
     """
     client = connect(control, token_file, timeout)
     return _set_state(client, endpoint, EndpointState.ACTIVE, as_json=json)
 
 
 def _set_state(client: OperatorClient, name: str, state: EndpointState, *, as_json: bool) -> int:
-    """Put an endpoint into ``state``, again where another change was accepted first."""
+    """Set the state of an endpoint, retrying when another change is accepted first."""
     for _ in range(DRAIN_ATTEMPTS):
-        current = read_in_force(client)
+        current = read_configuration(client)
         endpoint = current.resources.get(ResourceKey("endpoint", name))
         if not isinstance(endpoint, Endpoint):
             raise SettingsError([f"endpoint = {name!r}: allowed are declared endpoints"])
         if endpoint.state is state:
             lines = [f"{name} is {state.value} at revision {current.revision}"]
-            show(ApplyView("", None), lines, as_json=as_json)
+            print_result(ApplyView("", None), lines, as_json=as_json)
             return ExitCode.OK
-        changed = Difference((msgspec.structs.replace(endpoint, state=state),), ())
+        changes = Difference((msgspec.structs.replace(endpoint, state=state),), ())
         identity = str(uuid.uuid4())
-        result = submit(client, identity, current.revision, changed)
+        result = submit_change(client, identity, current.revision, changes)
         if not isinstance(result, Conflict):
             break
-    return report(identity, result, as_json=as_json)
+    return report_result(identity, result, as_json=as_json)
 
 
-def read_in_force(client: OperatorClient) -> DeclaredConfiguration:
-    """Return the configuration in force."""
+def read_configuration(client: OperatorClient) -> DeclaredConfiguration:
+    """Return the current configuration, confirmed by a quorum."""
     answer = cast(pb.GetResponse, client.call("Get", pb.GetRequest()))
     return DeclaredConfiguration(answer.revision, resources_by_key(answer.resources))
 
 
-def first_result_of(client: OperatorClient, change_id: str) -> ChangeResult | None:
-    """Return the first result of an earlier change, or None when there is none."""
+def find_result(client: OperatorClient, change_id: str) -> ChangeResult | None:
+    """Return the first result of an earlier change, or None if none is known."""
     try:
         answer = client.call("GetResult", pb.GetResultRequest(change_id=change_id))
     except NotFoundError:
@@ -229,20 +229,20 @@
     return result_from_message(cast(pb.ApplyResponse, answer))
 
 
-def submit(
-    client: OperatorClient, change_id: str, expected_revision: int, changed: Difference
+def submit_change(
+    client: OperatorClient, change_id: str, expected_revision: int, changes: Difference
 ) -> ChangeResult:
-    """Send a change, with the same identity to other nodes where an answer is lost."""
+    """Submit a change; it is sent to other nodes under the same identity if an answer is lost."""
     request = pb.ApplyRequest(
         change_id=change_id,
         expected_revision=expected_revision,
-        puts=[resource_to_message(resource) for resource in changed.puts],
-        deletes=[key_to_message(key) for key in changed.deletes],
+        puts=[resource_to_message(resource) for resource in changes.puts],
+        deletes=[key_to_message(key) for key in changes.deletes],
     )
     return result_from_message(cast(pb.ApplyResponse, client.call("Apply", request)))
 
 
-def report(change_id: str, result: ChangeResult, *, as_json: bool) -> int:
+def report_result(change_id: str, result: ChangeResult, *, as_json: bool) -> int:
     """Print ``result`` and return its exit code."""
     if isinstance(result, Accepted):
         lines = [f"accepted as revision {result.revision} (change {change_id})"]
@@ -256,5 +256,5 @@
     else:
         lines = ["invalid; nothing was changed:", *(f"  {item}" for item in result.problems)]
         code = CtlExitCode.INVALID
-    show(ApplyView(change_id, result), lines, as_json=as_json)
+    print_result(ApplyView(change_id, result), lines, as_json=as_json)
     return code
--- a/src/finchshed/ctl/output.py
+++ b/src/finchshed/ctl/output.py
@@ -1,4 +1,4 @@
-"""Prints answers for people, or as JSON lines for programs."""
+"""Output of the sub-commands, as text or as JSON lines."""
 
 import sys
 from collections.abc import Iterable
@@ -6,8 +6,8 @@
 import msgspec
 
 
-def show(value: msgspec.Struct, lines: Iterable[str], *, as_json: bool) -> None:
-    """Print ``value`` as one JSON line, or ``lines`` for people."""
+def print_result(value: msgspec.Struct, lines: Iterable[str], *, as_json: bool) -> None:
+    """Print ``value`` as one JSON line, or ``lines`` as text."""
     if as_json:
         sys.stdout.write(msgspec.json.encode(value).decode() + "\n")
     else:
@@ -16,13 +16,13 @@
     sys.stdout.flush()
 
 
-def complain(line: str) -> None:
+def print_error(line: str) -> None:
     """Print ``line`` on standard error."""
     sys.stderr.write(line + "\n")
 
 
-def table(header: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> list[str]:
-    """Return aligned lines of a table."""
+def format_table(header: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> list[str]:
+    """Return the lines of a table with aligned columns."""
     all_rows = [header, *rows]
     widths = [max(len(row[column]) for row in all_rows) for column in range(len(header))]
     return [
--- a/src/finchshed/tls/names.py
+++ b/src/finchshed/tls/names.py
@@ -1,8 +1,8 @@
-"""Names in certificates, and what a connection's certificate proves.
+"""Identities in certificates, and the check of a peer's claims against its certificate.
 
-A certificate names its holder by URIs in subjectAltName (RFC 5280, section 4.2.1.6):
-``finchshed://ROLE/NAME``. A greeting on a connection makes claims of the same form; each one has to
-stand in the certificate the peer has shown.
+A certificate identifies its holder by URIs in subjectAltName (RFC 5280, section 4.2.1.6) of the
+form ``finchshed://ROLE/NAME``. The first message on a connection claims identities; each of them
+must be in the peer's certificate.
 """
 
 import asyncio
@@ -13,12 +13,12 @@
 
 SCHEME = "finchshed://"
 CONTROL_HOST = "control.finchshed.internal"
-"""DNS name in each control node's certificate, by which operators' gRPC clients know it.
+"""DNS name in the certificate of every control node, which operators' gRPC clients verify.
 
-Clients dial IP addresses; gRPC compares the certificate with a host name only.
+Clients dial IP addresses, but gRPC verifies a certificate by host name only.
 """
 
-REFUSED = Counter(
+REFUSED_CONNECTIONS = Counter(
     "finchshed_tls_refused_total",
     "Connections closed as the peer didn't prove who it is",
     ["cause"],
@@ -26,31 +26,34 @@
 
 
 class CertificateRole(enum.StrEnum):
-    """What the holder of a certificate is."""
+    """Kind of identity in a certificate."""
 
     CONTROL = "control"
     DAEMON = "daemon"
     ENDPOINT = "endpoint"
-    """The endpoint resource a daemon stands beside."""
+    """The endpoint whose back end the daemon serves."""
 
     OPERATOR = "operator"
     ZONE = "zone"
 
 
-def name_of(role: CertificateRole, name: str) -> str:
-    """Return the URI of ``name`` in ``role``."""
+def identity_uri(role: CertificateRole, name: str) -> str:
+    """Return the URI that identifies ``name`` in ``role``."""
     return f"{SCHEME}{role}/{name}"
 
 
-def claims_of_link(node: str, service: str, zone: str) -> list[str]:
-    """Return what a link's Hello claims: a daemon beside a back end goes by its endpoint."""
+def hello_identities(node: str, service: str, zone: str) -> list[str]:
+    """Return the identities that a link's Hello claims.
+
+    A daemon with a back end, so with a service, identifies itself by its endpoint.
+    """
     role = CertificateRole.ENDPOINT if service else CertificateRole.DAEMON
-    claims = [name_of(role, node)]
-    return [*claims, name_of(CertificateRole.ZONE, zone)] if zone else claims
+    claims = [identity_uri(role, node)]
+    return [*claims, identity_uri(CertificateRole.ZONE, zone)] if zone else claims
 
 
-def proven_names(transport: asyncio.BaseTransport | None) -> frozenset[str] | None:
-    """Return the URIs of the peer's certificate; None on a connection in plain text."""
+def peer_identities(transport: asyncio.BaseTransport | None) -> frozenset[str] | None:
+    """Return the identity URIs of the peer's certificate; None on a connection in plain text."""
     if transport is None or transport.get_extra_info("ssl_object") is None:
         return None
     certificate = transport.get_extra_info("peercert") or {}
@@ -58,26 +61,28 @@
     return frozenset(value for kind, value in entries if kind == "URI")
 
 
-def unproven(transport: asyncio.BaseTransport | None, claims: Iterable[str]) -> str:
-    """Return the claims that the peer's certificate doesn't hold, as text; empty for none.
+def identity_mismatch(transport: asyncio.BaseTransport | None, claims: Iterable[str]) -> str:
+    """Describe the claims that the peer's certificate doesn't cover; empty if it covers all.
 
-    In plain text nothing is proven and nothing asked for: the settings say so.
+    On a connection in plain text claims aren't checked.
     """
-    names = proven_names(transport)
+    names = peer_identities(transport)
     if names is None:
         return ""
     missing = [claim for claim in claims if claim not in names]
     if not missing:
         return ""
-    REFUSED.labels("name").inc()
-    return f"the certificate of {shown(names)} isn't that of {shown(missing)}"
+    REFUSED_CONNECTIONS.labels("name").inc()
+    return (
+        f"the certificate of {format_identities(names)} isn't that of {format_identities(missing)}"
+    )
 
 
 def has_role(names: Iterable[str], role: CertificateRole) -> bool:
-    """Whether any of ``names`` is of ``role``."""
-    return any(name.startswith(name_of(role, "")) for name in names)
+    """Whether any of the URIs in ``names`` has ``role``."""
+    return any(name.startswith(identity_uri(role, "")) for name in names)
 
 
-def shown(names: Iterable[str]) -> str:
-    """Return ``names`` for a person to read."""
+def format_identities(names: Iterable[str]) -> str:
+    """Return ``names`` as text for logs and error messages."""
     return ", ".join(sorted(names)) or "nobody"
