--- a/src/finchshed/observability/admin.py
+++ b/src/finchshed/observability/admin.py
@@ -1,7 +1,6 @@
-"""The admin endpoint of a process: /metrics, /healthz, /ring, and what the program adds.
+"""Admin HTTP endpoint of a process: ``/metrics``, ``/healthz``, ``/ring`` and program handlers.
 
-It is served by aiohttp's low-level server inside the program's loop, so a process has one loop
-and starts no worker of any kind.
+Uses aiohttp's low-level server in the program's event loop, without additional threads.
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -17,35 +16,35 @@
 from finchshed.observability.health import Health
 
 Handler: TypeAlias = Callable[[Mapping[str, str]], Awaitable[msgspec.Struct]]
-"""Answers a GET with a struct, from the query's parameters."""
+"""Answers a GET request, given the query parameters, with a struct encoded as JSON."""
 
 
 class RingDumped(msgspec.Struct, frozen=True):
-    """Answer of POST /ring. ``path`` is empty where the ring went to standard error."""
+    """Response of ``POST /ring``; ``path`` is empty if the dump went to standard error."""
 
     path: str
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """Answer to a request that can't be served."""
+    """Error response."""
 
     problem: str
 
 
 @dataclass(slots=True)
 class AdminServer:
-    """Serves a process's state to operators and to monitoring.
+    """Serves the state of a process to operators and monitoring.
 
     Parameters
     ----------
     address
-        ``a.b.c.d:port`` to bind; port 0 for any free one.
+        Listen address ``a.b.c.d:port``; port 0 selects a free port.
     health
-        Tells whether the process does its work.
+        Returns the health status of the process.
     handlers
-        Further paths of the program, answered with JSON.
+        Handlers of additional GET paths.
     registry
-        Metrics served.
+        Metrics registry to render.
     """
 
     address: str
@@ -55,7 +54,7 @@
     _runner: web.ServerRunner | None = None
 
     async def start(self) -> str:
-        """Bind and serve; return the address bound."""
+        """Start serving; return the bound address."""
         host, _, port = self.address.rpartition(":")
         server = web.Server(self._serve, access_log=None)
         self._runner = web.ServerRunner(server)
@@ -86,7 +85,7 @@
                 health = self.health()
                 return _json(health, status=200 if health.healthy else 503)
             case "GET", "/ring":
-                return _lines(ring.current().encode("asked for over HTTP"))
+                return _json_lines(ring.current().encode("asked for over HTTP"))
             case "POST", "/ring":
                 path = ring.dump("asked for by an operator")
                 return _json(RingDumped(path=str(path) if path else ""))
@@ -105,5 +104,5 @@
     return web.Response(body=body, status=status, content_type="application/json")
 
 
-def _lines(body: bytes) -> web.Response:
+def _json_lines(body: bytes) -> web.Response:
     return web.Response(body=body, content_type="application/x-ndjson")
--- a/src/finchshed/observability/decisions.py
+++ b/src/finchshed/observability/decisions.py
@@ -1,21 +1,21 @@
-"""Records of decisions, one line each in the log stream. See docs/OPERATIONS.md for their use.
+"""Log stream records of admission and routing decisions. See docs/OPERATIONS.md for their use.
 
-Times are Unix seconds; durations are in milliseconds, as their names say. ``id`` is the identity a
-caller gave its request, ``root`` that of the request all of it began with.
+Times are Unix seconds; durations are in milliseconds (``_ms``). ``id`` is the identity that the
+caller assigned to its request, ``root`` the identity of the root request of the call tree.
 """
 
 import msgspec
 
 
 class AttemptRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One sending of a request to an endpoint, and why that endpoint.
+    """One attempt to send a request to an endpoint.
 
     Attributes
     ----------
     report_ms
-        Age of the endpoint's load report when it was chosen; negative: there was none.
+        Age of the endpoint's load report when it was selected; negative if there was none.
     in_flight
-        Calls that this daemon had under way there.
+        Calls of this daemon in progress at the endpoint.
     """
 
     endpoint: str
@@ -29,12 +29,12 @@
 class RequestEnded(
     msgspec.Struct, frozen=True, omit_defaults=True, tag="request_ended", tag_field="event"
 ):
-    """A request that a daemon took has its final outcome.
+    """A request received by a daemon reached its final outcome.
 
-    ``attempts`` is empty where it was refused before any sending, ``service`` where that was so
-    before one was chosen. ``revision`` is that of the configuration in force, ``tenant`` the one
-    that holds the request's API key. ``signature`` is equal for all tries of the same work; it is
-    told of what failed.
+    ``attempts`` is empty if the request was refused before the first attempt; ``service`` is empty
+    if it was refused before routing. ``revision`` is the configuration revision in force, and
+    ``tenant`` is the owner of the request's API key. ``signature`` is the same for all retries of
+    the same work; it is set for failures.
     """
 
     time: float
@@ -59,18 +59,18 @@
 class CallEnded(
     msgspec.Struct, frozen=True, omit_defaults=True, tag="call_ended", tag_field="event"
 ):
-    """A call that came to the daemon beside a back end has ended there.
+    """A call received by the daemon of a back end ended there.
 
     Attributes
     ----------
     instance
-        Start of the back end it was for.
+        Identity of the back end process, which changes at each start.
     queued_ms, ran_ms
-        Time it waited and time at the back end; ``ran_ms`` is negative where it was never sent.
+        Time in the queue and at the back end; ``ran_ms`` is negative if the call was never sent.
     rank, threshold
-        What it was admitted by: its admission rank and the threshold in force at its end.
+        Admission rank of the call and the threshold in force when it ended.
     running, queued, limit
-        Load of the gate at its end.
+        Load of the admission gate when the call ended.
     """
 
     time: float
@@ -96,14 +96,14 @@
 class BackendEnded(
     msgspec.Struct, frozen=True, omit_defaults=True, tag="backend_ended", tag_field="event"
 ):
-    """A back end ended while it ran requests: their connections broke, and it takes no new ones.
+    """A back end exited or crashed while running requests.
 
     Attributes
     ----------
     running
-        Requests that broke with it.
+        Number of requests that were interrupted.
     signatures
-        Theirs, the first ones of many.
+        Signatures of those requests, truncated if there are many.
     """
 
     time: float
@@ -114,7 +114,7 @@
 
 
 class StateChanged(msgspec.Struct, frozen=True, omit_defaults=True, tag="state", tag_field="event"):
-    """The process started, stopped, or believes something else than before."""
+    """The process started, stopped or changed its view of the system."""
 
     time: float
     level: str
--- a/src/finchshed/observability/health.py
+++ b/src/finchshed/observability/health.py
@@ -1,10 +1,10 @@
-"""Whether a process does its work."""
+"""Health status of a process."""
 
 import msgspec
 
 
 class Health(msgspec.Struct, frozen=True):
-    """Answer of /healthz. ``detail`` says what an unhealthy process waits for."""
+    """Response of ``/healthz``; ``detail`` is what an unhealthy process is waiting for."""
 
     healthy: bool
     detail: str = ""
--- a/src/finchshed/observability/instruments.py
+++ b/src/finchshed/observability/instruments.py
@@ -1,38 +1,37 @@
-"""Counters, gauges and histograms of this process, as plain numbers.
+"""Lightweight counters, gauges, histograms and info metrics.
 
-They are declared at import and changed on the way of every call, so they hold numbers and nothing
-else. :mod:`finchshed.observability.metrics_page` turns them into prometheus_client's metrics when
-the page is asked for; a process whose page nobody reads never loads that library.
-
-All are used from the event loop's thread only.
+Instruments are declared at import and updated on the hot path, so they hold only plain numbers.
+:mod:`finchshed.observability.metrics_page` converts them to prometheus_client metrics on request;
+the library is not loaded before. Instruments are not thread-safe and must be used from the event
+loop's thread only.
 """
 
 from bisect import bisect_left
 from collections.abc import Iterator, Sequence
 from typing import Generic, TypeVar
 
-_declared: dict[str, "Instrument"] = {}
+_registry: dict[str, "Instrument"] = {}
 
 
 class Instrument:
-    """A metric by its name, with what it tells.
+    """Base class of metrics; registers the metric under its unique name.
 
     Parameters
     ----------
     labels
-        Names of its labels; values are kept for each combination of them.
+        Label names; a value is kept for each combination of label values.
     """
 
     def __init__(self, name: str, description: str, labels: Sequence[str] = ()) -> None:
         self.name = name
         self.description = description
         self.label_names = tuple(labels)
-        if _declared.setdefault(name, self) is not self:
+        if _registry.setdefault(name, self) is not self:
             raise ValueError(f"the metric {name} is declared twice")
 
 
 class CounterValue:
-    """A number that only grows."""
+    """A monotonically increasing number."""
 
     __slots__ = ("value",)
 
@@ -45,7 +44,7 @@
 
 
 class GaugeValue:
-    """A number that is set."""
+    """A number that can go up and down."""
 
     __slots__ = ("value",)
 
@@ -53,7 +52,7 @@
         self.value = 0.0
 
     def set(self, value: float) -> None:
-        """Set the number."""
+        """Set the value."""
         self.value = float(value)
 
     def inc(self, amount: float = 1.0) -> None:
@@ -61,7 +60,7 @@
         self.value += amount
 
     def dec(self, amount: float = 1.0) -> None:
-        """Take ``amount`` away."""
+        """Subtract ``amount``."""
         self.value -= amount
 
 
@@ -69,7 +68,7 @@
 
 
 class _Labelled(Instrument, Generic[ValueT]):
-    """Values by the values of labels; one value where there are no labels."""
+    """A metric with one value per combination of label values, or one value without labels."""
 
     def __init__(
         self, name: str, description: str, labels: Sequence[str], make: type[ValueT]
@@ -81,41 +80,41 @@
             self._values[()] = make()
 
     def labels(self, *values: str) -> ValueT:
-        """Return the value of these label values, in the order of the names."""
+        """Return the value for the given label values, in the order of the label names."""
         found = self._values.get(values)
         if found is None:
             if len(values) != len(self.label_names):
-                raise ValueError(f"{self.name} has the labels {self.label_names}")
+                raise ValueError(f"{self.name}: got {values} for the labels {self.label_names}")
             found = self._values[values] = self._make()
         return found
 
     def samples(self) -> Iterator[tuple[tuple[str, ...], float]]:
-        """Return label values and number of each value."""
+        """Yield the label values and the number of each value."""
         return ((labels, value.value) for labels, value in self._values.items())
 
 
 class Counter(_Labelled[CounterValue]):
-    """Counts events."""
+    """Counts events; with labels, use :meth:`labels` first."""
 
     def __init__(self, name: str, description: str, labels: Sequence[str] = ()) -> None:
         super().__init__(name, description, labels, CounterValue)
-        whole = self._values.get(())
-        self.inc = whole.inc if whole is not None else _needs_labels
+        unlabelled = self._values.get(())
+        self.inc = unlabelled.inc if unlabelled is not None else _reject_unlabelled
 
 
 class Gauge(_Labelled[GaugeValue]):
-    """Tells a present value."""
+    """Reports a current value; with labels, use :meth:`labels` first."""
 
     def __init__(self, name: str, description: str, labels: Sequence[str] = ()) -> None:
         super().__init__(name, description, labels, GaugeValue)
-        whole = self._values.get(())
-        self.set = whole.set if whole is not None else _needs_labels
-        self.inc = whole.inc if whole is not None else _needs_labels
-        self.dec = whole.dec if whole is not None else _needs_labels
+        unlabelled = self._values.get(())
+        self.set = unlabelled.set if unlabelled is not None else _reject_unlabelled
+        self.inc = unlabelled.inc if unlabelled is not None else _reject_unlabelled
+        self.dec = unlabelled.dec if unlabelled is not None else _reject_unlabelled
 
 
 class Histogram(Instrument):
-    """Counts observations by upper bounds of their size, in ascending order."""
+    """Counts observations in buckets, given their upper bounds in ascending order."""
 
     def __init__(self, name: str, description: str, buckets: Sequence[float]) -> None:
         super().__init__(name, description)
@@ -124,13 +123,13 @@
         self.total = 0.0
 
     def observe(self, amount: float) -> None:
-        """Count one observation."""
+        """Record an observation."""
         self.counts[bisect_left(self.bounds, amount)] += 1
         self.total += amount
 
 
 class Info(Instrument):
-    """Tells fixed facts as labels."""
+    """Reports constant facts as labels."""
 
     def __init__(self, name: str, description: str) -> None:
         super().__init__(name, description)
@@ -142,9 +141,9 @@
 
 
 def registered_instruments() -> list[Instrument]:
-    """Return every metric of this process, in the order of declaration."""
-    return list(_declared.values())
+    """Return all metrics of this process in registration order."""
+    return list(_registry.values())
 
 
-def _needs_labels(_amount: float = 1.0) -> None:
-    raise ValueError("a metric with labels is changed through them")
+def _reject_unlabelled(_amount: float = 1.0) -> None:
+    raise ValueError("a metric with labels must be updated through labels()")
--- a/src/finchshed/observability/invariants.py
+++ b/src/finchshed/observability/invariants.py
@@ -1,4 +1,4 @@
-"""Stops the process on a broken invariant, with the log ring written out."""
+"""Handles errors that reach the event loop; stops the process on an invariant violation."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,16 +11,16 @@
 
 
 class FaultMonitor:
-    """Handler of errors that reach the event loop.
+    """Event loop exception handler.
 
-    A broken invariant stops the process. Any other unexpected error is logged and the ring
-    written out, at most once per ``DUMP_INTERVAL_SECONDS``, and the process goes on: one bad
-    message must not take a node with it.
+    An invariant violation stops the process. Any other unexpected error is logged, and the log
+    ring is dumped at most once per ``DUMP_INTERVAL_SECONDS``; the process continues, so that a
+    single bad message cannot stop a node.
 
     Parameters
     ----------
     stop
-        Called once with the error that has to stop the process.
+        Called once, with the first invariant violation.
     """
 
     DUMP_INTERVAL_SECONDS = 60.0
@@ -28,26 +28,26 @@
     def __init__(self, stop: Callable[[InvariantError], None]) -> None:
         self._stop = stop
         self._stopped = False
-        self._next_dump = float("-inf")
+        self._next_dump_at = float("-inf")
 
     def install(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Become the exception handler of ``loop``."""
+        """Install this object as the exception handler of ``loop``."""
         loop.set_exception_handler(self.handle)
 
     def handle(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Deal with one error (asyncio exception handler)."""
+        """Handle an error (asyncio exception handler)."""
         error = context.get("exception")
         text = str(context.get("message", "unhandled error"))
         if isinstance(error, InvariantError):
             self.report_violation(error)
             return
         logger.opt(exception=error).error("unexpected error: {}: {!r}", text, error)
-        if loop.time() >= self._next_dump:
-            self._next_dump = loop.time() + self.DUMP_INTERVAL_SECONDS
+        if loop.time() >= self._next_dump_at:
+            self._next_dump_at = loop.time() + self.DUMP_INTERVAL_SECONDS
             ring.dump(f"unexpected error: {text}: {error!r}")
 
     def report_violation(self, error: InvariantError) -> None:
-        """Write the ring out and stop the process; later calls do nothing."""
+        """Dump the log ring and stop the process; later calls do nothing."""
         if self._stopped:
             return
         self._stopped = True
--- a/src/finchshed/observability/log_stream.py
+++ b/src/finchshed/observability/log_stream.py
@@ -1,9 +1,9 @@
-"""Structured log lines on standard output: bounded in volume, and never waited for.
+"""Structured log lines on standard output, rate-limited and written without blocking.
 
-Lines are collected in memory and are written without blocking, so a reader that stops reading holds
-nothing up: what doesn't fit is left out, and a later line says how many were. Lines about failures
-may use the whole budget; others leave a part of it to them. Owns the budget and the lines that
-wait; relies on the event loop to write them.
+Lines are buffered in memory, so a reader that stops reading cannot block the process. Lines that
+exceed the rate limit or the buffer are dropped, and a later line reports how many. Part of the
+budget is reserved for lines about failures. Owns the budget and the buffer; the event loop drives
+the writes.
 """
 
 import asyncio
@@ -17,46 +17,46 @@
 import xxhash
 
 FLUSH_SECONDS = 0.1
-"""Seconds between writes; a line is at most this late. Chosen, not measured."""
+"""Interval between writes, and so the maximum delay of a line."""
 
 BUFFER_BYTES = 256 << 10
-"""Bytes of lines kept while standard output takes none; chosen, not measured."""
+"""Maximum number of bytes buffered while standard output accepts none."""
 
 BYTES_PER_SECOND = 48 << 10
-"""Bytes of lines written a second, over a longer time; chosen, not measured."""
+"""Sustained rate limit in bytes per second."""
 
 BURST_BYTES = 192 << 10
-"""Bytes of lines that may be written at once after a quiet time; chosen, not measured."""
+"""Maximum burst in bytes."""
 
 FAILURE_FRACTION = 0.5
-"""Fraction of the burst that only lines about failures may use; chosen, not measured."""
+"""Fraction of the burst reserved for lines about failures."""
 
 SAMPLING_INTERVAL = 32
-"""Of the requests that end well, one in so many is logged, the same on every hop; chosen,
-not measured."""
+"""One in this many successful requests is logged; every hop selects the same requests."""
 
 
 class LinesDropped(msgspec.Struct, frozen=True, tag="lines_left_out", tag_field="event"):
-    """Says how many lines there were that the budget or the reader left no room for."""
+    """Reports the number of lines dropped because of the rate limit or a slow reader."""
 
     time: float
     lines: int
 
 
 class LogStream:
-    """Writes lines within a budget.
+    """Buffers and rate-limits log lines.
 
     Parameters
     ----------
     write
-        Takes bytes without blocking and returns how many it took; raises BlockingIOError for none.
+        Writes without blocking and returns the number of bytes written; raises BlockingIOError if
+        none can be written.
     now
-        Returns monotonic seconds.
+        Returns the time in seconds on a monotonic clock.
 
     Attributes
     ----------
-    on_first
-        Called when lines begin to wait; it is to have :meth:`flush` called soon.
+    on_pending
+        Called when the buffer becomes non-empty; must arrange a call of :meth:`flush`.
     """
 
     def __init__(
@@ -74,30 +74,30 @@
         self._burst = burst_bytes
         self._buffer_limit = buffer_bytes
         self._tokens = float(burst_bytes)
-        self._filled_at = now()
+        self._refilled_at = now()
         self._buffer = bytearray()
-        self._left_out = 0
+        self._dropped = 0
         self._encoder = msgspec.json.Encoder()
-        self.on_pending: Callable[[], None] = _wait_for_flush
+        self.on_pending: Callable[[], None] = _ignore_pending
 
     @property
     def is_waiting(self) -> bool:
-        """Whether lines wait to be written."""
+        """Whether lines are waiting to be written."""
         return bool(self._buffer)
 
     @property
     def dropped(self) -> int:
-        """Lines left out of which no line says so yet."""
-        return self._left_out
+        """Number of dropped lines not yet reported in the stream."""
+        return self._dropped
 
     def offer(self, record: msgspec.Struct, *, is_failure: bool = False) -> bool:
-        """Add the line of ``record``; return False where there is no room for it."""
+        """Add ``record`` to the buffer; return False if it was dropped."""
         line = self._encoder.encode(record)
         size = len(line) + 1
-        self._fill()
-        kept_back = 0.0 if is_failure else FAILURE_FRACTION * self._burst
-        if self._tokens - size < kept_back or len(self._buffer) + size > self._buffer_limit:
-            self._left_out += 1
+        self._refill()
+        reserved = 0.0 if is_failure else FAILURE_FRACTION * self._burst
+        if self._tokens - size < reserved or len(self._buffer) + size > self._buffer_limit:
+            self._dropped += 1
             return False
         self._tokens -= size
         is_first = not self._buffer
@@ -108,11 +108,11 @@
         return True
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
-        if self._left_out and len(self._buffer) < self._buffer_limit // 2:
-            line = self._encoder.encode(LinesDropped(time.time(), self._left_out))
+        """Write as much of the buffer as possible without blocking."""
+        if self._dropped and len(self._buffer) < self._buffer_limit // 2:
+            line = self._encoder.encode(LinesDropped(time.time(), self._dropped))
             self._buffer += line + b"\n"
-            self._left_out = 0
+            self._dropped = 0
         if not self._buffer:
             return
         try:
@@ -120,39 +120,39 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more. A log line on it would be written here as well, so lines are
-            # dropped; the ring keeps its records.
+            # The reader is gone. Discard the buffer silently, because logging the error would add
+            # a line to this stream; the log ring still has its records.
             written = len(self._buffer)
         del self._buffer[:written]
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._now()
-        self._tokens = min(self._burst, self._tokens + (now - self._filled_at) * self._rate)
-        self._filled_at = now
+        self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
 
 
 _stream: LogStream | None = None
 
 
 def is_sampled(root: str) -> bool:
-    """Return whether a request that ends well is logged, by the identity of its root request."""
+    """Return whether a successful request is logged, given the identity of its root request."""
     return xxhash.xxh32_intdigest(root.encode()) % SAMPLING_INTERVAL == 0
 
 
 def emit(record: msgspec.Struct, *, is_failure: bool = False) -> None:
-    """Log ``record``; does nothing in a process without a stream."""
+    """Log ``record`` if this process has a log stream."""
     if _stream is not None:
         _stream.offer(record, is_failure=is_failure)
 
 
 def is_enabled() -> bool:
-    """Return whether this process writes a stream."""
+    """Return whether this process has a log stream."""
     return _stream is not None
 
 
 def open_standard_output() -> LogStream:
-    """Begin the process's stream on standard output."""
-    global _stream  # noqa: PLW0603 - a process has one standard output
+    """Open the log stream of this process on standard output."""
+    global _stream  # noqa: PLW0603 - one stream per process
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     _stream = LogStream(lambda data: os.write(descriptor, data))
@@ -160,7 +160,7 @@
 
 
 def close() -> None:
-    """End the process's stream with what can still be written."""
+    """Flush once and close the log stream of this process."""
     global _stream  # noqa: PLW0603 - see above
     if _stream is not None:
         _stream.flush()
@@ -168,9 +168,9 @@
 
 
 def schedule_flushes(loop: asyncio.AbstractEventLoop, stream: LogStream) -> None:
-    """Have the lines of ``stream`` written by timers of ``loop``; none runs while there are none.
+    """Flush ``stream`` with timers on ``loop`` while lines are waiting.
 
-    To be called by the thread that runs the loop. Lines may come from threads that write to disks.
+    Must be called from the thread that runs the loop. Other threads may add lines.
     """
 
     def flush() -> None:
@@ -183,17 +183,17 @@
 
     def on_pending() -> None:
         if loop.is_closed():
-            return  # what is said last is written when the stream is closed
-        if threading.get_ident() == own_thread:
+            return  # the remaining lines are written by close()
+        if threading.get_ident() == loop_thread:
             flush_soon()
         else:
             loop.call_soon_threadsafe(flush_soon)
 
-    own_thread = threading.get_ident()
+    loop_thread = threading.get_ident()
     stream.on_pending = on_pending
     if stream.is_waiting:
         flush_soon()
 
 
-def _wait_for_flush() -> None:
-    """Leave it to whoever calls :meth:`LogStream.flush`."""
+def _ignore_pending() -> None:
+    """Do nothing: the owner calls :meth:`LogStream.flush`."""
--- a/src/finchshed/observability/metrics_page.py
+++ b/src/finchshed/observability/metrics_page.py
@@ -1,4 +1,4 @@
-"""The page of a process's metrics, in Prometheus' text format."""
+"""Renders the metrics of the process in the Prometheus text format."""
 
 from collections.abc import Iterator
 
@@ -28,15 +28,15 @@
 
 
 class InstrumentCollector(Collector):
-    """Gives prometheus_client the instruments of this process."""
+    """prometheus_client collector for the instruments of this process."""
 
     def collect(self) -> Iterator[Metric]:
-        """Return a metric of the library for each instrument."""
+        """Return a prometheus_client metric for each instrument."""
         return (_metric_of(instrument) for instrument in registered_instruments())
 
 
 def render(registry: CollectorRegistry = REGISTRY) -> bytes:
-    """Return the page."""
+    """Return the metrics page."""
     RING_RECORDS.set(len(ring.current().records()))
     return generate_latest(registry)
 
@@ -51,7 +51,7 @@
             return _histogram_of(instrument)
         case Info():
             return InfoMetricFamily(instrument.name, instrument.description, value=instrument.facts)
-    raise TypeError(f"{instrument.name} is a metric of an unknown kind")
+    raise TypeError(f"metric {instrument.name}: unsupported type {type(instrument).__name__}")
 
 
 def _counter_of(counter: Counter) -> Metric:
@@ -73,8 +73,8 @@
     buckets = []
     count = 0
     bounds = [*(str(bound) for bound in histogram.bounds), "+Inf"]
-    for bound, inside in zip(bounds, histogram.counts, strict=True):
-        count += inside
+    for bound, bucket_count in zip(bounds, histogram.counts, strict=True):
+        count += bucket_count
         buckets.append((bound, count))
     return HistogramMetricFamily(
         histogram.name, histogram.description, buckets=buckets, sum_value=histogram.total
--- a/src/finchshed/observability/process_metrics.py
+++ b/src/finchshed/observability/process_metrics.py
@@ -1,6 +1,6 @@
-"""Metrics of the process itself: identity, loop lag, log ring, planned stop.
+"""Process-level metrics: identity, event loop lag, log ring size, shutdown.
 
-Processor time, memory and open files come from prometheus_client's own process collector.
+CPU time, memory and open files are reported by prometheus_client's process collector.
 """
 
 import asyncio
@@ -20,16 +20,16 @@
 RING_RECORDS = Gauge("finchshed_log_ring_records", "Log records in the ring")
 
 LAG_INTERVAL_SECONDS = 1.0
-"""Seconds between measurements; chosen, not measured."""
+"""Interval between lag measurements."""
 
 
 def identify(program: str, node: str, zone: str, version: str) -> None:
-    """Set the identity that the metrics carry."""
+    """Set the process identity reported in the metrics."""
     BUILD.info({"program": program, "node": node, "zone": zone, "version": version})
 
 
 async def measure_loop_lag(interval_seconds: float = LAG_INTERVAL_SECONDS) -> None:
-    """Measure the loop's lag until cancelled."""
+    """Measure the event loop lag periodically until cancelled."""
     loop = asyncio.get_running_loop()
     while True:
         due = loop.time() + interval_seconds
--- a/src/finchshed/observability/redaction.py
+++ b/src/finchshed/observability/redaction.py
@@ -1,4 +1,4 @@
-"""Keeps secrets out of log records."""
+"""Removes secrets from log records."""
 
 import re
 
@@ -18,14 +18,14 @@
 
 
 def redact(text: str) -> str:
-    """Return ``text`` with the values of tokens, passwords and private keys blanked."""
+    """Return ``text`` with tokens, passwords and private keys replaced by ``REDACTED``."""
     text = _PEM.sub(REDACTED, text)
-    text = _NAMED_SECRET.sub(lambda found: found.group(1) + REDACTED, text)
-    return _BEARER.sub(lambda found: f"{found.group(1)} {REDACTED}", text)
+    text = _NAMED_SECRET.sub(lambda match: match.group(1) + REDACTED, text)
+    return _BEARER.sub(lambda match: f"{match.group(1)} {REDACTED}", text)
 
 
 def redact_field(name: str, value: object) -> object:
-    """Return a structured field's value, blanked where its name tells of a secret."""
+    """Return the redacted value of a structured field, replaced fully if its name is sensitive."""
     if _SECRET_FIELD.search(name):
         return REDACTED
     if isinstance(value, bool | int | float):
--- a/src/finchshed/observability/ring.py
+++ b/src/finchshed/observability/ring.py
@@ -1,8 +1,9 @@
-"""A bounded ring of log records in memory, written out when something goes wrong.
+"""In-memory ring buffer of log records, dumped on errors and on request.
 
-Modules log through loguru. Records go into the ring and nowhere else but for the lines of start
-and stop; the ring is written to the data folder, or to standard error where there is none, on a
-broken invariant, an unexpected error, SIGUSR1 or an operator's request.
+Modules log through loguru. Records are kept in the ring; only startup and shutdown messages are
+also printed, and records from INFO on go to the log stream if it is enabled. The ring is dumped to
+the data folder, or to standard error without one, on an invariant violation, an unexpected error,
+SIGUSR1 or an operator's request.
 """
 
 import collections
@@ -22,24 +23,23 @@
     from loguru import Message
 
 DEFAULT_CAPACITY = 4_096
-"""Records kept (docs/design/observability.md); chosen, not measured."""
+"""Number of records kept; see docs/design/observability.md."""
 
 MAX_TEXT_CHARACTERS = 2_000
-"""Longer messages are cut, so that the ring is bounded in bytes too. Characters; chosen, not
-measured."""
+"""Maximum message length; bounds the memory used by the ring."""
 
 MAX_DUMP_FILES = 8
-"""Dump files kept in a data folder, the oldest go first; chosen, not measured."""
+"""Number of dump files kept in a data folder; older ones are deleted."""
 
 STREAM_LEVEL = 20
-"""Records from this level on (loguru's INFO) go to the log stream too, if there is one."""
+"""Minimum level (loguru's INFO) of records that also go to the log stream."""
 
 DUMP_FOLDER = "logs"
 _DUMP_PREFIX = "ring-"
 
 
 class LogRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One record. ``time`` is in seconds since the epoch."""
+    """A log record; ``time`` is in Unix seconds."""
 
     time: float
     level: str
@@ -50,7 +50,7 @@
 
 
 class DumpHeader(msgspec.Struct, frozen=True, tag="dump"):
-    """First line of a dump. ``dropped`` counts records that the ring had to forget."""
+    """First line of a dump; ``dropped`` is the number of records overwritten in the ring."""
 
     program: str
     node: str
@@ -71,7 +71,7 @@
         self.data_folder: Path | None = None
 
     def add(self, record: LogRecord) -> None:
-        """Keep ``record``, forgetting the oldest one where the ring is full."""
+        """Append ``record``; overwrites the oldest one if the ring is full."""
         self._records.append(record)
         self._total += 1
 
@@ -80,11 +80,11 @@
         return tuple(self._records)
 
     def encode(self, reason: str) -> bytes:
-        """Return a header and the records as JSON lines."""
+        """Encode a header and the records as JSON lines."""
         header = DumpHeader(
             program=self.program,
             node=self.node,
-            reason=_cut(reason),
+            reason=_truncate(reason),
             time=time.time(),
             records=len(self._records),
             dropped=self._total - len(self._records),
@@ -92,13 +92,13 @@
         return msgspec.json.Encoder().encode_lines([header, *self._records])
 
     def dump(self, reason: str) -> Path | None:
-        """Write the ring out; return the file, or None where it went to standard error."""
+        """Dump the ring; return the file, or None if it was written to standard error."""
         data = self.encode(reason)
         if self.data_folder is not None:
             try:
                 return self._write_file(self.data_folder / DUMP_FOLDER, data)
             except OSError as error:
-                sys.stderr.write(f"log ring can't be written to the data folder: {error}\n")
+                sys.stderr.write(f"cannot write the log ring to {self.data_folder}: {error}\n")
         sys.stderr.write(data.decode("utf-8", "replace"))
         sys.stderr.flush()
         return None
@@ -107,8 +107,8 @@
         folder.mkdir(parents=True, exist_ok=True)
         path = folder / f"{_DUMP_PREFIX}{time.time_ns()}.jsonl"
         path.write_bytes(data)
-        for old in sorted(folder.glob(f"{_DUMP_PREFIX}*.jsonl"))[:-MAX_DUMP_FILES]:
-            old.unlink(missing_ok=True)
+        for old_dump in sorted(folder.glob(f"{_DUMP_PREFIX}*.jsonl"))[:-MAX_DUMP_FILES]:
+            old_dump.unlink(missing_ok=True)
         return path
 
 
@@ -118,18 +118,18 @@
 def configure(
     program: str, node: str, data_folder: str | Path | None, capacity: int = DEFAULT_CAPACITY
 ) -> Ring:
-    """Send this process's log records into a new ring and return the ring.
+    """Route the log records of this process to a new ring and return it.
 
     Parameters
     ----------
     program, node
-        Named in each dump.
+        Written to the header of each dump.
     data_folder
-        Dumps go to its ``logs`` folder; None or empty for standard error.
+        Dumps are written to its ``logs`` folder; None or empty means standard error.
     capacity
-        Records kept.
+        Number of records kept.
     """
-    global _ring  # noqa: PLW0603 - a process has one ring, as it has one standard error
+    global _ring  # noqa: PLW0603 - one ring per process
     ring = Ring(capacity)
     ring.program = program
     ring.node = node
@@ -141,35 +141,37 @@
 
 
 def current() -> Ring:
-    """Return the process's ring."""
+    """Return the ring of this process."""
     return _ring
 
 
 def dump(reason: str) -> Path | None:
-    """Write the process's ring out; see :meth:`Ring.dump`."""
+    """Dump the ring of this process; see :meth:`Ring.dump`."""
     return _ring.dump(reason)
 
 
 def announce(text: str) -> None:
-    """Log a line of start or stop and print it to standard error."""
+    """Log a startup or shutdown message and print it to standard error."""
     logger.info(text)
     sys.stderr.write(redact(text) + "\n")
     sys.stderr.flush()
 
 
-def _cut(text: str) -> str:
-    """Bound ``text`` first, so that the search for secrets takes bounded time too."""
+def _truncate(text: str) -> str:
+    """Truncate and redact ``text``; truncating first bounds the time of the redaction."""
     return redact(text[:MAX_TEXT_CHARACTERS])[:MAX_TEXT_CHARACTERS]
 
 
-def _field(name: str, value: object) -> object:
+def _sanitize_field(name: str, value: object) -> object:
     if not isinstance(value, bool | int | float):
         value = str(value)[:MAX_TEXT_CHARACTERS]
     return redact_field(name, value)
 
 
-def _emit_state(at: float, level: str, module: str | None, text: str) -> None:
-    log_stream.emit(StateChanged(at, level.lower(), module or "", _cut(text)), is_failure=True)
+def _emit_state(timestamp: float, level: str, module: str | None, text: str) -> None:
+    log_stream.emit(
+        StateChanged(timestamp, level.lower(), module or "", _truncate(text)), is_failure=True
+    )
 
 
 def _sink(message: "Message") -> None:
@@ -179,14 +181,14 @@
             record["time"].timestamp(), record["level"].name, record["name"], record["message"]
         )
     exception = record["exception"]
-    fields = {str(key): _field(str(key), value) for key, value in record["extra"].items()}
+    fields = {str(key): _sanitize_field(str(key), value) for key, value in record["extra"].items()}
     _ring.add(
         LogRecord(
             time=record["time"].timestamp(),
             level=record["level"].name,
             module=record["name"] or "",
-            message=_cut(record["message"]),
+            message=_truncate(record["message"]),
             fields=fields,  # type: ignore[arg-type]
-            error=_cut(repr(exception.value)) if exception else "",
+            error=_truncate(repr(exception.value)) if exception else "",
         )
     )
--- a/tests/observability/test_admin.py
+++ b/tests/observability/test_admin.py
@@ -51,7 +51,9 @@
     assert "process_resident_memory_bytes" in text
 
 
-async def test_health_follows_the_program(base: str, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_health_reflects_the_program_state(
+    base: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert (await fetch(base, "/healthz"))[0] == 200
     monkeypatch.setattr(State, "health", Health(healthy=False, detail="no configuration"))
     status, text = await fetch(base, "/healthz")
@@ -59,7 +61,7 @@
     assert "no configuration" in text
 
 
-async def test_operator_reads_and_dumps_the_ring(base: str, tmp_path: Path) -> None:
+async def test_ring_can_be_read_and_dumped(base: str, tmp_path: Path) -> None:
     logger.info("seen")
     assert '"message":"seen"' in (await fetch(base, "/ring"))[1]
     status, text = await fetch(base, "/ring", "POST")
--- a/tests/observability/test_instruments.py
+++ b/tests/observability/test_instruments.py
@@ -1,4 +1,4 @@
-"""Numbers kept by a process, and the page made of them."""
+"""Instruments appear correctly on the metrics page."""
 
 import itertools
 import subprocess
@@ -12,27 +12,27 @@
 
 _numbers = itertools.count()
 
-LIBRARIES_NOT_NEEDED_AT_A_START = ("prometheus_client", "http.server", "aiohttp", "grpc", "email")
+LAZILY_LOADED_LIBRARIES = ("prometheus_client", "http.server", "aiohttp", "grpc", "email")
 
 
-def name() -> str:
-    """Return a name that no other metric of this process has."""
+def unique_name() -> str:
+    """Return an unused metric name."""
     return f"finchshed_test_{next(_numbers)}"
 
 
-def page() -> list[str]:
+def page_lines() -> list[str]:
     registry = CollectorRegistry()
     registry.register(InstrumentCollector())
     return generate_latest(registry).decode().splitlines()
 
 
 def test_a_counter_with_labels_counts_each_combination() -> None:
-    counted = name()
+    counted = unique_name()
     counter = Counter(f"{counted}_total", "Things", ["kind", "size"])
     counter.labels("a", "b").inc()
     counter.labels("a", "b").inc(2)
     counter.labels("c", 'q"d').inc()
-    lines = page()
+    lines = page_lines()
     assert f'{counted}_total{{kind="a",size="b"}} 3.0' in lines
     assert f'{counted}_total{{kind="c",size="q\\"d"}} 1.0' in lines
     assert f"# TYPE {counted}_total counter" in lines
@@ -42,23 +42,23 @@
         counter.labels("a")
 
 
-def test_a_metric_without_labels_is_there_from_the_start() -> None:
-    counted, told = name(), name()
+def test_a_metric_without_labels_is_reported_before_its_first_update() -> None:
+    counted, current = unique_name(), unique_name()
     Counter(counted, "Things")
-    gauge = Gauge(told, "A value")
-    assert f"{counted}_total 0.0" in page()
+    gauge = Gauge(current, "A value")
+    assert f"{counted}_total 0.0" in page_lines()
     gauge.set(True)
     gauge.inc()
     gauge.dec(0.5)
-    assert f"{told} 1.5" in page()
+    assert f"{current} 1.5" in page_lines()
 
 
-def test_a_histogram_counts_up_to_and_with_each_bound() -> None:
-    seen = name()
+def test_histogram_bounds_are_inclusive() -> None:
+    seen = unique_name()
     histogram = Histogram(seen, "Times", buckets=(0.1, 1))
     for amount in (0.1, 0.5, 3.0):
         histogram.observe(amount)
-    lines = page()
+    lines = page_lines()
     assert f'{seen}_bucket{{le="0.1"}} 1.0' in lines
     assert f'{seen}_bucket{{le="1.0"}} 2.0' in lines
     assert f'{seen}_bucket{{le="+Inf"}} 3.0' in lines
@@ -66,16 +66,16 @@
     assert f"{seen}_sum 3.6" in lines
 
 
-def test_facts_and_a_name_declared_twice() -> None:
-    facts = name()
+def test_info_metric_and_duplicate_name() -> None:
+    facts = unique_name()
     Info(facts, "Facts").info({"zone": "a"})
-    assert f'{facts}_info{{zone="a"}} 1.0' in page()
+    assert f'{facts}_info{{zone="a"}} 1.0' in page_lines()
     with pytest.raises(ValueError, match="twice"):
         Gauge(facts, "Again")
 
 
 @pytest.mark.parametrize("program", ["daemon", "control"])
-def test_a_start_loads_no_library_that_it_can_do_without(program: str) -> None:
+def test_startup_does_not_load_optional_libraries(program: str) -> None:
     script = f"import sys, finchshed_platform.{program}_program; print(*sys.modules)"
     command = [sys.executable, "-S", "-c", script]
     loaded = subprocess.run(
@@ -85,4 +85,4 @@
         text=True,
         check=True,
     ).stdout.split()
-    assert not set(LIBRARIES_NOT_NEEDED_AT_A_START) & set(loaded)
+    assert not set(LAZILY_LOADED_LIBRARIES) & set(loaded)
--- a/tests/observability/test_log_stream.py
+++ b/tests/observability/test_log_stream.py
@@ -1,4 +1,4 @@
-"""The log stream: bounded, never waited for, and honest about what it left out."""
+"""The log stream is bounded, never blocks the process and reports dropped lines."""
 
 import asyncio
 import json
@@ -23,76 +23,76 @@
 
 
 class Reader:
-    """Takes up to ``room`` bytes at a time."""
+    """Accepts up to ``capacity`` bytes per write."""
 
-    def __init__(self, room: int = 1 << 20) -> None:
-        self.room = room
-        self.taken = b""
+    def __init__(self, capacity: int = 1 << 20) -> None:
+        self.capacity = capacity
+        self.written = b""
 
     def __call__(self, data: bytes) -> int:
-        if not self.room:
+        if not self.capacity:
             raise BlockingIOError
-        part = data[: self.room]
-        self.taken += part
+        part = data[: self.capacity]
+        self.written += part
         return len(part)
 
     def records(self) -> list[dict[str, object]]:
-        return [json.loads(line) for line in self.taken.splitlines()]
+        return [json.loads(line) for line in self.written.splitlines()]
 
 
-def line(number: int) -> StateChanged:
+def state_change(number: int) -> StateChanged:
     return StateChanged(float(number), "info", "tests", f"line {number:06d}")
 
 
-SIZE = len(json.dumps({"event": "state"})) + 70
+LINE_SIZE = len(json.dumps({"event": "state"})) + 70
 
 
-def test_lines_come_out_whole_and_in_order() -> None:
-    reader = Reader(room=37)
+def test_lines_are_written_whole_and_in_order() -> None:
+    reader = Reader(capacity=37)
     stream = LogStream(reader, Clock())
     for number in range(10):
-        assert stream.offer(line(number))
+        assert stream.offer(state_change(number))
     for _ in range(100):
         stream.flush()
     assert [record["time"] for record in reader.records()] == [float(n) for n in range(10)]
 
 
-def test_the_volume_is_bounded_and_failures_come_first() -> None:
+def test_the_rate_is_limited_and_failures_have_a_reserve() -> None:
     clock, reader = Clock(), Reader()
     stream = LogStream(reader, clock, bytes_per_second=1000, burst_bytes=4000)
-    taken = sum(stream.offer(line(number)) for number in range(200))
-    assert 0 < taken < 30
-    failures = sum(stream.offer(line(number), is_failure=True) for number in range(200))
+    accepted = sum(stream.offer(state_change(number)) for number in range(200))
+    assert 0 < accepted < 30
+    failures = sum(stream.offer(state_change(number), is_failure=True) for number in range(200))
     assert failures > 0
     stream.flush()
-    assert len(reader.taken) < 4000 + 2 * SIZE
+    assert len(reader.written) < 4000 + 2 * LINE_SIZE
     assert reader.records()[-1] == {
         "event": "lines_left_out",
         "time": pytest.approx(time.time(), abs=60),
-        "lines": 400 - taken - failures,
+        "lines": 400 - accepted - failures,
     }
     clock.now = 4.0
-    assert stream.offer(line(1))
+    assert stream.offer(state_change(1))
 
 
-def test_a_reader_that_stops_reading_costs_lines_and_nothing_else() -> None:
-    reader = Reader(room=0)
+def test_a_stalled_reader_only_causes_dropped_lines() -> None:
+    reader = Reader(capacity=0)
     stream = LogStream(reader, Clock(), burst_bytes=1 << 30, buffer_bytes=5000)
     began = time.monotonic()
     for number in range(20_000):
-        stream.offer(line(number))
+        stream.offer(state_change(number))
         stream.flush()
     assert time.monotonic() - began < 5.0
     assert stream.dropped > 19_000
-    reader.room = 1 << 20
+    reader.capacity = 1 << 20
     stream.flush()
     stream.flush()
-    left_out = [item for item in reader.records() if item["event"] == "lines_left_out"]
-    assert len(left_out) == 1
-    assert len(reader.records()) - 1 + int(str(left_out[0]["lines"])) == 20_000
+    reports = [item for item in reader.records() if item["event"] == "lines_left_out"]
+    assert len(reports) == 1
+    assert len(reader.records()) - 1 + int(str(reports[0]["lines"])) == 20_000
 
 
-def test_a_full_pipe_holds_no_process_up() -> None:
+def test_a_full_pipe_does_not_block_the_process() -> None:
     program = (
         "from finchshed.observability import log_stream\n"
         "from finchshed.observability.decisions import StateChanged\n"
@@ -120,27 +120,27 @@
 
 def test_without_a_stream_nothing_is_written() -> None:
     assert not log_stream.is_enabled()
-    log_stream.emit(line(1))
+    log_stream.emit(state_change(1))
     assert os.get_blocking(sys.__stdout__.fileno()) in {True, False}
 
 
-async def test_lines_are_flushed_soon_and_no_timer_runs_without_any() -> None:
+async def test_lines_are_flushed_after_the_interval_also_from_other_threads() -> None:
     loop = asyncio.get_running_loop()
     written: list[bytes] = []
 
-    def take(data: bytes) -> int:
+    def write(data: bytes) -> int:
         written.append(data)
         return len(data)
 
-    stream = LogStream(take)
+    stream = LogStream(write)
     log_stream.schedule_flushes(loop, stream)
     await asyncio.sleep(3 * log_stream.FLUSH_SECONDS)
     assert written == []
-    stream.offer(line(1))
-    await loop.run_in_executor(None, stream.offer, line(2))
+    stream.offer(state_change(1))
+    await loop.run_in_executor(None, stream.offer, state_change(2))
     await asyncio.sleep(2 * log_stream.FLUSH_SECONDS)
     assert b"".join(written).count(b"\n") == 2
-    await loop.run_in_executor(None, stream.offer, line(2))
+    await loop.run_in_executor(None, stream.offer, state_change(2))
     await asyncio.sleep(2 * log_stream.FLUSH_SECONDS)
     assert b"".join(written).count(b"\n") == 3
     assert not stream.is_waiting
--- a/tests/observability/test_metrics_page.py
+++ b/tests/observability/test_metrics_page.py
@@ -1,4 +1,4 @@
-"""The page of metrics names what the programs register, and alarms on nothing else."""
+"""The operations page lists exactly the registered metrics, and alarms use only those."""
 
 import os
 import re
@@ -28,7 +28,7 @@
 
 
 def registered(program: str) -> set[str]:
-    """Return the names of the metrics that a process of ``program`` serves."""
+    """Return the names of the metrics served by ``program``."""
     done = subprocess.run(
         [sys.executable, "-c", NAMES_OF_PROGRAM, program],
         env={**os.environ, "PYTHONPATH": str(ROOT / "src")},
@@ -51,16 +51,16 @@
 
 
 @pytest.mark.parametrize("program", SECTIONS)
-def test_the_page_names_each_metric_of_a_program(program: str) -> None:
+def test_the_page_lists_the_metrics_of_each_program(program: str) -> None:
     assert rows(SECTIONS[program]) | rows(COMMON_SECTION) == registered(program)
 
 
-def test_no_metric_stands_twice() -> None:
+def test_no_metric_is_listed_twice() -> None:
     listed = [name for title in [*SECTIONS.values(), COMMON_SECTION] for name in rows(title)]
     assert sorted(listed) == sorted(set(listed))
 
 
-def test_each_alarm_is_on_a_metric_that_exists() -> None:
+def test_each_alarm_uses_an_existing_metric() -> None:
     known = set().union(*(rows(title) for title in [*SECTIONS.values(), COMMON_SECTION]))
     alarms = [line for line in section("Alarms").splitlines() if line.startswith("| ")][1:]
     assert len(alarms) > 10
--- a/tests/observability/test_process_checks.py
+++ b/tests/observability/test_process_checks.py
@@ -9,11 +9,11 @@
 from finchshed.observability import process_checks
 
 
-def test_own_process_has_no_io_uring() -> None:
+def test_this_process_has_no_io_uring() -> None:
     process_checks.require_no_io_uring()
 
 
-def test_io_uring_descriptor_is_a_broken_invariant(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_io_uring_descriptor_violates_an_invariant(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         process_checks, "_descriptor_targets", lambda _process: ["anon_inode:[io_uring]"]
     )
--- a/tests/observability/test_real_processes.py
+++ b/tests/observability/test_real_processes.py
@@ -1,4 +1,4 @@
-"""The log ring of real processes: written out when asked for, and free of secrets."""
+"""Log ring dumps of real processes are written on request and contain no secrets."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
 WAIT_SECONDS = 20.0
 CALLER_SECRET = "caller-secret-7f3a9"
 
-BREAKING_PROGRAM = """
+VIOLATING_PROGRAM = """
 import sys
 from finchshed.common.errors import InvariantError
 from finchshed.runtime.process import run_process
@@ -41,13 +41,13 @@
     return msgspec.json.decode(dump.read_bytes().splitlines()[0], type=ring.DumpHeader)
 
 
-def files_holding(folder: Path, secret: str) -> list[Path]:
+def files_containing(folder: Path, secret: str) -> list[Path]:
     files = (path for path in folder.rglob("*") if path.is_file())
     return [path for path in files if secret in path.read_text(errors="replace")]
 
 
 async def test_a_daemon_dumps_on_a_signal_and_on_request_without_secrets(tmp_path: Path) -> None:
-    # Both daemons of the deployment share the folder: their dumps' names differ by their times.
+    # Both daemons share the folder; dump names contain timestamps.
     async with deployment(flags={"data-folder": str(tmp_path)}) as system:
         daemon = system.daemons[0]
         answered = await system.ask(
@@ -60,13 +60,13 @@
         daemon.signal(signal.SIGUSR1)
         await eventually(lambda: len(dumps_in(tmp_path)) == 1)
         async with system.session.post(f"http://{daemon.admin_address}/ring") as response:
-            told = await response.json()
+            answer = await response.json()
         assert response.status == 200
-        assert Path(told["path"]) in dumps_in(tmp_path)
+        assert Path(answer["path"]) in dumps_in(tmp_path)
     reasons = [header_of(dump).reason for dump in dumps_in(tmp_path)]
     assert reasons == ["asked for by signal", "asked for by an operator"]
     assert header_of(dumps_in(tmp_path)[0]).node == daemon.node
-    assert files_holding(tmp_path, CALLER_SECRET) == []
+    assert files_containing(tmp_path, CALLER_SECRET) == []
 
 
 def test_a_control_node_dumps_for_an_operator_without_secrets(
@@ -94,9 +94,9 @@
             assert secret not in text, path
 
 
-def test_a_broken_invariant_ends_a_process_with_its_ring_written_out(tmp_path: Path) -> None:
+def test_an_invariant_violation_stops_a_process_and_dumps_the_ring(tmp_path: Path) -> None:
     done = subprocess.run(
-        [sys.executable, "-c", BREAKING_PROGRAM, str(tmp_path)],
+        [sys.executable, "-c", VIOLATING_PROGRAM, str(tmp_path)],
         env={**os.environ, "PYTHONPATH": str(SOURCE)},
         capture_output=True,
         text=True,
@@ -109,12 +109,12 @@
     assert "hidden-value" not in dump.read_text() + done.stderr
 
 
-async def test_a_running_daemon_shows_who_it_is_and_its_limit() -> None:
+async def test_a_running_daemon_reports_its_identity_and_limit() -> None:
     async with deployment() as system, asyncio.timeout(WAIT_SECONDS):
         daemon = system.daemons[0]
         limit = 0.0
         while limit == 0.0:
-            text = await metrics_of(system.session, daemon.admin_address)
+            text = await fetch_metrics(system.session, daemon.admin_address)
             lines = dict(line.rsplit(" ", 1) for line in text.splitlines() if line[0] != "#")
             limit = float(lines["finchshed_concurrency_limit"])
             await asyncio.sleep(0.1)
@@ -123,6 +123,6 @@
     assert f'zone="{daemon.zone}"' in info
 
 
-async def metrics_of(session: aiohttp.ClientSession, address: str) -> str:
+async def fetch_metrics(session: aiohttp.ClientSession, address: str) -> str:
     async with session.get(f"http://{address}/metrics") as response:
         return await response.text()
--- a/tests/observability/test_ring.py
+++ b/tests/observability/test_ring.py
@@ -28,7 +28,7 @@
     ]
 
 
-def test_ring_keeps_only_the_last_records_and_counts_the_rest(tmp_path: Path) -> None:
+def test_ring_keeps_the_latest_records_and_counts_dropped_ones(tmp_path: Path) -> None:
     ring.configure("daemon", "n1", tmp_path, capacity=10)
     for number in range(25):
         logger.info("record {}", number)
@@ -39,13 +39,13 @@
     assert (header["program"], header["node"], header["reason"]) == ("daemon", "n1", "test")
 
 
-def test_long_messages_are_cut(tmp_path: Path) -> None:
+def test_long_messages_are_truncated(tmp_path: Path) -> None:
     current = ring.configure("daemon", "n1", tmp_path)
     logger.info("x" * 100_000)
     assert len(current.records()[0].message) == ring.MAX_TEXT_CHARACTERS
 
 
-def test_old_dumps_are_removed(tmp_path: Path) -> None:
+def test_old_dumps_are_deleted(tmp_path: Path) -> None:
     ring.configure("daemon", "n1", tmp_path)
     for number in range(ring.MAX_DUMP_FILES + 3):
         ring.dump(str(number))
@@ -86,19 +86,21 @@
     return run_process(main, "daemon", "n1", str(tmp_path))
 
 
-def test_broken_invariant_dumps_and_stops_with_its_code(tmp_path: Path) -> None:
+def test_an_invariant_violation_dumps_the_ring_and_sets_the_exit_code(tmp_path: Path) -> None:
     assert run_failing(tmp_path, InvariantError("lost count")) == 4
     ((header, *_),) = dumps_in(tmp_path)
     assert header["reason"] == "broken invariant: lost count"
 
 
-def test_unexpected_error_dumps_and_stops_with_its_code(tmp_path: Path) -> None:
+def test_an_unexpected_error_dumps_the_ring_and_sets_the_exit_code(tmp_path: Path) -> None:
     assert run_failing(tmp_path, ValueError("odd")) == 4
     ((header, *_),) = dumps_in(tmp_path)
     assert "ValueError('odd')" in str(header["reason"])
 
 
-def test_an_address_in_use_is_no_fault(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_address_in_use_is_not_a_fault(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     async def listen_twice(_: ProcessControl) -> None:
         loop = asyncio.get_running_loop()
         first = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
@@ -115,12 +117,12 @@
     assert "address already in use" in last
 
 
-def test_another_error_of_the_system_is_a_fault(tmp_path: Path) -> None:
+def test_another_os_error_is_a_fault(tmp_path: Path) -> None:
     assert run_failing(tmp_path, OSError(errno.EMFILE, "too many open files")) == ExitCode.FAULT
     assert len(dumps_in(tmp_path)) == 1
 
 
-def test_broken_invariant_in_a_callback_stops_the_process(tmp_path: Path) -> None:
+def test_an_invariant_violation_in_a_callback_stops_the_process(tmp_path: Path) -> None:
     def break_invariant() -> None:
         raise InvariantError("in a callback")
 
@@ -132,7 +134,7 @@
     assert len(dumps_in(tmp_path)) == 1
 
 
-def test_unexpected_error_in_a_callback_dumps_and_the_process_goes_on(tmp_path: Path) -> None:
+def test_an_unexpected_error_in_a_callback_does_not_stop_the_process(tmp_path: Path) -> None:
     def fail() -> None:
         raise ValueError("odd")
 
@@ -147,10 +149,10 @@
     assert len(dumps_in(tmp_path)) == 1
 
 
-def test_signals_dump_the_ring_and_ask_for_a_planned_stop(
+def test_signals_dump_the_ring_and_request_a_graceful_shutdown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stopped_as_planned = []
+    stopped_gracefully = []
     dump_written = asyncio.Event()
     write_dump = ring.dump
 
@@ -165,15 +167,15 @@
         await dump_written.wait()
         os.kill(os.getpid(), signal.SIGTERM)
         await control.stop_requested.wait()
-        stopped_as_planned.append(True)
+        stopped_gracefully.append(True)
 
     assert run_process(main, "daemon", "n1", str(tmp_path)) == 0
-    assert stopped_as_planned == [True]
+    assert stopped_gracefully == [True]
     ((header, *_),) = dumps_in(tmp_path)
     assert header["reason"] == "asked for by signal"
 
 
-def test_second_stop_signal_stops_at_once(tmp_path: Path) -> None:
+def test_a_second_stop_signal_stops_immediately(tmp_path: Path) -> None:
     async def main(control: ProcessControl) -> None:
         os.kill(os.getpid(), signal.SIGTERM)
         await control.stop_requested.wait()
