--- a/src/finchshed/fleet/deployment.py
+++ b/src/finchshed/fleet/deployment.py
@@ -12,7 +12,7 @@
 
 from finchshed.common.errors import SettingsError
 from finchshed.configuration.resources import Name
-from finchshed.standins.settings import CallOn, Count, Phase, Seconds, StandinLoad
+from finchshed.standins.settings import Count, DownstreamCall, Phase, Seconds, StandinLoad
 
 EXAMPLE_NETWORK = "127.1."
 """Beginning of every address in a deployment's files."""
@@ -46,7 +46,7 @@
     name: Name
     service_time_seconds: Seconds
     answer_bytes: Count = 512
-    calls: tuple[CallOn, ...] = ()
+    calls: tuple[DownstreamCall, ...] = ()
 
 
 class CallerGroup(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/finchshed/fleet/editions.py
+++ b/src/finchshed/fleet/editions.py
@@ -6,11 +6,15 @@
 
 from collections.abc import Iterable, Iterator
 
-from finchshed.standins.downloads import EDITION_CHANGED_STATUS, PART_STATUS, WHOLE_STATUS
+from finchshed.standins.downloads import (
+    FULL_CONTENT_STATUS,
+    PARTIAL_CONTENT_STATUS,
+    PRECONDITION_FAILED_STATUS,
+)
 from finchshed.standins.records import CallerOutcome, CallerRecord
 
 NAME = "downloads of one edition"
-NEW_EDITION = frozenset({EDITION_CHANGED_STATUS, WHOLE_STATUS})
+NEW_EDITION = frozenset({PRECONDITION_FAILED_STATUS, FULL_CONTENT_STATUS})
 """Statuses that tell a caller, who asked for a range, of another edition."""
 
 
@@ -49,7 +53,7 @@
             continue
         if attempt.status in NEW_EDITION or attempt.offset == 0:
             parts = []
-        if attempt.status in {PART_STATUS, WHOLE_STATUS}:
+        if attempt.status in {PARTIAL_CONTENT_STATUS, FULL_CONTENT_STATUS}:
             parts.append(attempt.edition)
         if len(set(parts)) > 1:
             yield f"{attempt.call}: parts of editions {', '.join(sorted(set(parts)))}"
--- a/src/finchshed/fleet/final_configuration.py
+++ b/src/finchshed/fleet/final_configuration.py
@@ -16,7 +16,7 @@
 from finchshed.ctl.client import OperatorClient
 from finchshed.fleet.observer import FleetObserver
 from finchshed.fleet.plan import FleetPlan
-from finchshed.standins.operator import POLICY, OperatorRecord, StandinChangeOutcome
+from finchshed.standins.operator import POLICY_KEY, OperatorRecord, StandinChangeOutcome
 
 READ_TIMEOUT_SECONDS = 5.0
 """How long a control node may take to answer; chosen, not measured."""
@@ -43,7 +43,7 @@
         return None
     finally:
         client.close()
-    policy = cast(Policy, current.resources[POLICY])
+    policy = cast(Policy, current.resources[POLICY_KEY])
     return FinalConfiguration(current.revision, policy.key_window_seconds)
 
 
--- a/src/finchshed/standins/__init__.py
+++ b/src/finchshed/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for back ends, callers and the platform, used to run whole deployments for proof."""
+"""Simulated backends, callers, operators and platform for testing whole deployments."""
--- a/src/finchshed/standins/answers.py
+++ b/src/finchshed/standins/answers.py
@@ -1,8 +1,8 @@
-"""Answers whose wholeness and owner can be checked by who gets them.
+"""Response bodies that let the receiver detect truncated or misrouted responses.
 
-An ordinary answer starts with the identity of its request and is filled up with a pattern made
-from it. A download's bytes depend on its path and edition alone, so that ranges fetched from
-several back ends can be put together and checked; the identity is then in a header.
+An ordinary response body starts with the identity of its request and is padded with a pattern
+derived from it. The bytes of a download depend only on its path and edition, so that ranges
+fetched from several backends can be joined and verified; its identity is sent in a header.
 """
 
 import msgspec
@@ -11,24 +11,24 @@
 from finchshed.proof.history import HEADER_ANSWER_DIGEST
 
 HEADER_IDENTITY = "standin-identity"
-"""Header in which a request names itself, and its answer says whose it is."""
+"""Header that carries the request's identity; the response echoes it."""
 
-HEADER_RECEIVED = "standin-received"
-"""Digest of the request's body as the back end got it."""
+HEADER_REQUEST_DIGEST = "standin-received"
+"""Response header with the digest of the request body that the backend received."""
 
 PATTERN_BYTES = 16
-"""Length of a digest, which the pattern repeats."""
+"""Length of the repeated pattern, which is a digest."""
 
 
 class RangeRequest(msgspec.Struct, frozen=True):
-    """Bytes ``first`` to ``last``, both included (RFC 9110, 14.1.2)."""
+    """Inclusive byte range ``first`` to ``last`` (RFC 9110, 14.1.2)."""
 
     first: int
     last: int
 
 
 def answer_body(identity: str, size: int) -> bytes:
-    """Return the body of the whole answer to a request, at least ``size`` bytes long."""
+    """Return the complete response body for a request, at least ``size`` bytes long."""
     head = identity.encode() + b"\n"
     pattern = digest_of(head).encode()
     missing = max(0, size - len(head))
@@ -42,7 +42,7 @@
 
 
 def edition_bytes(path: str, edition: int, wanted: RangeRequest) -> bytes:
-    """Return a range of one edition of a download."""
+    """Return the bytes of a range of one edition of a download."""
     first_block = wanted.first // PATTERN_BYTES
     last_block = wanted.last // PATTERN_BYTES
     blocks = [
@@ -55,7 +55,7 @@
 
 
 def parse_range(header: str) -> RangeRequest | None:
-    """Return the single range of a Range header, or None if it isn't one."""
+    """Parse a Range header with one bounded byte range; return None for any other form."""
     unit, _, span = header.partition("=")
     first, _, last = span.partition("-")
     if unit.strip() != "bytes" or not first.isdigit() or not last.isdigit():
@@ -65,19 +65,21 @@
     return RangeRequest(first=int(first), last=int(last))
 
 
-def problem_of(identity: str, body: bytes, headers: dict[str, str], sent_body: bytes) -> str:
-    """Say why an ordinary answer isn't the whole answer to the request; empty if it is.
+def find_answer_problem(
+    identity: str, body: bytes, headers: dict[str, str], sent_body: bytes
+) -> str:
+    """Return why a response is not the complete response to the request, or an empty string.
 
     Parameters
     ----------
     headers
-        The answer's headers, names in lower case.
+        Response headers with lower-case names.
     """
     if headers.get(HEADER_IDENTITY) != identity:
         return f"answer names request {headers.get(HEADER_IDENTITY)!r}"
     if headers.get(HEADER_ANSWER_DIGEST) != digest_of(body):
         return "digest of the body differs"
-    if headers.get(HEADER_RECEIVED) != digest_of(sent_body):
+    if headers.get(HEADER_REQUEST_DIGEST) != digest_of(sent_body):
         return "back end got another request body"
     if body != answer_body(identity, len(body)):
         return "body is not the answer to this request"
--- a/src/finchshed/standins/arrivals.py
+++ b/src/finchshed/standins/arrivals.py
@@ -1,6 +1,6 @@
-"""Seeded open-loop arrivals: requests come whether or not earlier ones were answered.
+"""Generates open-loop arrivals, which do not wait for earlier requests to complete.
 
-Owns the order of the draws: one seed gives one list of arrivals.
+The order of the random draws is fixed, so a seed always gives the same arrivals.
 """
 
 import heapq
@@ -18,9 +18,9 @@
     Attributes
     ----------
     load
-        Place of its load in the settings.
+        Index of its load in the settings.
     caller
-        Number of the outside caller within the load.
+        Index of the external caller within the load.
     """
 
     at: float
@@ -33,7 +33,7 @@
 def schedule(
     loads: Sequence[StandinLoad], phases: Sequence[Phase], generator: numpy.random.Generator
 ) -> list[StandinArrival]:
-    """Return all arrivals of a run in order of time."""
+    """Return all arrivals of a run ordered by time."""
     streams = [
         list(_arrivals_of(index, load, phases, generator)) for index, load in enumerate(loads)
     ]
--- a/src/finchshed/standins/backend.py
+++ b/src/finchshed/standins/backend.py
@@ -1,7 +1,7 @@
-"""Stand-in back end: serves any path, works for a while, and records what it ran.
+"""Simulated backend that serves any path after a random service time and records each request.
 
-``/standin/...`` is for the fleet runner: slowing, draining, changing how the load is reported.
-``/health`` and ``/load`` are what the daemon beside it polls; they can lag or mislead.
+The fleet runner controls it through ``/standin/...`` (slow down, drain, misreport load). Its
+daemon polls ``/health`` and ``/load``, which can report stale or false values.
 """
 
 import asyncio
@@ -27,33 +27,32 @@
 from finchshed.link.digests import digest_of
 from finchshed.proof.history import HEADER_ANSWER_DIGEST, HEADER_ANSWER_ROOT, HEADER_CALL
 from finchshed.standins import answers, downloads
-from finchshed.standins.calling import ChildCalls, ChildRefusedError
-from finchshed.standins.load_reports import LoadReports
+from finchshed.standins.downstream_calls import DownstreamCallError, DownstreamCalls
+from finchshed.standins.load_reports import LoadReporter
 from finchshed.standins.records import BackendEvent, BackendRecord, RecordWriter, monotonic
+from finchshed.standins.service_time import ServiceTime
 from finchshed.standins.serving import start_site, stop_event
 from finchshed.standins.settings import BackendSettings, LoadReporting
 from finchshed.standins.slots import Slots
-from finchshed.standins.work import ServiceTime
 
 HEADER_DRAINING = "finchshed-draining"
 HEADER_RETRY_AFTER = "Retry-After"
 REFUSED_STATUS = 503
 DEADLINE_STATUS = 504
 DEFAULT_EDITION_BYTES = 1 << 20
-"""Size of a download whose request names none."""
+"""Size of a download whose request has no ``size`` parameter."""
 
 MAX_REQUEST_BYTES = 64 << 20
-"""As much as a service may declare to take (configuration/resources.py)."""
+"""Largest request body that a service may declare (configuration/resources.py)."""
 
-LEAVE_TIMEOUT_SECONDS = 30.0
-"""A drain ends at the latest after so long; chosen, not measured."""
+DRAIN_TIMEOUT_SECONDS = 30.0
+"""Maximum duration of a drain."""
 
 DRAIN_POLL_SECONDS = 0.05
-"""Between two looks whether the last request has ended; chosen, not measured."""
 
 
-class Incoming(msgspec.Struct, frozen=True):
-    """What a back end notes of a request."""
+class IncomingRequest(msgspec.Struct, frozen=True):
+    """Request metadata that a backend records."""
 
     call: str
     run: str
@@ -66,7 +65,7 @@
 
 
 class StandinBackend:
-    """One stand-in back end."""
+    """HTTP server that simulates one backend."""
 
     def __init__(self, settings: BackendSettings, session: aiohttp.ClientSession) -> None:
         generator = numpy.random.default_rng(settings.seed)
@@ -77,9 +76,9 @@
         self._run_prefix = f"{settings.name}:{os.getpid()}:"
         self._run_numbers = itertools.count(1)
         self._slots = Slots(settings.slots, settings.queue_limit)
-        self._reports = LoadReports(settings.load_reporting)
+        self._load_reporter = LoadReporter(settings.load_reporting)
         self._records = RecordWriter(settings.record_path)
-        self._children = ChildCalls(settings, session, self._records)
+        self._downstream_calls = DownstreamCalls(settings, session, self._records)
         self._service_time = ServiceTime(
             settings.service_time_seconds, settings.distribution, generator
         )
@@ -94,7 +93,7 @@
         return app
 
     def begin_drain(self) -> None:
-        """Start leaving: say so on each answer."""
+        """Start draining and announce it on each response."""
         if self._draining_since is None:
             self._draining_since = monotonic()
             self._records.write(
@@ -105,11 +104,11 @@
                 )
             )
 
-    async def drained(self) -> None:
-        """Wait until the grace has passed and nothing runs, or the drain's time is up."""
-        begun = monotonic()
-        deadline = begun + LEAVE_TIMEOUT_SECONDS
-        grace_ends = begun + self.settings.leave_grace_seconds
+    async def wait_drained(self) -> None:
+        """Wait until the grace period is over and no request is in flight, or until the timeout."""
+        started_at = monotonic()
+        deadline = started_at + DRAIN_TIMEOUT_SECONDS
+        grace_ends = started_at + self.settings.leave_grace_seconds
         while monotonic() < deadline:
             if self._slots.in_flight == 0 and monotonic() >= grace_ends:
                 return
@@ -120,22 +119,22 @@
         return web.json_response({"state": state}, headers=self._common_headers())
 
     async def _load(self, _: web.Request) -> web.Response:
-        in_flight = self._reports.report(self._slots.in_flight, monotonic())
+        in_flight = self._load_reporter.report(self._slots.in_flight, monotonic())
         body = {"in_flight": in_flight, "slots": self.settings.slots}
         return web.json_response(body, headers=self._common_headers())
 
     async def _command(self, request: web.Request) -> web.Response:
-        act = request.match_info["act"]
+        command = request.match_info["act"]
         value = request.query.get("value", "")
-        if act == "slow":
+        if command == "slow":
             self._service_time.slow_factor = float(value)
-        elif act == "drain":
+        elif command == "drain":
             self.begin_drain()
-        elif act == "report":
-            self._reports.reporting = LoadReporting(value)
-        elif act == "fail":
+        elif command == "report":
+            self._load_reporter.reporting = LoadReporting(value)
+        elif command == "fail":
             self._fail_fast = value == "1"
-        elif act == "edition":
+        elif command == "edition":
             self._edition = int(value)
         else:
             return web.Response(status=404)
@@ -144,9 +143,9 @@
     async def _serve(self, request: web.Request) -> web.Response:
         body = await request.read()
         run = f"{self._run_prefix}{next(self._run_numbers)}"
-        incoming = incoming_of(request.headers, request.path, run)
-        self._note(BackendEvent.ARRIVED, incoming)
-        refusal = self._refusal()
+        incoming = parse_incoming(request.headers, request.path, run)
+        self._record_event(BackendEvent.ARRIVED, incoming)
+        refusal = self._refusal_reason()
         if refusal:
             return self._refuse(incoming, refusal)
         try:
@@ -159,44 +158,50 @@
         finally:
             self._slots.release()
 
-    async def _run(self, request: web.Request, body: bytes, incoming: Incoming) -> web.Response:
-        self._note(BackendEvent.STARTED, incoming)
+    async def _run(
+        self, request: web.Request, body: bytes, incoming: IncomingRequest
+    ) -> web.Response:
+        self._record_event(BackendEvent.STARTED, incoming)
         if self._fail_fast:
-            self._note(BackendEvent.FAILED, incoming)
+            self._record_event(BackendEvent.FAILED, incoming)
             return web.Response(status=500, headers=self._common_headers())
         try:
             async with asyncio.timeout_at(self._loop_deadline(incoming)):
-                await self._children.call_all(incoming.run, request)
+                await self._downstream_calls.call_all(incoming.run, request)
                 await asyncio.sleep(self._service_time.draw())
         except TimeoutError:
-            self._note(BackendEvent.ABORTED, incoming, "deadline")
+            self._record_event(BackendEvent.ABORTED, incoming, "deadline")
             headers = {**self._common_headers(), HEADER_RAN: "unknown"}
             return web.Response(status=DEADLINE_STATUS, headers=headers)
         except asyncio.CancelledError:
-            self._note(BackendEvent.ABORTED, incoming, "cancelled")
+            self._record_event(BackendEvent.ABORTED, incoming, "cancelled")
             raise
-        except ChildRefusedError as error:
-            self._note(BackendEvent.FAILED, incoming, str(error))
+        except DownstreamCallError as error:
+            self._record_event(BackendEvent.FAILED, incoming, str(error))
             return self._dependency_failed(error)
-        self._note(BackendEvent.FINISHED, incoming)
+        self._record_event(BackendEvent.FINISHED, incoming)
         return self._answer(request, body, incoming)
 
-    def _answer(self, request: web.Request, body: bytes, incoming: Incoming) -> web.Response:
+    def _answer(self, request: web.Request, body: bytes, incoming: IncomingRequest) -> web.Response:
         headers = self._common_headers()
         identity = request.headers.get(answers.HEADER_IDENTITY, incoming.call)
         headers[answers.HEADER_IDENTITY] = identity
         headers[HEADER_ANSWER_ROOT] = incoming.root
-        headers[answers.HEADER_RECEIVED] = digest_of(body)
-        wanted = answers.parse_range(request.headers.get("Range", ""))
-        if wanted is not None:
+        headers[answers.HEADER_REQUEST_DIGEST] = digest_of(body)
+        requested = answers.parse_range(request.headers.get("Range", ""))
+        if requested is not None:
             size = int(request.query.get("size", DEFAULT_EDITION_BYTES))
-            part = downloads.part_of(request.path, self._edition, size, wanted, request.headers)
-            return web.Response(status=part.status, body=part.body, headers=headers | part.headers)
+            download = downloads.download_response(
+                request.path, self._edition, size, requested, request.headers
+            )
+            return web.Response(
+                status=download.status, body=download.body, headers=headers | download.headers
+            )
         content = answers.answer_body(identity, self.settings.answer_bytes)
         headers[HEADER_ANSWER_DIGEST] = digest_of(content)
         return web.Response(body=content, headers=headers)
 
-    def _refusal(self) -> str:
+    def _refusal_reason(self) -> str:
         if self._slots.is_full:
             return "queue full"
         since = self._draining_since
@@ -204,12 +209,12 @@
             return "leaving"
         return ""
 
-    def _refuse(self, incoming: Incoming, detail: str) -> web.Response:
-        self._note(BackendEvent.REFUSED, incoming, detail)
+    def _refuse(self, incoming: IncomingRequest, detail: str) -> web.Response:
+        self._record_event(BackendEvent.REFUSED, incoming, detail)
         headers = {**self._common_headers(), HEADER_RAN: "no", HEADER_RETRY_AFTER: "1"}
         return web.Response(status=REFUSED_STATUS, headers=headers, text=detail)
 
-    def _dependency_failed(self, error: ChildRefusedError) -> web.Response:
+    def _dependency_failed(self, error: DownstreamCallError) -> web.Response:
         headers = {**self._common_headers(), HEADER_RAN: "unknown"}
         headers[HEADER_RETRY_AFTER] = error.retry_after or "1"
         return web.Response(status=REFUSED_STATUS, headers=headers, text=str(error))
@@ -217,11 +222,13 @@
     def _common_headers(self) -> dict[str, str]:
         return {HEADER_DRAINING: "1"} if self._draining_since is not None else {}
 
-    def _loop_deadline(self, incoming: Incoming) -> float:
+    def _loop_deadline(self, incoming: IncomingRequest) -> float:
         left = incoming.deadline - monotonic()
         return asyncio.get_running_loop().time() + max(0.0, left)
 
-    def _note(self, event: BackendEvent, incoming: Incoming, detail: str = "") -> None:
+    def _record_event(
+        self, event: BackendEvent, incoming: IncomingRequest, detail: str = ""
+    ) -> None:
         now = monotonic()
         since = self._draining_since
         self._records.write(
@@ -243,11 +250,11 @@
         )
 
 
-def incoming_of(headers: Mapping[str, str], path: str, run: str) -> Incoming:
-    """Return what to note of a request with these headers."""
+def parse_incoming(headers: Mapping[str, str], path: str, run: str) -> IncomingRequest:
+    """Return the metadata of a request with these headers."""
     deadline_ms = headers.get(HEADER_DEADLINE, "")
     seconds = float(deadline_ms) / 1000.0 if deadline_ms else 60.0
-    return Incoming(
+    return IncomingRequest(
         call=headers.get(HEADER_CALL, ""),
         run=run,
         root=headers.get(HEADER_ROOT, ""),
@@ -260,22 +267,22 @@
 
 
 async def run_backend(settings: BackendSettings) -> int:
-    """Serve until SIGTERM, then drain; SIGINT ends at once. Returns the exit code."""
-    leaving = stop_event((signal.SIGTERM,))
-    ended = stop_event((signal.SIGINT,))
+    """Serve until SIGTERM, then drain; SIGINT stops immediately. Return the exit code."""
+    terminated = stop_event((signal.SIGTERM,))
+    interrupted = stop_event((signal.SIGINT,))
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         backend = StandinBackend(settings, session)
         runner = await start_site(backend.application(), settings.address)
-        await _first_of(leaving.wait(), ended.wait())
-        if leaving.is_set():
+        await _wait_first(terminated.wait(), interrupted.wait())
+        if terminated.is_set():
             backend.begin_drain()
-            await _first_of(backend.drained(), ended.wait())
+            await _wait_first(backend.wait_drained(), interrupted.wait())
         await runner.cleanup()
     return 0
 
 
-async def _first_of(*waits: Coroutine[Any, Any, Any]) -> None:
+async def _wait_first(*waits: Coroutine[Any, Any, Any]) -> None:
     tasks = [asyncio.create_task(wait) for wait in waits]
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
--- a/src/finchshed/standins/caller.py
+++ b/src/finchshed/standins/caller.py
@@ -1,7 +1,7 @@
-"""Stand-in caller: sends requests at seeded times and checks that each answer is its own.
+"""Simulated caller: sends requests at seeded times and verifies each response.
 
-Arrivals are open-loop: a slow answer holds nothing back. Every request that got no whole answer
-is repeated as its load's habit says: after what the refusal asked for, at once, or not at all.
+Arrivals are open-loop, so a slow response does not delay later requests. A request without a
+complete response is retried after the delay given by the refusal, or after the load's own backoff.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 from finchshed.proof.history import HEADER_CALL
 from finchshed.standins import answers
 from finchshed.standins.arrivals import StandinArrival, schedule
-from finchshed.standins.downloads import EDITION_CHANGED_STATUS, WHOLE_STATUS
+from finchshed.standins.downloads import FULL_CONTENT_STATUS, PRECONDITION_FAILED_STATUS
 from finchshed.standins.outgoing import (
-    Outgoing,
+    OutgoingRequest,
     StandinReply,
     attempt_record,
-    is_final,
-    may_repeat,
-    path_of,
-    problem_of,
+    find_reply_problem,
+    is_permanent_refusal,
+    may_retry,
+    request_target,
 )
 from finchshed.standins.records import (
     AttemptRecord,
@@ -36,35 +36,35 @@
     monotonic,
 )
 from finchshed.standins.serving import stop_event
-from finchshed.standins.settings import CallerSettings, RetryHabit, StandinLoad
+from finchshed.standins.settings import CallerSettings, RetryBehavior, StandinLoad
 
-PATIENCE_SECONDS = 5.0
-"""How much longer than its deadline a caller waits for an answer; chosen, not measured."""
+RESPONSE_GRACE_SECONDS = 5.0
+"""How long a caller waits for a response beyond the request's deadline."""
 
 MAX_CONNECTIONS = 512
-"""More than the callers of the examples have open at a surge; chosen, not measured."""
+"""Limit of open connections, above what callers of the examples need during a surge."""
 
 
 class StandinCaller:
-    """Sends the requests of one caller process."""
+    """Sends the requests of one caller process and records their outcomes."""
 
     def __init__(self, settings: CallerSettings, session: aiohttp.ClientSession) -> None:
         self.settings = settings
         self._session = session
         self._records = RecordWriter(settings.record_path)
-        self._entropy = random.Random(settings.seed)
+        self._random = random.Random(settings.seed)
         self._session_endpoints: dict[tuple[str, str], str] = {}
-        """Endpoint of each session as last received, by service and session."""
+        """Last endpoint received for each (service, session)."""
 
     async def run(self, stopped: asyncio.Event, begin_at: float) -> None:
-        """Send all arrivals, the first phase from ``begin_at`` on, then wait for the last."""
+        """Send all requests, starting the first phase at ``begin_at``, and wait for them to end."""
         arrivals = self._arrivals()
-        begun = max(begin_at, monotonic())
+        started_at = max(begin_at, monotonic())
         async with asyncio.TaskGroup() as group:
             for arrival in arrivals:
-                delay = begun + arrival.at - monotonic()
+                delay = started_at + arrival.at - monotonic()
                 if delay > 0.0:
-                    await _sleep_unless(stopped, delay)
+                    await _sleep_until_stopped(stopped, delay)
                 if stopped.is_set():
                     break
                 group.create_task(self._serve_arrival(arrival))
@@ -76,60 +76,60 @@
     async def _serve_arrival(self, arrival: StandinArrival) -> None:
         load = self.settings.loads[arrival.load]
         request = f"{self.settings.name}-{arrival.number}"
-        outgoing = Outgoing(
+        outgoing = OutgoingRequest(
             request=request,
             load=load,
             phase=arrival.phase,
             caller=f"{self.settings.name}-{load.name}-{arrival.caller}",
-            key=new_key(time.time(), self._entropy) if load.keyed else "",
+            key=new_key(time.time(), self._random) if load.keyed else "",
             session=f"{request}-{self.settings.seed}" if load.download_bytes else "",
         )
-        begun = monotonic()
+        started_at = monotonic()
         if load.download_bytes:
             attempts = await self._download(outgoing)
         else:
             attempts, _ = await self._attempts(outgoing)
-        self._write(outgoing, begun, attempts)
+        self._write(outgoing, started_at, attempts)
 
-    async def _download(self, outgoing: Outgoing) -> list[AttemptRecord]:
-        """Fetch a download in ranges within one session; begin anew if the edition changes.
+    async def _download(self, outgoing: OutgoingRequest) -> list[AttemptRecord]:
+        """Fetch a download in ranges within one session; restart it if the edition changes.
 
-        A download that leaves its edition to the system begins anew at the next edge when one
-        gives no answer: only the edge that it came in at knows which edition it has.
+        Only the edge that served the earlier ranges knows the edition of an unconditional
+        download, so such a download restarts at the next edge if an edge does not respond.
         """
         load = outgoing.load
         numbers = itertools.count()
         attempts: list[AttemptRecord] = []
         validator = ""
         offset = 0
-        edge = 0
+        edge_index = 0
         while offset < load.download_bytes:
             last = min(offset + load.range_bytes, load.download_bytes) - 1
-            part = msgspec.structs.replace(
+            range_request = msgspec.structs.replace(
                 outgoing,
                 request=f"{outgoing.request}-{next(numbers)}",
                 wanted=answers.RangeRequest(first=offset, last=last),
                 validator=validator,
             )
-            made, reply = await self._attempts(part, edge)
-            attempts += made
-            if made[-1].outcome is not CallerOutcome.ANSWERED:
-                edge += 1
-                if load.conditional or edge == len(self.settings.edge_addresses):
+            new_attempts, reply = await self._attempts(range_request, edge_index)
+            attempts += new_attempts
+            if new_attempts[-1].outcome is not CallerOutcome.ANSWERED:
+                edge_index += 1
+                if load.conditional or edge_index == len(self.settings.edge_addresses):
                     break
                 validator, offset = "", 0
                 continue
-            if reply.status == EDITION_CHANGED_STATUS:
+            if reply.status == PRECONDITION_FAILED_STATUS:
                 validator, offset = "", 0
                 continue
-            if reply.status == WHOLE_STATUS:
+            if reply.status == FULL_CONTENT_STATUS:
                 break
             validator = reply.headers.get("etag", "")
             offset = last + 1
         return attempts
 
     async def _attempts(
-        self, outgoing: Outgoing, home: int = 0
+        self, outgoing: OutgoingRequest, edge_index: int = 0
     ) -> tuple[list[AttemptRecord], StandinReply]:
         load = outgoing.load
         session = (load.service, outgoing.session)
@@ -137,28 +137,28 @@
         attempts: list[AttemptRecord] = []
         for number in itertools.count():
             call = f"{outgoing.request}/{number}"
-            edge = self._edge(load, home, number)
-            begun = monotonic()
+            edge = self._edge(load, edge_index, number)
+            started_at = monotonic()
             headers = outgoing.headers(self._session_endpoints.get(session, ""))
             reply = await self._send(load, edge, {**headers, HEADER_CALL: call}, body)
             if outgoing.session and HEADER_SESSION_AT in reply.headers:
                 self._session_endpoints[session] = reply.headers[HEADER_SESSION_AT]
-            problem = problem_of(outgoing, reply, body)
-            record = attempt_record(call, edge, begun, reply, problem)
+            problem = find_reply_problem(outgoing, reply, body)
+            record = attempt_record(call, edge, started_at, reply, problem)
             if outgoing.wanted is not None:
                 record = msgspec.structs.replace(record, offset=outgoing.wanted.first)
             attempts.append(record)
-            if record.outcome is CallerOutcome.ANSWERED or is_final(record):
+            if record.outcome is CallerOutcome.ANSWERED or is_permanent_refusal(record):
                 break
-            if not may_repeat(load, number):
+            if not may_retry(load, number):
                 break
             await asyncio.sleep(self._pause(load, record))
         return attempts, reply
 
-    def _edge(self, load: StandinLoad, home: int, number: int) -> str:
+    def _edge(self, load: StandinLoad, edge_index: int, number: int) -> str:
         edges = self.settings.edge_addresses
         if load.download_bytes and not load.conditional:
-            return edges[home]
+            return edges[edge_index]
         return edges[number % len(edges)]
 
     async def _send(
@@ -166,11 +166,11 @@
     ) -> StandinReply:
         delay = self.settings.client_delay_seconds
         await asyncio.sleep(delay)
-        timeout = aiohttp.ClientTimeout(total=load.deadline_seconds + PATIENCE_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=load.deadline_seconds + RESPONSE_GRACE_SECONDS)
         try:
             async with self._session.request(
                 load.method,
-                f"http://{edge}{path_of(load)}",
+                f"http://{edge}{request_target(load)}",
                 headers=headers,
                 data=body or None,
                 timeout=timeout,
@@ -185,11 +185,13 @@
         return StandinReply(status=response.status, headers=received, body=content)
 
     def _pause(self, load: StandinLoad, record: AttemptRecord) -> float:
-        if load.retry is RetryHabit.HARD:
-            return load.backoff_seconds * (0.5 + self._entropy.random())
+        if load.retry is RetryBehavior.HARD:
+            return load.backoff_seconds * (0.5 + self._random.random())
         return record.retry_after
 
-    def _write(self, outgoing: Outgoing, begun: float, attempts: list[AttemptRecord]) -> None:
+    def _write(
+        self, outgoing: OutgoingRequest, started_at: float, attempts: list[AttemptRecord]
+    ) -> None:
         problems = [attempt.problem for attempt in attempts if attempt.problem]
         self._records.write(
             CallerRecord(
@@ -198,7 +200,7 @@
                 phase=outgoing.phase,
                 service=outgoing.load.service,
                 caller=outgoing.caller,
-                begun=begun,
+                begun=started_at,
                 ended=monotonic(),
                 outcome=attempts[-1].outcome,
                 attempts=tuple(attempts),
@@ -210,7 +212,7 @@
         )
 
 
-async def _sleep_unless(stopped: asyncio.Event, seconds: float) -> None:
+async def _sleep_until_stopped(stopped: asyncio.Event, seconds: float) -> None:
     try:
         await asyncio.wait_for(stopped.wait(), seconds)
     except TimeoutError:
--- a/src/finchshed/standins/command.py
+++ b/src/finchshed/standins/command.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins, which the fleet runner starts."""
+"""Command line of the simulated processes that the fleet runner starts."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Mapping
@@ -20,25 +20,25 @@
 
 
 def backend(settings: str) -> int:
-    """Run a stand-in back end until SIGTERM; SETTINGS is its TOML file."""
+    """Run a simulated backend until SIGTERM; SETTINGS is its TOML file."""
     return _run(run_backend(load(BackendSettings, settings)))
 
 
 def caller(settings: str, begin_at: float = 0.0) -> int:
-    """Send all requests of a stand-in caller; SETTINGS is its TOML file.
+    """Send all requests of a simulated caller; SETTINGS is its TOML file.
 
-    BEGIN_AT is when the first phase begins, on the machine's monotonic clock (default: now).
+    BEGIN_AT is the start of the first phase on the machine's monotonic clock (default: now).
     """
     return _run(run_caller(load(CallerSettings, settings), begin_at))
 
 
 def platform(settings: str) -> int:
-    """Serve a lagging list of machines until SIGTERM; SETTINGS is its TOML file."""
+    """Serve a delayed list of instances until SIGTERM; SETTINGS is its TOML file."""
     return _run(run_platform(load(PlatformSettings, settings)))
 
 
 def operator(settings: str) -> int:
-    """Make changes of the configuration one after another; SETTINGS is its TOML file."""
+    """Submit configuration changes one after another; SETTINGS is its TOML file."""
     return run_operator(load(OperatorSettings, settings))
 
 
--- a/src/finchshed/standins/downloads.py
+++ b/src/finchshed/standins/downloads.py
@@ -1,7 +1,7 @@
-"""A back end's answer to a request for a range of one edition of a download.
+"""Builds a backend's response to a range request for a download.
 
-Conditions are those of RFC 9110: under If-Match another edition is refused (13.1.1), under
-If-Range it is sent whole in place of the range (13.1.5).
+Follows RFC 9110: if the edition differs, If-Match gives 412 (13.1.1), and If-Range gives the
+complete new edition instead of the range (13.1.5).
 """
 
 from collections.abc import Mapping
@@ -12,50 +12,52 @@
 from finchshed.proof.history import HEADER_ANSWER_DIGEST
 from finchshed.standins import answers
 
-# Statuses of RFC 9110: 15.3.1, 15.3.7 and 15.5.13.
-WHOLE_STATUS = 200
-PART_STATUS = 206
-EDITION_CHANGED_STATUS = 412
+# RFC 9110: 15.3.1, 15.3.7 and 15.5.13.
+FULL_CONTENT_STATUS = 200
+PARTIAL_CONTENT_STATUS = 206
+PRECONDITION_FAILED_STATUS = 412
 
 
-class Part(msgspec.Struct, frozen=True):
-    """What is answered: a range, the whole, or neither."""
+class DownloadResponse(msgspec.Struct, frozen=True):
+    """A range, the complete content, or a failed precondition."""
 
     status: int
     body: bytes
     headers: dict[str, str]
 
 
-def part_of(
+def download_response(
     path: str,
     edition: int,
     size: int,
-    wanted: answers.RangeRequest,
-    asked: Mapping[str, str],
-) -> Part:
-    """Return the answer to a request for the bytes ``wanted`` of a download.
+    requested: answers.RangeRequest,
+    request_headers: Mapping[str, str],
+) -> DownloadResponse:
+    """Return the response to a request for the range ``requested`` of a download.
 
     Parameters
     ----------
     edition
-        The one that the back end holds.
+        Edition that the backend currently serves.
     size
-        Bytes of the whole.
-    asked
-        The request's headers.
+        Size of the complete download in bytes.
+    request_headers
+        Request headers.
     """
     tag = answers.edition_tag(path, edition)
-    if asked.get("If-Match", tag) != tag:
-        return _answer(EDITION_CHANGED_STATUS, b"", tag)
-    if asked.get("If-Range", tag) != tag:
+    if request_headers.get("If-Match", tag) != tag:
+        return _response(PRECONDITION_FAILED_STATUS, b"", tag)
+    if request_headers.get("If-Range", tag) != tag:
         whole = answers.RangeRequest(first=0, last=size - 1)
-        return _answer(WHOLE_STATUS, answers.edition_bytes(path, edition, whole), tag)
-    last = min(wanted.last, size - 1)
-    span = answers.RangeRequest(first=wanted.first, last=last)
-    part = _answer(PART_STATUS, answers.edition_bytes(path, edition, span), tag)
-    part.headers["Content-Range"] = f"bytes {span.first}-{span.last}/{size}"
-    return part
-
-
-def _answer(status: int, body: bytes, tag: str) -> Part:
-    return Part(status, body, {"ETag": tag, HEADER_ANSWER_DIGEST: digest_of(body)})
+        return _response(FULL_CONTENT_STATUS, answers.edition_bytes(path, edition, whole), tag)
+    last = min(requested.last, size - 1)
+    available = answers.RangeRequest(first=requested.first, last=last)
+    response = _response(
+        PARTIAL_CONTENT_STATUS, answers.edition_bytes(path, edition, available), tag
+    )
+    response.headers["Content-Range"] = f"bytes {available.first}-{available.last}/{size}"
+    return response
+
+
+def _response(status: int, body: bytes, tag: str) -> DownloadResponse:
+    return DownloadResponse(status, body, {"ETag": tag, HEADER_ANSWER_DIGEST: digest_of(body)})
--- a/src/finchshed/standins/calling.py
+++ b/src/finchshed/standins/downstream_calls.py
@@ -1,6 +1,6 @@
-"""Calls a stand-in back end makes on to further services, through its own daemon.
+"""Calls that a simulated backend makes to other services through its own daemon.
 
-Owns the names of these calls and their records; relies on the daemon for repeats and budgets.
+Assigns the identity of each call and records it. Retries and retry budgets are left to the daemon.
 """
 
 import asyncio
@@ -14,23 +14,23 @@
 from finchshed.proof.history import HEADER_ANSWER_ROOT, HEADER_CALL
 from finchshed.standins import answers
 from finchshed.standins.records import BackendEvent, BackendRecord, RecordWriter, monotonic
-from finchshed.standins.settings import BackendSettings, CallOn
+from finchshed.standins.settings import BackendSettings, DownstreamCall
 
 CONTEXT_PREFIX = "finchshed-"
-SUCCESS_BELOW = 400
-"""Statuses from here on are refusals and errors (RFC 9110, 15)."""
+FIRST_ERROR_STATUS = 400
+"""Lowest status of client and server errors (RFC 9110, 15)."""
 
 
-class ChildRefusedError(Exception):
-    """A further service gave no whole answer."""
+class DownstreamCallError(Exception):
+    """A downstream service refused a call or failed."""
 
     def __init__(self, service: str, status: int, retry_after: str) -> None:
         super().__init__(f"{service} answered {status}")
         self.retry_after = retry_after
 
 
-class CallEnd(msgspec.Struct, frozen=True):
-    """How a call on to another service ended."""
+class DownstreamCallResult(msgspec.Struct, frozen=True):
+    """Result of a call to a downstream service."""
 
     status: int = 0
     ran: str = ""
@@ -39,8 +39,8 @@
     problem: str = ""
 
 
-class ChildCalls:
-    """Makes the calls a request needs, all at once."""
+class DownstreamCalls:
+    """Makes all downstream calls of a request concurrently."""
 
     def __init__(
         self, settings: BackendSettings, session: aiohttp.ClientSession, records: RecordWriter
@@ -52,12 +52,12 @@
         self._records = records
 
     async def call_all(self, run: str, request: web.Request) -> None:
-        """Make all calls that ``run`` needs to serve ``request``.
+        """Make all downstream calls that ``run`` needs to serve ``request``.
 
         Raises
         ------
-        ChildRefusedError
-            If a service refused or failed.
+        DownstreamCallError
+            If a service refused a call, failed or could not be reached.
         """
         context = {
             name.lower(): value
@@ -65,7 +65,7 @@
             if name.lower().startswith(CONTEXT_PREFIX)
         }
         numbers = itertools.count()
-        results = await asyncio.gather(
+        outcomes = await asyncio.gather(
             *(
                 self._call(call, run, f"{run}/{next(numbers)}", context)
                 for call in self._calls
@@ -73,42 +73,51 @@
             ),
             return_exceptions=True,
         )
-        for result in results:
-            if isinstance(result, BaseException):
-                raise result
+        for outcome in outcomes:
+            if isinstance(outcome, BaseException):
+                raise outcome
 
-    async def _call(self, call: CallOn, run: str, name: str, context: dict[str, str]) -> None:
+    async def _call(
+        self, call: DownstreamCall, run: str, name: str, context: dict[str, str]
+    ) -> None:
         headers = {
             **context,
             HEADER_SERVICE: call.service,
             HEADER_CALL: name,
             answers.HEADER_IDENTITY: name,
         }
-        self._note(BackendEvent.CALL_BEGAN, call, run, name)
+        self._record_event(BackendEvent.CALL_BEGAN, call, run, name)
         try:
             async with self._session.get(self._base + call.path, headers=headers) as response:
                 body = await response.read()
         except aiohttp.ClientError as error:
-            self._note(BackendEvent.CALL_ENDED, call, run, name, CallEnd(ran="unknown"))
-            raise ChildRefusedError(call.service, 0, "") from error
+            self._record_event(
+                BackendEvent.CALL_ENDED, call, run, name, DownstreamCallResult(ran="unknown")
+            )
+            raise DownstreamCallError(call.service, 0, "") from error
         received = {key.lower(): value for key, value in response.headers.items()}
-        succeeded = response.status < SUCCESS_BELOW
-        ended = CallEnd(
+        succeeded = response.status < FIRST_ERROR_STATUS
+        result = DownstreamCallResult(
             status=response.status,
             ran=received.get(HEADER_RAN, "yes" if succeeded else "unknown"),
             reason=received.get(HEADER_REASON, ""),
             root=received.get(HEADER_ANSWER_ROOT, ""),
-            problem=answers.problem_of(name, body, received, b"") if succeeded else "",
+            problem=answers.find_answer_problem(name, body, received, b"") if succeeded else "",
         )
-        self._note(BackendEvent.CALL_ENDED, call, run, name, ended)
+        self._record_event(BackendEvent.CALL_ENDED, call, run, name, result)
         if not succeeded:
             retry_after = received.get("retry-after", "")
-            raise ChildRefusedError(call.service, response.status, retry_after)
-
-    def _note(
-        self, event: BackendEvent, call: CallOn, run: str, name: str, ended: CallEnd | None = None
+            raise DownstreamCallError(call.service, response.status, retry_after)
+
+    def _record_event(
+        self,
+        event: BackendEvent,
+        call: DownstreamCall,
+        run: str,
+        name: str,
+        result: DownstreamCallResult | None = None,
     ) -> None:
-        ended = ended or CallEnd()
+        result = result or DownstreamCallResult()
         self._records.write(
             BackendRecord(
                 at=monotonic(),
@@ -116,11 +125,11 @@
                 event=event,
                 call=name,
                 run=run,
-                root=ended.root,
+                root=result.root,
                 service=call.service,
-                status=ended.status,
-                ran=ended.ran,
-                reason=ended.reason,
-                problem=ended.problem,
+                status=result.status,
+                ran=result.ran,
+                reason=result.reason,
+                problem=result.problem,
             )
         )
--- a/src/finchshed/standins/operator.py
+++ b/src/finchshed/standins/operator.py
@@ -1,8 +1,7 @@
-"""Stand-in operator: makes changes one after another and records the answers.
+"""Simulated operator: submits configuration changes one after another and records the results.
 
-Each change sets the policy's key window to a value of its own, so that the configuration in
-force tells which accepted change it came from. A change whose answer is lost is sent again under
-the same identity until it is answered.
+Each change sets the policy's key window to a distinct value, so the value in force identifies the
+change that set it. A change without a response is resubmitted with the same change ID.
 """
 
 import enum
@@ -20,19 +19,19 @@
 from finchshed.standins.records import RecordWriter, monotonic
 from finchshed.standins.settings import OperatorSettings
 
-POLICY = ResourceKey("policy", "default")
-REQUEST_SECONDS = 5.0
-"""How long one request to the control nodes may take; chosen, not measured."""
+POLICY_KEY = ResourceKey("policy", "default")
+REQUEST_TIMEOUT_SECONDS = 5.0
+"""Timeout of one request to the control nodes."""
 
 BASE_VALUE_SECONDS = 600.0
-"""A change's number is added to this to get the key window it sets."""
+"""Key window set by change 0; change N sets this plus N seconds."""
 
-PATIENCE_SECONDS = 60.0
-"""A change not answered for so long is given up; chosen, not measured."""
+CHANGE_TIMEOUT_SECONDS = 60.0
+"""Time after which an unanswered change is abandoned."""
 
 
 class StandinChangeOutcome(enum.StrEnum):
-    """What a stand-in operator knows of a change that it submitted."""
+    """Outcome of a submitted change as known to the operator."""
 
     SUBMITTED = "submitted"
     ACCEPTED = "accepted"
@@ -42,12 +41,12 @@
 
 
 class OperatorRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One submission of a change, or its answer.
+    """A submission of a change, or its result.
 
     Attributes
     ----------
     value
-        The key window that the change sets, seconds.
+        Key window that the change sets, in seconds.
     """
 
     at: float
@@ -59,81 +58,85 @@
     revision: int = 0
 
 
-class _ChangeToMake(msgspec.Struct, frozen=True):
-    identity: str
+class _PendingChange(msgspec.Struct, frozen=True):
+    change_id: str
     expected: int
     policy: Policy
     value: float
 
 
 class StandinOperator:
-    """Makes the changes of one stand-in operator."""
+    """Submits the changes of one simulated operator."""
 
     def __init__(self, settings: OperatorSettings) -> None:
         self._settings = settings
         self._records = RecordWriter(settings.record_path)
-        self._client = OperatorClient(settings.rpc_addresses, settings.token, REQUEST_SECONDS)
+        self._client = OperatorClient(
+            settings.rpc_addresses, settings.token, REQUEST_TIMEOUT_SECONDS
+        )
 
     def run(self) -> int:
-        """Make all changes; return the exit code: 1 if one was never answered."""
-        unanswered = 0
+        """Submit all changes; return 1 if any was not accepted, else 0."""
+        not_accepted = 0
         for number in range(self._settings.changes):
             if self._settings.pause_seconds:
                 time.sleep(self._settings.pause_seconds)
-            unanswered += not self._change(self._settings.first_number + number)
+            not_accepted += not self._change(self._settings.first_number + number)
         self._client.close()
-        return 1 if unanswered else 0
+        return 1 if not_accepted else 0
 
     def _change(self, number: int) -> bool:
-        """Make one change, anew after each conflict; return whether it was accepted."""
-        deadline = monotonic() + PATIENCE_SECONDS
+        """Submit one change, retrying after conflicts; return whether it was accepted."""
+        deadline = monotonic() + CHANGE_TIMEOUT_SECONDS
         attempt = 0
         while monotonic() < deadline:
             attempt += 1
-            identity = f"{self._settings.name}-{number}-{attempt}"
-            outcome = self._submit(identity, number, deadline)
+            change_id = f"{self._settings.name}-{number}-{attempt}"
+            outcome = self._submit(change_id, number, deadline)
             if outcome is not StandinChangeOutcome.CONFLICT:
                 return outcome is StandinChangeOutcome.ACCEPTED
         return False
 
-    def _submit(self, identity: str, number: int, deadline: float) -> StandinChangeOutcome:
-        held = self._revision(deadline)
-        if held is None:
+    def _submit(self, change_id: str, number: int, deadline: float) -> StandinChangeOutcome:
+        current = self._read_current(deadline)
+        if current is None:
             return StandinChangeOutcome.UNKNOWN
         value = BASE_VALUE_SECONDS + number
-        return self._send(_ChangeToMake(identity, held[0], held[1], value), deadline)
+        return self._send(_PendingChange(change_id, current[0], current[1], value), deadline)
 
-    def _send(self, change: "_ChangeToMake", deadline: float) -> StandinChangeOutcome:
-        """Send a change until it is answered; return the answer."""
+    def _send(self, change: "_PendingChange", deadline: float) -> StandinChangeOutcome:
+        """Send a change until a control node responds; return the outcome."""
         policy = msgspec.structs.replace(change.policy, key_window_seconds=change.value)
         changed = Difference((policy,), ())
-        self._note(change, StandinChangeOutcome.SUBMITTED, 0)
+        self._record(change, StandinChangeOutcome.SUBMITTED, 0)
         while monotonic() < deadline:
             try:
-                result = submit(self._client, change.identity, change.expected, changed)
+                result = submit(self._client, change.change_id, change.expected, changed)
             except ControlUnavailableError:
                 continue
             outcome, accepted = _outcome_of(result)
-            self._note(change, outcome, accepted)
+            self._record(change, outcome, accepted)
             return outcome
-        self._note(change, StandinChangeOutcome.UNKNOWN, 0)
+        self._record(change, StandinChangeOutcome.UNKNOWN, 0)
         return StandinChangeOutcome.UNKNOWN
 
-    def _revision(self, deadline: float) -> tuple[int, Policy] | None:
+    def _read_current(self, deadline: float) -> tuple[int, Policy] | None:
         while monotonic() < deadline:
             try:
                 current = read_in_force(self._client)
             except ControlUnavailableError:
                 continue
-            return current.revision, cast(Policy, current.resources[POLICY])
+            return current.revision, cast(Policy, current.resources[POLICY_KEY])
         return None
 
-    def _note(self, change: "_ChangeToMake", outcome: StandinChangeOutcome, revision: int) -> None:
+    def _record(
+        self, change: "_PendingChange", outcome: StandinChangeOutcome, revision: int
+    ) -> None:
         self._records.write(
             OperatorRecord(
                 at=monotonic(),
                 operator=self._settings.name,
-                change_id=change.identity,
+                change_id=change.change_id,
                 expected_revision=change.expected,
                 value=change.value,
                 outcome=outcome,
@@ -151,5 +154,5 @@
 
 
 def run_operator(settings: OperatorSettings) -> int:
-    """Make the changes of ``settings``; return the exit code: 1 if one was never answered."""
+    """Submit the changes of ``settings``; return 1 if any was not accepted, else 0."""
     return StandinOperator(settings).run()
--- a/src/finchshed/standins/outgoing.py
+++ b/src/finchshed/standins/outgoing.py
@@ -1,6 +1,6 @@
-"""One request of a stand-in caller: what it sends, what came back, and whether it is its own.
+"""Requests of a simulated caller: headers, verification of replies, and outcomes.
 
-Owns the rules by which a caller counts an answer as whole, as a refusal, or as a failure.
+Classifies each attempt as answered, refused or failed.
 """
 
 import msgspec
@@ -19,19 +19,19 @@
 )
 from finchshed.proof.history import HEADER_ANSWER_DIGEST, HEADER_ANSWER_ROOT
 from finchshed.standins import answers
-from finchshed.standins.downloads import EDITION_CHANGED_STATUS, WHOLE_STATUS
+from finchshed.standins.downloads import FULL_CONTENT_STATUS, PRECONDITION_FAILED_STATUS
 from finchshed.standins.records import AttemptRecord, CallerOutcome, monotonic
 from finchshed.standins.settings import StandinLoad
 
-SUCCESS_BELOW = 400
-"""Statuses from here on are refusals and errors (RFC 9110, 15)."""
+FIRST_ERROR_STATUS = 400
+"""Lowest status of client and server errors (RFC 9110, 15)."""
 
 FINAL_STATUSES = frozenset({400, 404, 409, 413, 422})
-"""Statuses of refusals that a resend would get again (RFC 9110, 15.5)."""
+"""Statuses of refusals that a retry cannot change (RFC 9110, 15.5)."""
 
 
 class StandinReply(msgspec.Struct, frozen=True):
-    """What came back over HTTP; ``status`` 0 if nothing whole did."""
+    """An HTTP response; ``status`` is 0 if no complete response was received."""
 
     status: int
     headers: dict[str, str]
@@ -39,8 +39,8 @@
     error: str = ""
 
 
-class Outgoing(msgspec.Struct, frozen=True, kw_only=True):
-    """A request, or one range of a download, that a caller wants answered."""
+class OutgoingRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """A request, or one range of a download, sent by a caller."""
 
     request: str
     load: StandinLoad
@@ -53,17 +53,17 @@
 
     @property
     def identity(self) -> str:
-        """What the answer must name: the key, or the request where it has none.
+        """Identity that the response must echo: the idempotency key, or else the request ID.
 
-        Both stay over the request's attempts, as an attempt may join an earlier one in progress,
-        and a resend of a keyed request gets the answer of the attempt that ran.
+        It is the same for all attempts, because an attempt may join an earlier one in progress
+        and a retry of a keyed request gets the response of the attempt that ran.
         """
         return self.key or self.request
 
     def headers(self, session_endpoint: str = "") -> dict[str, str]:
-        """Return an attempt's headers.
+        """Return the headers of an attempt.
 
-        ``session_endpoint`` is where its session runs, if an earlier answer said so.
+        ``session_endpoint`` is the endpoint of its session, if an earlier response named one.
         """
         headers = {
             HEADER_SERVICE: self.load.service,
@@ -85,49 +85,52 @@
         return headers
 
 
-def path_of(load: StandinLoad) -> str:
-    """Return the path with its query."""
+def request_target(load: StandinLoad) -> str:
+    """Return the path and query to request."""
     if load.download_bytes:
         return f"{load.path}?size={load.download_bytes}"
     return load.path
 
 
-def is_final(record: AttemptRecord) -> bool:
-    """Whether the same request would get the same refusal again: none says when to come back."""
+def is_permanent_refusal(record: AttemptRecord) -> bool:
+    """Whether a retry would be refused again with the same status."""
     return record.outcome is CallerOutcome.REFUSED and record.status in FINAL_STATUSES
 
 
-def may_repeat(load: StandinLoad, number: int) -> bool:
-    """Whether attempt ``number`` may be followed by another."""
+def may_retry(load: StandinLoad, number: int) -> bool:
+    """Whether the load allows another attempt after attempt ``number``, counted from 0."""
     return number + 1 < load.max_attempts
 
 
-def _is_answer(reply: StandinReply) -> bool:
-    return 0 < reply.status < SUCCESS_BELOW or reply.status == EDITION_CHANGED_STATUS
+def _is_answered(reply: StandinReply) -> bool:
+    return 0 < reply.status < FIRST_ERROR_STATUS or reply.status == PRECONDITION_FAILED_STATUS
 
 
-def problem_of(outgoing: Outgoing, reply: StandinReply, sent: bytes) -> str:
-    """Say why an answer isn't this request's whole answer; empty if it is, or is none."""
-    if not _is_answer(reply):
+def find_reply_problem(outgoing: OutgoingRequest, reply: StandinReply, sent: bytes) -> str:
+    """Return why a reply is not the complete response to the request.
+
+    The result is empty for a valid response, a refusal or a failure.
+    """
+    if not _is_answered(reply):
         return ""
     if outgoing.wanted is not None:
         return _range_problem(outgoing, reply)
-    return answers.problem_of(outgoing.identity, reply.body, reply.headers, sent)
+    return answers.find_answer_problem(outgoing.identity, reply.body, reply.headers, sent)
 
 
-def _range_problem(outgoing: Outgoing, reply: StandinReply) -> str:
-    named = reply.headers.get(answers.HEADER_IDENTITY)
-    if named != outgoing.identity:
-        return f"answer names request {named!r}"
-    if reply.status == EDITION_CHANGED_STATUS:
+def _range_problem(outgoing: OutgoingRequest, reply: StandinReply) -> str:
+    reply_identity = reply.headers.get(answers.HEADER_IDENTITY)
+    if reply_identity != outgoing.identity:
+        return f"answer names request {reply_identity!r}"
+    if reply.status == PRECONDITION_FAILED_STATUS:
         return ""
     tag = reply.headers.get("etag", "")
     edition = tag.strip('"').rpartition("-")[2]
     if not edition.isdigit():
         return f"answer has no edition: {tag!r}"
     wanted = outgoing.wanted
-    if reply.status == WHOLE_STATUS:
-        # Instead of a range of the edition asked for: all of another one (RFC 9110, 13.1.5).
+    if reply.status == FULL_CONTENT_STATUS:
+        # If-Range failed: the reply is the complete new edition (RFC 9110, 13.1.5).
         wanted = answers.RangeRequest(first=0, last=outgoing.load.download_bytes - 1)
     elif outgoing.validator and tag != outgoing.validator:
         return f"edition changed from {outgoing.validator} to {tag}"
@@ -141,8 +144,8 @@
 def attempt_record(
     call: str, edge: str, begun: float, reply: StandinReply, problem: str
 ) -> AttemptRecord:
-    """Return the record of an attempt that has just ended."""
-    answered = _is_answer(reply)
+    """Return the record of an attempt that ends now."""
+    answered = _is_answered(reply)
     ran = "yes" if answered else reply.headers.get(HEADER_RAN, "unknown")
     outcome = CallerOutcome.FAILED
     if answered:
--- a/src/finchshed/standins/platform.py
+++ b/src/finchshed/standins/platform.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform: a lagging list of live and leaving machines.
+"""Simulated platform: serves a delayed list of live and leaving instances.
 
-``GET /instances`` tells the list as it was ``lag_seconds`` ago; ``PUT /instances`` (the fleet
-runner's) sets what is true now.
+``GET /instances`` returns the list as it was ``lag_seconds`` ago. The fleet runner sets the
+current list with ``PUT /instances``.
 """
 
 import collections
@@ -16,14 +16,14 @@
 
 
 class StandinInstanceState(enum.StrEnum):
-    """What the platform says of a machine."""
+    """State of an instance as reported by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class StandinInstance(msgspec.Struct, frozen=True):
-    """One machine of the list."""
+    """One entry of the instance list."""
 
     name: str
     address: str
@@ -31,43 +31,43 @@
     state: StandinInstanceState
 
 
-class LaggingList:
-    """Shows each version of the list only after the lag has passed."""
+class DelayedInstanceList:
+    """Publishes each version of the list after a fixed delay."""
 
     def __init__(self, lag_seconds: float) -> None:
         self._lag_seconds = lag_seconds
-        self._shown: tuple[StandinInstance, ...] = ()
+        self._published: tuple[StandinInstance, ...] = ()
         self._pending: collections.deque[tuple[float, tuple[StandinInstance, ...]]] = (
             collections.deque()
         )
 
     def replace(self, instances: tuple[StandinInstance, ...], now: float) -> None:
-        """Set what is true from ``now`` on."""
+        """Set the list that is published ``lag_seconds`` after ``now``."""
         self._pending.append((now + self._lag_seconds, instances))
 
-    def shown(self, now: float) -> tuple[StandinInstance, ...]:
-        """Return what the platform tells at ``now``."""
+    def published(self, now: float) -> tuple[StandinInstance, ...]:
+        """Return the list published at ``now``."""
         while self._pending and self._pending[0][0] <= now:
-            _, self._shown = self._pending.popleft()
-        return self._shown
+            _, self._published = self._pending.popleft()
+        return self._published
 
 
 async def run_platform(settings: PlatformSettings) -> int:
     """Serve the list until a stop signal; return the exit code."""
-    instances = LaggingList(settings.lag_seconds)
-    first = True
+    instances = DelayedInstanceList(settings.lag_seconds)
+    is_initial = True
 
     async def get(_: web.Request) -> web.Response:
-        body = msgspec.json.encode(instances.shown(monotonic()))
+        body = msgspec.json.encode(instances.published(monotonic()))
         return web.Response(body=body, content_type="application/json")
 
     async def put(request: web.Request) -> web.Response:
-        nonlocal first
+        nonlocal is_initial
         replacement = msgspec.json.decode(await request.read(), type=tuple[StandinInstance, ...])
         now = monotonic()
-        # The first list is what the platform knew before the run began: it has no lag.
-        instances.replace(replacement, now - settings.lag_seconds if first else now)
-        first = False
+        # The initial list describes the state before the run, so it is published without delay.
+        instances.replace(replacement, now - settings.lag_seconds if is_initial else now)
+        is_initial = False
         return web.Response(status=204)
 
     app = web.Application()
--- a/src/finchshed/standins/records.py
+++ b/src/finchshed/standins/records.py
@@ -1,8 +1,8 @@
-"""Append-only records of what stand-ins did, as JSON lines.
+"""Append-only JSON Lines records of the simulated processes.
 
-Each line is one ``write`` to a file opened for appending, so a record written before a process is
-killed is whole and stays. Times are seconds of the machine's monotonic clock, which all processes
-of one machine share.
+Each record is one ``write`` to a file opened for appending, so records written before a process
+is killed are complete. Times are seconds of the monotonic clock that all processes of a machine
+share.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 
 class BackendEvent(enum.StrEnum):
-    """What happened to a request at a back end."""
+    """Event in the life of a backend or of a request it serves."""
 
     ARRIVED = "arrived"
     REFUSED = "refused"
@@ -34,21 +34,20 @@
 
 
 class BackendRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One event at a back end.
+    """One event at a backend.
 
     Attributes
     ----------
     call
-        Name of the call that brought the request; a call made on its behalf appends a part for
-        each hop.
+        ID of the call that carried the request; a downstream call appends a suffix per hop.
     run
-        Names one run of a request at this back end, or is empty.
+        ID of one execution of a request at this backend, or empty.
     draining_seconds
-        How long the back end had been leaving, or -1 when it wasn't.
+        Time since the backend began to drain, or -1 if it is not draining.
     service
-        The back end's own, or the one called on.
+        The backend's own service, or the called service for events of downstream calls.
     status, ran, reason, problem
-        Of a call that a run makes on to another service: how it ended.
+        Result of a downstream call.
     """
 
     at: float
@@ -71,7 +70,7 @@
 
 
 class CallerOutcome(enum.StrEnum):
-    """How a request ended for its caller."""
+    """Outcome of a request as seen by its caller."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -79,18 +78,18 @@
 
 
 class AttemptRecord(msgspec.Struct, frozen=True, omit_defaults=True, tag="attempt"):
-    """One attempt of an outside caller's request, written when it has ended.
+    """One completed attempt of a request from an external caller.
 
     Attributes
     ----------
     ran
-        What the answer said: ``yes``, ``no`` or ``unknown``.
+        Whether the request ran, according to the response: ``yes``, ``no`` or ``unknown``.
     edition
-        Validator (ETag) of the part or whole of a download that was answered.
+        Validator (ETag) of the download in the response.
     offset
-        First byte of a download that was asked for.
+        First requested byte of a download.
     problem
-        Why an answer was not the whole answer to this request; empty if it was.
+        Why the response is not the complete response to this request; empty if it is.
     """
 
     call: str
@@ -110,7 +109,7 @@
 
 
 class CallerRecord(msgspec.Struct, frozen=True, omit_defaults=True, tag="request"):
-    """One request of a caller with its attempts, written when it has ended."""
+    """One completed request of a caller with its attempts."""
 
     request: str
     load: str
@@ -128,7 +127,7 @@
 
 
 class RecordWriter:
-    """Appends records to a file."""
+    """Appends records to a file, one JSON document per line."""
 
     def __init__(self, path: str | pathlib.Path) -> None:
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
@@ -140,7 +139,7 @@
 
 
 def read_records(path: pathlib.Path, record_type: type[RecordT]) -> Iterator[RecordT]:
-    """Yield the records of a file; a last line cut short by a kill is left out."""
+    """Yield the records of a file, skipping a line truncated by a kill; none if it is missing."""
     decoder = msgspec.json.Decoder(record_type)
     if not path.exists():
         return
--- a/src/finchshed/standins/work.py
+++ b/src/finchshed/standins/service_time.py
@@ -1,11 +1,11 @@
-"""How long a stand-in back end works on a request."""
+"""Draws the service times of a simulated backend."""
 
 import numpy
 
 from finchshed.standins.settings import Distribution
 
 GAMMA_SHAPE = 8.0
-"""As the emulator's: the coefficient of variation is 0.35. Chosen, not measured."""
+"""Same shape as in the emulator; the coefficient of variation is 0.35."""
 
 
 class ServiceTime:
@@ -14,12 +14,12 @@
     Parameters
     ----------
     mean
-        Mean, seconds.
+        Mean service time in seconds.
 
     Attributes
     ----------
     slow_factor
-        How many times longer work takes now.
+        Multiplier of the drawn service times.
     """
 
     def __init__(
@@ -31,10 +31,10 @@
         self.slow_factor = 1.0
 
     def draw(self) -> float:
-        """Return seconds of work for one request."""
-        return self._base() * self.slow_factor
+        """Return the service time of one request in seconds."""
+        return self._draw_unscaled() * self.slow_factor
 
-    def _base(self) -> float:
+    def _draw_unscaled(self) -> float:
         if self._distribution is Distribution.CONSTANT:
             return self._mean
         return float(self._generator.gamma(GAMMA_SHAPE, self._mean / GAMMA_SHAPE))
--- a/src/finchshed/standins/serving.py
+++ b/src/finchshed/standins/serving.py
@@ -1,18 +1,18 @@
-"""Serving a stand-in's HTTP application until a stop signal."""
+"""Runs the HTTP application of a simulated process until a stop signal."""
 
 import asyncio
 import signal
 
 from aiohttp import web
 
-SHUTDOWN_SECONDS = 1.0
-"""How long open requests may take at a stop; chosen, not measured."""
+SHUTDOWN_TIMEOUT_SECONDS = 1.0
+"""How long open requests may take to finish at shutdown."""
 
 
 def stop_event(
     numbers: tuple[signal.Signals, ...] = (signal.SIGTERM, signal.SIGINT),
 ) -> asyncio.Event:
-    """Return an event that any of the signals sets."""
+    """Return an event that is set when any of the signals arrives."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in numbers:
@@ -21,13 +21,13 @@
 
 
 async def start_site(app: web.Application, address: str) -> web.AppRunner:
-    """Listen at ``address``; a handler is cancelled when its client goes away."""
+    """Listen at ``address``; a handler is cancelled when its client disconnects."""
     host, _, port = address.rpartition(":")
     runner = web.AppRunner(
         app,
         access_log=None,
         handler_cancellation=True,
-        shutdown_timeout=SHUTDOWN_SECONDS,
+        shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS,
     )
     await runner.setup()
     site = web.TCPSite(runner, host, int(port), reuse_address=True)
--- a/src/finchshed/standins/settings.py
+++ b/src/finchshed/standins/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-ins, each read from one TOML file."""
+"""Settings of the simulated processes, each read from one TOML file."""
 
 import enum
 import pathlib
@@ -16,32 +16,32 @@
 
 
 class Distribution(enum.StrEnum):
-    """Shape of the time a back end takes for one request."""
+    """Distribution of a backend's service times."""
 
     CONSTANT = "constant"
-    """For tests: no deployment has it."""
+    """Used by tests only."""
 
     GAMMA = "gamma"
-    """Of shape 8, as in the emulator: the coefficient of variation is 0.35."""
+    """Gamma distribution with shape 8 (coefficient of variation 0.35), as in the emulator."""
 
 
-class RetryHabit(enum.StrEnum):
-    """What an outside caller does when it gets no whole answer."""
+class RetryBehavior(enum.StrEnum):
+    """When an external caller retries a request without a complete response."""
 
     RETRY_AFTER = "retry_after"
     HARD = "hard"
 
 
 class LoadReporting(enum.StrEnum):
-    """How truthful a back end's load endpoint is."""
+    """Accuracy of the load that a backend reports."""
 
     HONEST = "honest"
     LAGGING = "lagging"
     ZERO = "zero"
 
 
-class CallOn(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A request that serving ``prefix`` needs from another service."""
+class DownstreamCall(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """A call to another service that requests under ``prefix`` need."""
 
     prefix: str
     service: Name
@@ -49,16 +49,16 @@
 
 
 class BackendSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Settings of one stand-in back end.
+    """Settings of one simulated backend.
 
     Attributes
     ----------
     daemon_address
-        HTTP address of its own daemon, through which it calls on.
+        HTTP address of its own daemon, which forwards its downstream calls.
     queue_limit
-        Requests it holds beyond its slots before it refuses.
+        Number of requests that may wait for a slot before further requests are refused.
     leave_grace_seconds
-        After a drain begins it serves what still arrives for so long, then refuses.
+        How long it accepts new requests after a drain begins.
     """
 
     name: Name
@@ -75,29 +75,30 @@
     load_reporting: LoadReporting = LoadReporting.HONEST
     leave_grace_seconds: Seconds = 5.0
     seed: int = 1
-    calls: tuple[CallOn, ...] = ()
+    calls: tuple[DownstreamCall, ...] = ()
 
 
 class StandinLoad(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Requests of one kind that a caller sends.
+    """One kind of request that a caller sends.
 
     Attributes
     ----------
     rate_per_second
-        Mean of the Poisson arrivals before the surge factor.
+        Mean rate of the Poisson arrivals before the surge factor.
     keyed
         Whether each request carries its own idempotency key.
     download_bytes
-        Above zero the request is a download of this size, fetched in ranges as one session.
+        If above zero, the request is a download of this size, fetched in ranges as one session.
     conditional
-        Whether a download's later ranges name its edition (If-Match). Without it the caller
-        relies on the system, and keeps to one edge, which knows the session.
+        Whether later ranges of a download send the edition in If-Match. Otherwise the caller
+        relies on the system for a consistent edition and stays with one edge, which knows the
+        session.
     identities
-        Number of outside callers the requests are spread over.
+        Number of external callers that share the requests.
     surges
-        Whether a surge multiplies this load.
+        Whether the phase factor applies to this load.
     backoff_seconds
-        Mean pause before a hard repeat, drawn evenly from half to one and a half of it.
+        Mean backoff of ``hard`` retries, uniform between 0.5 and 1.5 times this value.
     """
 
     name: Name
@@ -112,14 +113,14 @@
     conditional: bool = True
     identities: Annotated[int, msgspec.Meta(ge=1)] = 100
     surges: bool = True
-    retry: RetryHabit = RetryHabit.RETRY_AFTER
+    retry: RetryBehavior = RetryBehavior.RETRY_AFTER
     backoff_seconds: Seconds = 0.0
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=100)] = 3
     deadline_seconds: Annotated[float, msgspec.Meta(gt=0.0, le=3600.0)] = 2.0
 
 
 class Phase(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A stretch of the run in which every surging load is multiplied by ``factor``."""
+    """A period of the run in which the rate of every surging load is multiplied by ``factor``."""
 
     name: Name
     duration_seconds: Annotated[float, msgspec.Meta(gt=0.0, le=86_400.0)]
@@ -127,14 +128,14 @@
 
 
 class CallerSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Settings of one stand-in caller process.
+    """Settings of one simulated caller process.
 
     Attributes
     ----------
     edge_addresses
-        HTTP addresses of edge daemons: the first is used, the others by repeats.
+        HTTP addresses of edge daemons; retries use the addresses after the first.
     client_delay_seconds
-        One-way delay between clients and the edge, added before and after each attempt.
+        One-way network delay to the edge, added before and after each attempt.
     """
 
     name: Name
@@ -148,12 +149,12 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Settings of the stand-in platform list.
+    """Settings of the simulated platform.
 
     Attributes
     ----------
     lag_seconds
-        A change of the list shows up only after so long.
+        Delay before a change of the instance list is published.
     """
 
     address: Address
@@ -161,12 +162,12 @@
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Settings of one stand-in operator.
+    """Settings of one simulated operator.
 
     Attributes
     ----------
     changes
-        Changes to make, numbered from ``first_number``.
+        Number of changes to submit, numbered from ``first_number``.
     """
 
     name: Name
@@ -184,7 +185,7 @@
     Raises
     ------
     SettingsError
-        If the file can't be read or holds a wrong key or value.
+        If the file can't be read, or has an unknown key or an invalid value.
     """
     try:
         content = pathlib.Path(path).read_bytes()
--- a/src/finchshed/standins/slots.py
+++ b/src/finchshed/standins/slots.py
@@ -1,6 +1,6 @@
-"""Slots of a stand-in back end: so many requests run, a few wait, more are refused.
+"""Concurrency limit of a simulated backend, with a bounded first-in, first-out queue.
 
-Owns the queue; whoever acquires a slot gives it back.
+Whoever acquires a slot must release it.
 """
 
 import asyncio
@@ -8,7 +8,7 @@
 
 
 class Slots:
-    """Counts running requests and queues a bounded number of others in order of arrival."""
+    """Limits concurrent requests and queues waiting requests in order of arrival."""
 
     def __init__(self, size: int, queue_limit: int) -> None:
         self.size = size
@@ -18,12 +18,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that run or wait."""
+        """Number of running and waiting requests."""
         return self.running + len(self._waiting)
 
     @property
     def is_full(self) -> bool:
-        """Whether one more request would be refused."""
+        """Whether all slots are taken and the queue is full."""
         return self.in_flight >= self.size + self._queue_limit
 
     async def acquire(self) -> None:
@@ -31,26 +31,26 @@
         if self.running < self.size and not self._waiting:
             self.running += 1
             return
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
+        waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._waiting.append(waiter)
         try:
-            await turn
+            await waiter
         except asyncio.CancelledError:
-            self._abandon(turn)
+            self._cancel_wait(waiter)
             raise
 
     def release(self) -> None:
-        """Give the slot to who waits longest."""
+        """Release a slot, passing it to the longest-waiting request."""
         self.running -= 1
         while self._waiting:
-            turn = self._waiting.popleft()
-            if not turn.done():
+            waiter = self._waiting.popleft()
+            if not waiter.done():
                 self.running += 1
-                turn.set_result(None)
+                waiter.set_result(None)
                 return
 
-    def _abandon(self, turn: asyncio.Future[None]) -> None:
-        if turn.done() and not turn.cancelled():
+    def _cancel_wait(self, waiter: asyncio.Future[None]) -> None:
+        if waiter.done() and not waiter.cancelled():
             self.release()
-        elif turn in self._waiting:
-            self._waiting.remove(turn)
+        elif waiter in self._waiting:
+            self._waiting.remove(waiter)
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -13,7 +13,7 @@
 from tests.standins.test_caller import free_address
 
 
-def settings_in(folder: pathlib.Path, **changes: object) -> BackendSettings:
+def backend_settings(folder: pathlib.Path, **changes: object) -> BackendSettings:
     values: dict[str, object] = {
         "name": "one",
         "service": "booklets",
@@ -30,13 +30,13 @@
     return BackendSettings(**values)  # type: ignore[arg-type]
 
 
-class Running:
-    """A back end listening in this process."""
+class RunningBackend:
+    """Runs a simulated backend inside the test process."""
 
     def __init__(self, settings: BackendSettings) -> None:
         self.settings = settings
 
-    async def __aenter__(self) -> "Running":
+    async def __aenter__(self) -> "RunningBackend":
         self.session = aiohttp.ClientSession()
         self.backend = StandinBackend(self.settings, self.session)
         self.runner = await start_site(self.backend.application(), self.settings.address)
@@ -49,7 +49,7 @@
     def url(self, path: str) -> str:
         return f"http://{self.settings.address}{path}"
 
-    async def until(self, call: str, event: BackendEvent) -> None:
+    async def wait_for_event(self, call: str, event: BackendEvent) -> None:
         while event not in self.events(call):  # noqa: ASYNC110 - the record is a file
             await asyncio.sleep(0.01)
 
@@ -58,19 +58,19 @@
         return [record.event for record in records if record.call == call]
 
 
-async def test_answer_is_whole_and_recorded(tmp_path: pathlib.Path) -> None:
-    async with Running(settings_in(tmp_path)) as running:
+async def test_answer_is_complete_and_recorded(tmp_path: pathlib.Path) -> None:
+    async with RunningBackend(backend_settings(tmp_path)) as running:
         headers = {HEADER_CALL: "c.0"}
         async with running.session.get(running.url("/page"), headers=headers) as response:
             body = await response.read()
         received = {name.lower(): value for name, value in response.headers.items()}
-        assert answers.problem_of("c.0", body, received, b"") == ""
+        assert answers.find_answer_problem("c.0", body, received, b"") == ""
         assert running.events("c.0") == ["arrived", "started", "finished"]
 
 
-async def test_full_back_end_refuses_before_running(tmp_path: pathlib.Path) -> None:
-    settings = settings_in(tmp_path, service_time_seconds=0.2)
-    async with Running(settings) as running:
+async def test_full_backend_refuses_without_running(tmp_path: pathlib.Path) -> None:
+    settings = backend_settings(tmp_path, service_time_seconds=0.2)
+    async with RunningBackend(settings) as running:
 
         async def send(number: int) -> tuple[int, str]:
             headers = {HEADER_CALL: f"c{number}"}
@@ -84,24 +84,24 @@
             assert ran == (status == 200)
 
 
-async def test_closed_connection_cancels_the_work(tmp_path: pathlib.Path) -> None:
-    settings = settings_in(tmp_path, service_time_seconds=30.0)
-    async with Running(settings) as running:
+async def test_closed_connection_cancels_the_request(tmp_path: pathlib.Path) -> None:
+    settings = backend_settings(tmp_path, service_time_seconds=30.0)
+    async with RunningBackend(settings) as running:
         task = asyncio.create_task(
             running.session.get(running.url("/page"), headers={HEADER_CALL: "c"}).__aenter__()
         )
-        await running.until("c", BackendEvent.STARTED)
+        await running.wait_for_event("c", BackendEvent.STARTED)
         task.cancel()
-        await running.until("c", BackendEvent.ABORTED)
+        await running.wait_for_event("c", BackendEvent.ABORTED)
 
 
 async def test_deadline_passed_in_the_queue_is_refused_as_not_run(tmp_path: pathlib.Path) -> None:
-    settings = settings_in(tmp_path, service_time_seconds=1.0)
-    async with Running(settings) as running:
+    settings = backend_settings(tmp_path, service_time_seconds=1.0)
+    async with RunningBackend(settings) as running:
         first = asyncio.create_task(
             running.session.get(running.url("/page"), headers={HEADER_CALL: "first"}).__aenter__()
         )
-        await running.until("first", BackendEvent.STARTED)
+        await running.wait_for_event("first", BackendEvent.STARTED)
         headers = {HEADER_CALL: "late", HEADER_DEADLINE: "50"}
         async with running.session.get(running.url("/page"), headers=headers) as response:
             assert (response.status, response.headers[HEADER_RAN]) == (503, "no")
@@ -109,8 +109,8 @@
         await first
 
 
-async def test_range_of_another_edition_is_not_sent(tmp_path: pathlib.Path) -> None:
-    async with Running(settings_in(tmp_path)) as running:
+async def test_range_of_another_edition_fails_the_precondition(tmp_path: pathlib.Path) -> None:
+    async with RunningBackend(backend_settings(tmp_path)) as running:
         headers = {HEADER_CALL: "c", "Range": "bytes=0-99"}
         url = running.url("/chart?size=250")
         async with running.session.get(url, headers=headers) as response:
@@ -124,22 +124,24 @@
             assert response.status == 412
 
 
-async def test_misleading_load_report(tmp_path: pathlib.Path) -> None:
-    settings = settings_in(tmp_path, service_time_seconds=0.5, load_reporting=LoadReporting.ZERO)
-    async with Running(settings) as running:
+async def test_load_is_reported_as_zero_in_zero_mode(tmp_path: pathlib.Path) -> None:
+    settings = backend_settings(
+        tmp_path, service_time_seconds=0.5, load_reporting=LoadReporting.ZERO
+    )
+    async with RunningBackend(settings) as running:
         first = asyncio.create_task(
             running.session.get(running.url("/page"), headers={HEADER_CALL: "c"}).__aenter__()
         )
-        await running.until("c", BackendEvent.STARTED)
+        await running.wait_for_event("c", BackendEvent.STARTED)
         async with running.session.get(running.url("/load")) as response:
             assert await response.json() == {"in_flight": 0, "slots": 1}
         await first
 
 
-async def test_leaving_back_end_says_so_and_refuses_after_the_grace(
+async def test_draining_backend_announces_it_and_refuses_after_the_grace_period(
     tmp_path: pathlib.Path,
 ) -> None:
-    async with Running(settings_in(tmp_path, leave_grace_seconds=0.0)) as running:
+    async with RunningBackend(backend_settings(tmp_path, leave_grace_seconds=0.0)) as running:
         running.backend.begin_drain()
         await asyncio.sleep(0.01)
         async with running.session.get(running.url("/page")) as response:
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -1,4 +1,4 @@
-"""A caller's download while a new edition comes out."""
+"""Downloads by a caller while a new edition is published."""
 
 import asyncio
 import pathlib
@@ -18,16 +18,16 @@
 SIZE = 400
 RANGE = 100
 PUBLISHED_AFTER = 2
-"""Requests that are answered from the first edition."""
+"""Number of requests served from the first edition."""
 
 PATH = "/edition/bay"
 
 
 class Publisher:
-    """Serves a download whose second edition comes out after some requests.
+    """Serves a download and switches to its second edition after some requests.
 
-    With ``keeps_edition`` it stands for a back end behind a daemon that asks for the later ranges
-    of a session under If-Range.
+    With ``keeps_edition`` it acts like a daemon that adds If-Range to the later ranges of a
+    session.
     """
 
     def __init__(self, *, keeps_edition: bool) -> None:
@@ -38,17 +38,17 @@
     async def serve(self, request: web.Request) -> web.Response:
         edition = 1 if self._served < PUBLISHED_AFTER else 2
         self._served += 1
-        wanted = answers.parse_range(request.headers["Range"])
-        assert wanted is not None
-        asked = dict(request.headers)
-        if self._keeps_edition and self._last_tag and "If-Match" not in asked:
-            asked["If-Range"] = self._last_tag
-        part = downloads.part_of(request.path, edition, SIZE, wanted, asked)
-        if part.status in {downloads.PART_STATUS, downloads.WHOLE_STATUS}:
-            self._last_tag = part.headers["ETag"]
+        requested = answers.parse_range(request.headers["Range"])
+        assert requested is not None
+        conditions = dict(request.headers)
+        if self._keeps_edition and self._last_tag and "If-Match" not in conditions:
+            conditions["If-Range"] = self._last_tag
+        response = downloads.download_response(request.path, edition, SIZE, requested, conditions)
+        if response.status in {downloads.PARTIAL_CONTENT_STATUS, downloads.FULL_CONTENT_STATUS}:
+            self._last_tag = response.headers["ETag"]
         identity = request.headers[answers.HEADER_IDENTITY]
-        headers = part.headers | {answers.HEADER_IDENTITY: identity}
-        return web.Response(status=part.status, body=part.body, headers=headers)
+        headers = response.headers | {answers.HEADER_IDENTITY: identity}
+        return web.Response(status=response.status, body=response.body, headers=headers)
 
 
 def free_address() -> str:
@@ -57,10 +57,10 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-async def downloaded(
+async def run_download(
     folder: pathlib.Path, publisher: Publisher, *, conditional: bool, dead: tuple[str, ...] = ()
 ) -> CallerRecord:
-    """Return the record of the first download that a caller makes; ``dead`` are edges it tries."""
+    """Run one download; ``dead`` are unreachable edges that the caller tries first."""
     address = free_address()
     load = StandinLoad(
         name="edition",
@@ -101,27 +101,31 @@
         (True, True, [206, 206, 412, 200]),
     ],
 )
-async def test_a_download_begins_anew_with_a_new_edition(
+async def test_download_restarts_when_the_edition_changes(
     tmp_path: pathlib.Path, conditional: bool, keeps_edition: bool, statuses: list[int]
 ) -> None:
     publisher = Publisher(keeps_edition=keeps_edition)
-    record = await downloaded(tmp_path, publisher, conditional=conditional)
+    record = await run_download(tmp_path, publisher, conditional=conditional)
     assert [attempt.status for attempt in record.attempts] == statuses
     assert (record.outcome, record.problem) == (CallerOutcome.ANSWERED, "")
     assert editions.saw_new_edition(record)
     assert editions.problems_of([record], published=True) == []
 
 
-async def test_a_mixture_is_found_where_nobody_names_the_edition(tmp_path: pathlib.Path) -> None:
-    record = await downloaded(tmp_path, Publisher(keeps_edition=False), conditional=False)
+async def test_mixed_editions_are_reported_if_ranges_are_unconditional(
+    tmp_path: pathlib.Path,
+) -> None:
+    record = await run_download(tmp_path, Publisher(keeps_edition=False), conditional=False)
     assert "edition changed" in record.problem
     assert editions.problems_of([record], published=False) != []
 
 
-async def test_a_download_begins_anew_where_its_edge_is_gone(tmp_path: pathlib.Path) -> None:
+async def test_download_restarts_at_the_next_edge_when_its_edge_is_down(
+    tmp_path: pathlib.Path,
+) -> None:
     publisher = Publisher(keeps_edition=True)
     dead = free_address()
-    record = await downloaded(tmp_path, publisher, conditional=False, dead=(dead,))
+    record = await run_download(tmp_path, publisher, conditional=False, dead=(dead,))
     assert (record.outcome, record.problem) == (CallerOutcome.ANSWERED, "")
     assert record.attempts[0].edge == dead
     answered = [attempt for attempt in record.attempts if attempt.status]
--- a/tests/standins/test_operator.py
+++ b/tests/standins/test_operator.py
@@ -1,4 +1,4 @@
-"""A stand-in operator makes one change after another, and anew after a conflict."""
+"""The simulated operator submits changes in sequence and retries after conflicts."""
 
 import pathlib
 
@@ -10,7 +10,7 @@
 from finchshed.standins import operator
 from finchshed.standins.operator import (
     BASE_VALUE_SECONDS,
-    POLICY,
+    POLICY_KEY,
     OperatorRecord,
     StandinChangeOutcome,
     run_operator,
@@ -22,15 +22,15 @@
 FIRST_NUMBER = 1000
 
 
-class Group:
-    """Commits changes; another operator's change comes before each of ``conflicts``."""
+class FakeControlGroup:
+    """Control group in which another operator wins the next ``conflicts`` submissions."""
 
     def __init__(self) -> None:
         self.revision = 1
         self.conflicts = 0
 
     def read(self, _: object) -> DeclaredConfiguration:
-        return DeclaredConfiguration(self.revision, {POLICY: Policy()})
+        return DeclaredConfiguration(self.revision, {POLICY_KEY: Policy()})
 
     def submit(self, _: object, change_id: str, expected: int, __: object) -> ChangeResult:
         if self.conflicts:
@@ -43,14 +43,14 @@
 
 
 @pytest.fixture
-def group(monkeypatch: pytest.MonkeyPatch) -> Group:
-    held = Group()
-    monkeypatch.setattr(operator, "read_in_force", held.read)
-    monkeypatch.setattr(operator, "submit", held.submit)
-    return held
+def group(monkeypatch: pytest.MonkeyPatch) -> FakeControlGroup:
+    fake = FakeControlGroup()
+    monkeypatch.setattr(operator, "read_in_force", fake.read)
+    monkeypatch.setattr(operator, "submit", fake.submit)
+    return fake
 
 
-def records_of_run(folder: pathlib.Path) -> list[OperatorRecord]:
+def run_and_read_results(folder: pathlib.Path) -> list[OperatorRecord]:
     settings = OperatorSettings(
         name="dana",
         token="token",
@@ -64,8 +64,8 @@
     return [item for item in records if item.outcome is not StandinChangeOutcome.SUBMITTED]
 
 
-def test_changes_follow_each_other(tmp_path: pathlib.Path, group: Group) -> None:
-    records = records_of_run(tmp_path)
+def test_changes_build_on_each_other(tmp_path: pathlib.Path, group: FakeControlGroup) -> None:
+    records = run_and_read_results(tmp_path)
     assert [item.outcome for item in records] == [StandinChangeOutcome.ACCEPTED] * CHANGES
     assert [item.expected_revision for item in records] == list(range(1, 1 + CHANGES))
     first = BASE_VALUE_SECONDS + FIRST_NUMBER
@@ -73,11 +73,11 @@
     assert group.revision == 1 + CHANGES
 
 
-def test_a_change_in_conflict_is_made_anew_under_another_identity(
-    tmp_path: pathlib.Path, group: Group
+def test_conflicting_change_is_retried_with_a_new_change_id(
+    tmp_path: pathlib.Path, group: FakeControlGroup
 ) -> None:
     group.conflicts = 2
-    records = records_of_run(tmp_path)
+    records = run_and_read_results(tmp_path)
     assert [item.outcome for item in records[:3]] == [
         StandinChangeOutcome.CONFLICT,
         StandinChangeOutcome.CONFLICT,
--- a/tests/standins/test_work.py
+++ b/tests/standins/test_service_time.py
@@ -1,8 +1,8 @@
 import numpy
 import pytest
 
+from finchshed.standins.service_time import ServiceTime
 from finchshed.standins.settings import Distribution
-from finchshed.standins.work import ServiceTime
 
 DRAWS = 20_000
 
@@ -15,14 +15,16 @@
     ("distribution", "variation"),
     [(Distribution.CONSTANT, 0.0), (Distribution.GAMMA, 0.354)],
 )
-def test_mean_and_spread_are_as_declared(distribution: Distribution, variation: float) -> None:
+def test_mean_and_variation_match_the_distribution(
+    distribution: Distribution, variation: float
+) -> None:
     source = service_time(distribution)
     drawn = numpy.array([source.draw() for _ in range(DRAWS)])
     assert drawn.mean() == pytest.approx(0.05, rel=0.03)
     assert drawn.std() / drawn.mean() == pytest.approx(variation, abs=0.03)
 
 
-def test_slow_work_takes_longer() -> None:
+def test_slow_factor_multiplies_the_service_time() -> None:
     source = service_time(Distribution.CONSTANT)
     source.slow_factor = 4.0
     assert source.draw() == pytest.approx(0.2)
--- a/tests/standins/test_session_place.py
+++ b/tests/standins/test_session_endpoint.py
@@ -1,4 +1,4 @@
-"""A stand-in caller sends back where its session runs, at whichever edge it comes in."""
+"""A caller sends the last session endpoint it received, to any edge."""
 
 import asyncio
 import pathlib
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(("size", "expected"), [(SIZE, ["", "b1", "b1", "b1"]), (0, [""] * 4)])
-async def test_the_place_last_told_is_sent_back(
+async def test_last_session_endpoint_is_sent_back(
     tmp_path: pathlib.Path, size: int, expected: list[str]
 ) -> None:
     seen: list[str] = []
@@ -30,8 +30,8 @@
         seen.append(request.headers.get(HEADER_SESSION_AT, ""))
         edges.add(request.headers["Host"])
         if len(seen) == 1:
-            return answer_of(request)
-        # A refusal tells no place: the one told before still holds.
+            return session_response(request)
+        # A refusal names no endpoint, so the caller keeps the previous one.
         refusal = {"finchshed-ran": "no", "finchshed-retry-after-ms": "1"}
         return web.Response(status=503, headers=refusal)
 
@@ -58,7 +58,7 @@
         app = web.Application()
         app.router.add_get("/tag", serve)
         runners.append(await start_site(app, address))
-    # A download's second range is refused three times; so is the second request without a session.
+    # The second range is refused three times, and so is the second request without a session.
     arrivals = 1 if size else 2
     try:
         async with aiohttp.ClientSession() as client:
@@ -73,11 +73,16 @@
     assert edges == set(addresses)
 
 
-def answer_of(request: web.Request) -> web.Response:
-    """Answer with the range asked for, if any, and tell where the session runs."""
-    told = {HEADER_SESSION_AT: "b1", answers.HEADER_IDENTITY: request.headers["standin-identity"]}
-    wanted = answers.parse_range(request.headers.get("Range", ""))
-    if wanted is None:
-        return web.Response(headers=told)
-    part = downloads.part_of(request.path, 1, SIZE, wanted, request.headers)
-    return web.Response(status=part.status, body=part.body, headers=part.headers | told)
+def session_response(request: web.Request) -> web.Response:
+    """Respond with the requested range, if any, and the endpoint of the session."""
+    headers = {
+        HEADER_SESSION_AT: "b1",
+        answers.HEADER_IDENTITY: request.headers["standin-identity"],
+    }
+    requested = answers.parse_range(request.headers.get("Range", ""))
+    if requested is None:
+        return web.Response(headers=headers)
+    response = downloads.download_response(request.path, 1, SIZE, requested, request.headers)
+    return web.Response(
+        status=response.status, body=response.body, headers=response.headers | headers
+    )
--- a/tests/standins/test_slots.py
+++ b/tests/standins/test_slots.py
@@ -18,7 +18,7 @@
     assert slots.in_flight == 0
 
 
-async def test_cancelled_wait_frees_its_place() -> None:
+async def test_cancelled_wait_leaves_the_queue() -> None:
     slots = Slots(1, 1)
     await slots.acquire()
     waiting = asyncio.create_task(slots.acquire())
@@ -31,7 +31,7 @@
     assert slots.in_flight == 0
 
 
-async def test_turn_given_to_a_cancelled_wait_goes_on_to_the_next() -> None:
+async def test_slot_granted_to_a_cancelled_wait_passes_to_the_next() -> None:
     slots = Slots(1, 2)
     await slots.acquire()
     first = asyncio.create_task(slots.acquire())
