--- a/src/finchshed/fleet/__init__.py
+++ b/src/finchshed/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Runs whole deployments as separate processes on one machine, for demonstration and proof."""
+"""Runs whole deployments as separate processes on one machine, for demos and fault tests."""
--- a/src/finchshed/fleet/addresses.py
+++ b/src/finchshed/fleet/addresses.py
@@ -1,13 +1,10 @@
-"""Where the programs of a planned fleet listen, and which of them stand behind the relay.
-
-Owns the pairs of public and private addresses; relies on a network that is held.
-"""
+"""Assigns the listen addresses of a fleet, with separate ones for programs behind the relay."""
 
 from finchshed.fleet.network import RELAYED_OFFSET, FleetNetwork, Port
 
 
 class FleetAddresses:
-    """Addresses in the fleet's network.
+    """Addresses of the fleet's programs.
 
     Parameters
     ----------
@@ -17,9 +14,9 @@
     Attributes
     ----------
     relayed
-        Public address, which the relay takes, by the private one that the program listens at.
+        Public address, at which the relay listens, by the program's private address.
     owners
-        Process that listens, by private address.
+        Name of the listening process by private address.
     """
 
     def __init__(self, network: FleetNetwork, *, relayed: bool) -> None:
@@ -28,16 +25,16 @@
         self.relayed: dict[str, str] = {}
         self.owners: dict[str, str] = {}
 
-    def at(self, host: str, port: int) -> str:
-        """Return the address that others know."""
+    def public_address(self, host: str, port: int) -> str:
+        """Return the address that other programs connect to."""
         return self._network.address(host, port)
 
-    def behind(self, owner: str, host: str, port: Port) -> str:
-        """Return where a program listens: behind the relay, if there is one."""
-        public = self.at(host, port)
+    def listen_address(self, owner: str, host: str, port: Port) -> str:
+        """Return the address at which a program listens, private if links are relayed."""
+        public = self.public_address(host, port)
         if not self._is_relayed:
             return public
-        private = self.at(host, port + RELAYED_OFFSET)
+        private = self.public_address(host, port + RELAYED_OFFSET)
         self.relayed[private] = public
         self.owners[private] = owner
         return private
--- a/src/finchshed/fleet/admin.py
+++ b/src/finchshed/fleet/admin.py
@@ -1,4 +1,4 @@
-"""Reads the admin listeners of a fleet's production processes."""
+"""Health checks through the admin listeners of a fleet's production processes."""
 
 import asyncio
 import time
@@ -9,11 +9,10 @@
 from finchshed.fleet.runner import Fleet, FleetError
 
 POLL_SECONDS = 0.05
-"""Between two questions whether a process serves; chosen, not measured."""
 
 
 async def is_healthy(fleet: Fleet, name: str) -> bool:
-    """Return whether a process says that it serves."""
+    """Return whether a process reports that it is healthy."""
     url = f"http://{fleet.plan.admin_addresses[name]}/healthz"
     try:
         async with fleet.http.get(url) as response:
@@ -22,19 +21,25 @@
         return False
 
 
-async def wait_in_force(fleet: Fleet, timeout_seconds: float) -> None:
-    """Wait until every daemon takes calls, which it does only with a confirmed configuration.
+async def wait_until_serving(fleet: Fleet, timeout_seconds: float) -> None:
+    """Wait until every daemon is healthy, which requires a confirmed configuration.
 
     Raises
     ------
     FleetError
-        If some don't in time; they are named.
+        If some daemons are not healthy in time; the message names them.
     """
     deadline = time.monotonic() + timeout_seconds
-    waiting = {process.spec.name for process in fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)}
-    while waiting:
-        healthy = await asyncio.gather(*(is_healthy(fleet, name) for name in sorted(waiting)))
-        waiting = {name for name, good in zip(sorted(waiting), healthy, strict=True) if not good}
-        if waiting and time.monotonic() >= deadline:
-            raise FleetError(f"not ready after {timeout_seconds:g} s: {', '.join(sorted(waiting))}")
-        await asyncio.sleep(POLL_SECONDS if waiting else 0.0)
+    unhealthy = {
+        process.spec.name for process in fleet.with_role(ProcessRole.DAEMON, ProcessRole.EDGE)
+    }
+    while unhealthy:
+        healthy = await asyncio.gather(*(is_healthy(fleet, name) for name in sorted(unhealthy)))
+        unhealthy = {
+            name for name, is_good in zip(sorted(unhealthy), healthy, strict=True) if not is_good
+        }
+        if unhealthy and time.monotonic() >= deadline:
+            raise FleetError(
+                f"not ready after {timeout_seconds:g} s: {', '.join(sorted(unhealthy))}"
+            )
+        await asyncio.sleep(POLL_SECONDS if unhealthy else 0.0)
--- a/src/finchshed/fleet/data_folders.py
+++ b/src/finchshed/fleet/data_folders.py
@@ -1,11 +1,11 @@
-"""Data folders of a fleet's processes, as the fault layer treats them."""
+"""Operations of the fault injector on data folders of processes."""
 
 import pathlib
 import shutil
 
 
 def wipe_folder(folder: str) -> None:
-    """Empty a data folder, as a replaced disk would be."""
+    """Empty a data folder, as if its disk had been replaced."""
     if folder:
         shutil.rmtree(folder, ignore_errors=True)
         pathlib.Path(folder).mkdir(parents=True)
--- a/src/finchshed/fleet/deployment.py
+++ b/src/finchshed/fleet/deployment.py
@@ -1,8 +1,8 @@
-"""The deployment file: what stands where, besides what the declarations say.
+"""Deployment files, which complete the declarations with the rest of a test deployment.
 
-A deployment is a folder with ``deployment.toml`` and ``declarations/``. Back ends, their zones,
-slots and addresses come from the declared endpoints; the deployment file adds how the stand-ins
-behave, where the control nodes and edge daemons stand, and what callers send.
+A deployment is a folder with ``deployment.toml`` and ``declarations/``. Backends with their
+zones, slots and addresses come from the declared endpoints. The deployment file adds the behaviour
+of the simulated processes, the control nodes and edge daemons, and the callers' loads.
 """
 
 import pathlib
@@ -14,8 +14,8 @@
 from finchshed.configuration.resources import Name
 from finchshed.standins.settings import Count, DownstreamCall, Phase, Seconds, StandinLoad
 
-EXAMPLE_NETWORK = "127.1."
-"""Beginning of every address in a deployment's files."""
+EXAMPLE_NETWORK_PREFIX = "127.1."
+"""Prefix of every address in the files of a deployment."""
 
 DEPLOYMENT_FILE = "deployment.toml"
 DECLARATIONS_FOLDER = "declarations"
@@ -24,7 +24,7 @@
 
 
 class MachineSpec(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A machine with one program of the system: a control node or an edge daemon."""
+    """A machine that runs one control node or edge daemon."""
 
     name: Name
     region: Name
@@ -33,14 +33,14 @@
 
 
 class ServiceBehaviour(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How the stand-in back ends of one service work.
+    """Behaviour of the simulated backends of one service.
 
     Attributes
     ----------
     service_time_seconds
-        Mean time a back end takes for a request, without its calls on.
+        Mean service time of a request, without its downstream calls.
     calls
-        Requests that serving some paths needs from other services.
+        Downstream calls that some paths need.
     """
 
     name: Name
@@ -50,7 +50,7 @@
 
 
 class CallerGroup(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Callers outside, who reach the deployment through the edge of ``zone`` first."""
+    """External callers, which prefer the edge in ``zone``."""
 
     name: Name
     zone: Name
@@ -58,23 +58,23 @@
 
 
 class Platform(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The platform's list of machines."""
+    """The simulated platform."""
 
     host: Host
     lag_seconds: Seconds = 30.0
 
 
 class FleetDeployment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A deployment file.
+    """Contents of a deployment file.
 
     Attributes
     ----------
     operator
-        Name of the operator that the declarations hold; for people, nothing reads it.
+        Name of the operator in the declarations, for documentation only.
     client_delay_seconds, zone_delay_seconds
         One-way delays between clients and the edge, and between zones.
-    phases
-        Stretches of a demonstration.
+    phase
+        Phases of a demo run.
     """
 
     name: Name
@@ -96,39 +96,42 @@
     Raises
     ------
     SettingsError
-        If the file can't be read, holds a wrong key or value, or names unknown zones or services.
+        If the file can't be read, has an unknown key or an invalid value, or names an unknown zone
+        or service.
     """
     path = folder / DEPLOYMENT_FILE
     try:
         deployment = msgspec.toml.decode(path.read_bytes(), type=FleetDeployment)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsError([f"{path}: {error}"]) from error
-    problems = _problems_of(deployment)
+    problems = _find_problems(deployment)
     if problems:
         raise SettingsError([f"{path}: {problem}" for problem in problems])
     return deployment
 
 
-def _problems_of(deployment: FleetDeployment) -> list[str]:
+def _find_problems(deployment: FleetDeployment) -> list[str]:
     services = {service.name for service in deployment.service}
     zones = {edge.zone for edge in deployment.edge}
     problems = [
-        f"caller {group.name}: zone {group.zone} has no edge, allowed are: {_listed(zones)}"
+        f"caller {group.name}: zone {group.zone} has no edge, allowed are: {_join_sorted(zones)}"
         for group in deployment.caller
         if group.zone not in zones
     ]
     called = [call.service for service in deployment.service for call in service.calls]
     called += [load.service for group in deployment.caller for load in group.loads]
     problems += [
-        f"service {name}: not declared, allowed are: {_listed(services)}"
+        f"service {name}: not declared, allowed are: {_join_sorted(services)}"
         for name in sorted(set(called) - services)
     ]
     hosts = [machine.host for machine in (*deployment.control, *deployment.edge)]
     problems += [
-        f"host {host}: stands twice" for host in sorted(set(hosts)) if hosts.count(host) > 1
+        f"host {host}: used by more than one machine"
+        for host in sorted(set(hosts))
+        if hosts.count(host) > 1
     ]
     return problems
 
 
-def _listed(names: set[str]) -> str:
+def _join_sorted(names: set[str]) -> str:
     return ", ".join(sorted(names))
--- a/src/finchshed/fleet/editions.py
+++ b/src/finchshed/fleet/editions.py
@@ -1,7 +1,6 @@
-"""Whether downloads that ran while new editions came out were put together from one edition.
+"""Checks that a download that overlaps a publication joins ranges of one edition only.
 
-A caller checks each range against the edition that it names; this looks at whole downloads, from
-the validators of all their parts.
+Callers verify each range separately; this check compares the validators of all ranges.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,28 +13,28 @@
 from finchshed.standins.records import CallerOutcome, CallerRecord
 
 NAME = "downloads of one edition"
-NEW_EDITION = frozenset({PRECONDITION_FAILED_STATUS, FULL_CONTENT_STATUS})
-"""Statuses that tell a caller, who asked for a range, of another edition."""
+NEW_EDITION_STATUSES = frozenset({PRECONDITION_FAILED_STATUS, FULL_CONTENT_STATUS})
+"""Statuses of a range request that show that the edition has changed."""
 
 
 def saw_new_edition(record: CallerRecord) -> bool:
-    """Return whether a download's edition was replaced while it ran."""
+    """Return whether a download met a new edition while it ran."""
     return _is_download(record) and any(
-        attempt.status in NEW_EDITION for attempt in record.attempts
+        attempt.status in NEW_EDITION_STATUSES for attempt in record.attempts
     )
 
 
-def problems_of(records: Iterable[CallerRecord], *, published: bool) -> list[str]:
-    """Return a line for each download that put parts of several editions together.
+def find_edition_problems(records: Iterable[CallerRecord], *, published: bool) -> list[str]:
+    """Return a line for each download that joined ranges of several editions.
 
     Parameters
     ----------
     published
-        Whether new editions came out during the run; then some download must have met one, or
-        nothing was shown.
+        Whether new editions were published during the run. If no download met one, the check has
+        no evidence and reports that as a problem.
     """
     downloads = [record for record in records if _is_download(record)]
-    lines = [line for record in downloads for line in _mixed(record)]
+    lines = [line for record in downloads for line in _find_mixed_editions(record)]
     if published and not any(saw_new_edition(record) for record in downloads):
         lines.append("editions were published, but no download met a new one")
     return lines
@@ -45,16 +44,16 @@
     return any(attempt.edition for attempt in record.attempts)
 
 
-def _mixed(record: CallerRecord) -> Iterator[str]:
-    # A download begins anew with its first byte, or with a whole new edition.
-    parts: list[str] = []
+def _find_mixed_editions(record: CallerRecord) -> Iterator[str]:
+    # A download restarts at its first byte, with 412, or with a complete new edition.
+    validators: list[str] = []
     for attempt in record.attempts:
         if attempt.outcome is not CallerOutcome.ANSWERED:
             continue
-        if attempt.status in NEW_EDITION or attempt.offset == 0:
-            parts = []
+        if attempt.status in NEW_EDITION_STATUSES or attempt.offset == 0:
+            validators = []
         if attempt.status in {PARTIAL_CONTENT_STATUS, FULL_CONTENT_STATUS}:
-            parts.append(attempt.edition)
-        if len(set(parts)) > 1:
-            yield f"{attempt.call}: parts of editions {', '.join(sorted(set(parts)))}"
+            validators.append(attempt.edition)
+        if len(set(validators)) > 1:
+            yield f"{attempt.call}: parts of editions {', '.join(sorted(set(validators)))}"
             return
--- a/src/finchshed/fleet/expectations.py
+++ b/src/finchshed/fleet/expectations.py
@@ -1,4 +1,4 @@
-"""Judges what a scenario states of its callers' outcomes, besides what always holds."""
+"""Checks callers' outcomes against the expectations of a scenario."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,20 +8,20 @@
 ALL = "*"
 
 
-def unmet(expectations: Iterable[Expectation], rows: Sequence[Row]) -> list[str]:
-    """Return a line for each bound that the counts don't keep."""
+def find_unmet_expectations(expectations: Iterable[Expectation], rows: Sequence[Row]) -> list[str]:
+    """Return a line for each bound that the counts violate."""
     lines: list[str] = []
     for expectation in expectations:
-        chosen = [row for row in rows if _concerns(expectation, row)]
-        lines += _unmet(expectation, chosen)
+        matching = [row for row in rows if _matches(expectation, row)]
+        lines += _find_violated_bounds(expectation, matching)
     return lines
 
 
-def _concerns(expectation: Expectation, row: Row) -> bool:
+def _matches(expectation: Expectation, row: Row) -> bool:
     return expectation.load in {ALL, row.load} and expectation.phase in {ALL, row.phase}
 
 
-def _unmet(expectation: Expectation, rows: Sequence[Row]) -> list[str]:
+def _find_violated_bounds(expectation: Expectation, rows: Sequence[Row]) -> list[str]:
     where = f"load {expectation.load}, phase {expectation.phase}"
     sent = sum(row.sent for row in rows)
     if not sent:
--- a/src/finchshed/fleet/final_configuration.py
+++ b/src/finchshed/fleet/final_configuration.py
@@ -1,6 +1,6 @@
-"""Compares the configuration a run ends with to the changes its operators got accepted.
+"""Compares the configuration at the end of a run with the changes that operators had accepted.
 
-Relies on the operators' records and on control nodes that still run.
+The control nodes must still be running when the final configuration is read.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
 from finchshed.standins.operator import POLICY_KEY, OperatorRecord, StandinChangeOutcome
 
 READ_TIMEOUT_SECONDS = 5.0
-"""How long a control node may take to answer; chosen, not measured."""
+"""Timeout of one request to the control nodes."""
 
 POLL_SECONDS = 0.25
-"""Between two looks at the revisions; as often as the observer reads them."""
+"""Matches the interval at which the observer reads revisions."""
 
 
 class FinalConfiguration(msgspec.Struct, frozen=True):
-    """What control nodes say is in force, and the policy value operators change."""
+    """Revision in force and the policy value that operators change."""
 
     revision: int
     value: float
 
 
 def read_final(plan: FleetPlan) -> FinalConfiguration | None:
-    """Read the configuration in force from the control nodes; None if none answers."""
+    """Read the configuration in force; return None if no control node responds."""
     client = OperatorClient(
         plan.rpc_addresses, plan.deployment.operator_token, READ_TIMEOUT_SECONDS
     )
@@ -47,41 +47,45 @@
     return FinalConfiguration(current.revision, policy.key_window_seconds)
 
 
-async def behind_after(observer: FleetObserver, revision: int, timeout_seconds: float) -> list[str]:
-    """Wait until every daemon has ``revision``; return those that don't in time."""
+async def wait_for_revision(
+    observer: FleetObserver, revision: int, timeout_seconds: float
+) -> list[str]:
+    """Wait until every daemon has ``revision``; return a line for each one that is late."""
     deadline = time.monotonic() + timeout_seconds
     while True:
-        behind = [name for name, seen in sorted(observer.revisions.items()) if seen != revision]
-        if not behind or time.monotonic() >= deadline:
-            return [f"{name} acts on {observer.revisions[name]}" for name in behind]
+        outdated = [
+            name for name, applied in sorted(observer.revisions.items()) if applied != revision
+        ]
+        if not outdated or time.monotonic() >= deadline:
+            return [f"{name} acts on {observer.revisions[name]}" for name in outdated]
         await asyncio.sleep(POLL_SECONDS)
 
 
-def problems_of(
+def find_configuration_problems(
     final: FinalConfiguration | None, records: Iterable[OperatorRecord], first_revision: int
 ) -> list[str]:
-    """Return a line for each accepted change that was lost, doubled or reverted.
+    """Return a line for each accepted change that was lost, duplicated or reverted.
 
     Parameters
     ----------
     first_revision
-        Revision of the declarations, accepted before the operators began.
+        Revision of the declarations, accepted before the operators started.
     """
     records = list(records)
     accepted = [record for record in records if record.outcome is StandinChangeOutcome.ACCEPTED]
-    problems = _doubled(accepted)
+    problems = _find_duplicate_revisions(accepted)
     if final is None:
         return [*problems, "no control node says what is in force"]
     highest = max((record.revision for record in accepted), default=first_revision)
     if final.revision < highest:
         problems.append(f"revision {final.revision} is in force, {highest} was accepted")
-    allowed = _values_of(records, final.revision, highest)
+    allowed = _allowed_values(records, final.revision, highest)
     if allowed and final.value not in allowed:
         problems.append(f"value {final.value:g} is in force, accepted was {sorted(allowed)}")
     return problems
 
 
-def _doubled(accepted: Sequence[OperatorRecord]) -> list[str]:
+def _find_duplicate_revisions(accepted: Sequence[OperatorRecord]) -> list[str]:
     by_revision: dict[int, str] = {}
     problems = []
     for record in accepted:
@@ -93,10 +97,10 @@
     return problems
 
 
-def _values_of(
+def _allowed_values(
     records: Iterable[OperatorRecord], in_force: int, highest_accepted: int
 ) -> set[float]:
-    """Return the values that may be in force; empty if none was accepted."""
+    """Return the values that may be in force; empty if any value is acceptable."""
     wanted = (
         StandinChangeOutcome.ACCEPTED
         if in_force == highest_accepted
--- a/src/finchshed/fleet/histories.py
+++ b/src/finchshed/fleet/histories.py
@@ -1,7 +1,7 @@
-"""Puts the records of a run together to one history, which checkers of any run can judge.
+"""Builds the history of a run from the records of its processes and the fault journal.
 
-Sources: what callers and back ends wrote, what operators were answered, the fault layer's journal.
-All times come from the monotonic clock of the one machine and are made relative to the start.
+All times come from the machine's monotonic clock and are converted to seconds since the start of
+the history.
 """
 
 import pathlib
@@ -39,7 +39,7 @@
 )
 
 TIMEOUT_REASON = "TimeoutError"
-"""How the reason of an attempt begins that its caller gave up."""
+"""Prefix of the reason of an attempt that timed out at its caller."""
 
 CALL_RESULTS = {
     CallerOutcome.ANSWERED: CallResult.ANSWERED,
@@ -48,20 +48,20 @@
 }
 
 
-class Records(msgspec.Struct, frozen=True):
-    """What the stand-ins of a run wrote."""
+class RunRecords(msgspec.Struct, frozen=True):
+    """Records written by the simulated processes of a run."""
 
     callers: list[CallerRecord]
     backends: list[BackendRecord]
     operators: list[OperatorRecord]
 
 
-def read_all(plan: FleetPlan, operators: Iterable[str]) -> Records:
-    """Read the records of a run's stand-ins; ``operators`` are names of stand-in operators."""
+def read_run_records(plan: FleetPlan, operators: Iterable[str]) -> RunRecords:
+    """Read the records of a run; ``operators`` are names of simulated operators."""
     folder = plan.folder / "records"
     callers = [spec.name for spec in plan.specs if spec.role is ProcessRole.CALLER]
     backends = [endpoint.name for endpoint in plan.endpoints]
-    return Records(
+    return RunRecords(
         callers=_read(folder, callers, CallerRecord),
         backends=sorted(_read(folder, backends, BackendRecord), key=lambda record: record.at),
         operators=_read(folder, operators, OperatorRecord),
@@ -69,9 +69,9 @@
 
 
 def build_history(
-    plan: FleetPlan, records: Records, journal: FaultJournal, scenario: FaultScenario, seed: int
+    plan: FleetPlan, records: RunRecords, journal: FaultJournal, scenario: FaultScenario, seed: int
 ) -> History:
-    """Return the history of a run."""
+    """Build the history of a run from its records and journal."""
     resources = read_declarations(plan.declarations).resources.values()
     catalogue = Catalogue(resources)
     policy = next((item for item in resources if isinstance(item, Policy)), Policy())
@@ -105,13 +105,13 @@
 def caller_events(
     records: Iterable[CallerRecord], roots: dict[str, str], catalogue: Catalogue, began: float
 ) -> Iterator[Event]:
-    """Yield the calls that outside callers made; every attempt is a call of its own.
+    """Yield the calls of external callers; every attempt is a separate call.
 
     Parameters
     ----------
     roots
-        Root identity by name of the call, as far as a back end got to see the call. A request
-        that no back end saw is named by its caller's own name of it.
+        Root ID by call, for calls that reached a backend. Other calls use the root in the
+        response or else the caller's request ID.
     """
     for record in records:
         for attempt in record.attempts:
@@ -121,17 +121,17 @@
                 call=attempt.call,
                 root=root,
                 service=record.service,
-                importance=_importance_of(catalogue, record),
+                importance=_find_importance(catalogue, record),
                 kind=record.load,
                 caller=record.caller,
                 key=record.key,
                 session=record.session,
             )
-            yield _attempt_ended(attempt, began)
+            yield _attempt_end_event(attempt, began)
 
 
 def operator_events(records: Iterable[OperatorRecord], began: float) -> Iterator[Event]:
-    """Yield what operators submitted and the answers they got."""
+    """Yield the changes that operators submitted and their results."""
     for record in records:
         time = record.at - began
         if record.outcome is StandinChangeOutcome.SUBMITTED:
@@ -146,12 +146,12 @@
     ]
 
 
-def _importance_of(catalogue: Catalogue, record: CallerRecord) -> Importance:
+def _find_importance(catalogue: Catalogue, record: CallerRecord) -> Importance:
     matched = catalogue.match(record.service, record.path)
     return Importance.NORMAL if matched is None else matched.route.importance
 
 
-def _attempt_ended(attempt: AttemptRecord, began: float) -> CallEnded:
+def _attempt_end_event(attempt: AttemptRecord, began: float) -> CallEnded:
     result = CALL_RESULTS[attempt.outcome]
     if attempt.status == 0 and attempt.reason.startswith(TIMEOUT_REASON):
         result = CallResult.ABANDONED
--- a/src/finchshed/fleet/interruption.py
+++ b/src/finchshed/fleet/interruption.py
@@ -1,8 +1,4 @@
-"""Runs work that starts processes so that a signal stops them all.
-
-Owns the handlers of SIGTERM, SIGHUP and SIGINT; relies on work that stops what it started when it
-is cancelled.
-"""
+"""Cancels a run on SIGTERM, SIGHUP or SIGINT, so that it stops the processes it has started."""
 
 import asyncio
 import signal
@@ -15,16 +11,16 @@
 
 
 class InterruptedRunError(FinchshedError):
-    """A signal ended a run; everything it had started was stopped."""
+    """A signal interrupted a run, which then stopped its processes."""
 
 
 def run_interruptible(work: Coroutine[Any, Any, ResultT]) -> ResultT:
-    """Run ``work``; SIGTERM, SIGHUP and Ctrl-C cancel it, so that it stops what it started.
+    """Run ``work`` and cancel it on SIGTERM, SIGHUP or SIGINT; it must clean up when cancelled.
 
     Raises
     ------
     InterruptedRunError
-        If a signal did.
+        If a signal cancelled ``work``.
     """
 
     async def cancellable() -> ResultT:
@@ -37,4 +33,6 @@
     try:
         return asyncio.run(cancellable())
     except asyncio.CancelledError:
-        raise InterruptedRunError("interrupted; everything was stopped") from None
+        raise InterruptedRunError(
+            "run interrupted by a signal; its processes were stopped"
+        ) from None
--- a/src/finchshed/fleet/journal.py
+++ b/src/finchshed/fleet/journal.py
@@ -1,7 +1,4 @@
-"""What the fault layer did during a run, on the run's clock.
-
-Owns the events that only the fault layer knows, and the acts that failed.
-"""
+"""Records faults and failed actions during a run, with times relative to its start."""
 
 import pathlib
 import time
@@ -10,12 +7,12 @@
 
 
 class FaultJournal:
-    """Collects events of the history that only the fault layer knows.
+    """Collects events that only the fault injector and the observer know.
 
     Parameters
     ----------
     began
-        Start of the history on the machine's monotonic clock, seconds.
+        Start of the history on the machine's monotonic clock, in seconds.
     """
 
     def __init__(self, began: float) -> None:
@@ -28,13 +25,13 @@
         return time.monotonic() - self.began
 
     def add(self, event: Event) -> None:
-        """Note an event."""
+        """Append an event of the history."""
         self.events.append(event)
 
-    def problem(self, text: str) -> None:
-        """Note something that must not have happened."""
+    def add_problem(self, text: str) -> None:
+        """Record a failure, prefixed with the current time."""
         self.problems.append(f"{self.now():.2f} s: {text}")
 
     def write(self, path: pathlib.Path) -> None:
-        """Write the problems for people."""
+        """Write the problems to a text file."""
         path.write_text("".join(f"{line}\n" for line in self.problems))
--- a/src/finchshed/fleet/link_faults.py
+++ b/src/finchshed/fleet/link_faults.py
@@ -1,26 +1,23 @@
-"""Acts of a fault script on the links of a fleet.
-
-Owns the names of the rules it puts in force; takes each out of force when its act is over.
-"""
+"""Link faults of a fault script; each one sets rules and clears them when it ends."""
 
 import asyncio
 import itertools
 from collections.abc import Callable
 
-from finchshed.fleet import acts
+from finchshed.fleet import actions
 from finchshed.fleet.journal import FaultJournal
-from finchshed.fleet.link_conditions import Condition, LinkRule
+from finchshed.fleet.link_conditions import LinkCondition, LinkRule
 from finchshed.fleet.links import FleetLinks
 from finchshed.proof.history import Fault
 
 
 class LinkFaults:
-    """Puts rules in force on the links and notes them in the journal.
+    """Impairs links and records the faults in the journal.
 
     Parameters
     ----------
     resolve
-        Returns the process that a selector stands for now; other names as they are.
+        Returns the name of the process that a selector denotes now; other names unchanged.
     """
 
     def __init__(
@@ -31,35 +28,37 @@
         self._resolve = resolve
         self._numbers = itertools.count(1)
 
-    async def cut(self, act: acts.Cut) -> None:
-        """Cut links in silence for a while."""
-        ways = [(act.source, act.target)]
-        if not act.one_way:
-            ways.append((act.target, act.source))
-        await self._impose("cut", ways, Condition(cut=True), act.duration_seconds)
+    async def cut(self, action: actions.Cut) -> None:
+        """Block the traffic of links for the duration of the action."""
+        directions = [(action.source, action.target)]
+        if not action.one_way:
+            directions.append((action.target, action.source))
+        await self._apply_temporarily(
+            "cut", directions, LinkCondition(cut=True), action.duration_seconds
+        )
 
-    async def delay(self, act: acts.Delay) -> None:
-        """Let bytes arrive later for a while."""
-        ways = [(act.source, act.target), (act.target, act.source)]
-        condition = Condition(delay_seconds=act.delay_seconds)
-        await self._impose("delay", ways, condition, act.duration_seconds)
+    async def delay(self, action: actions.Delay) -> None:
+        """Delay the traffic of links for the duration of the action."""
+        directions = [(action.source, action.target), (action.target, action.source)]
+        condition = LinkCondition(delay_seconds=action.delay_seconds)
+        await self._apply_temporarily("delay", directions, condition, action.duration_seconds)
 
-    async def throttle(self, act: acts.Throttle) -> None:
-        """Make links narrow for a while."""
-        ways = [(act.source, act.target), (act.target, act.source)]
-        condition = Condition(bytes_per_second=act.bytes_per_second)
-        await self._impose("throttle", ways, condition, act.duration_seconds)
+    async def throttle(self, action: actions.Throttle) -> None:
+        """Limit the bandwidth of links for the duration of the action."""
+        directions = [(action.source, action.target), (action.target, action.source)]
+        condition = LinkCondition(bytes_per_second=action.bytes_per_second)
+        await self._apply_temporarily("throttle", directions, condition, action.duration_seconds)
 
-    async def _impose(
+    async def _apply_temporarily(
         self,
         fault: str,
-        ways: list[tuple[str, str]],
-        condition: Condition,
+        directions: list[tuple[str, str]],
+        condition: LinkCondition,
         duration_seconds: float,
     ) -> None:
         names = []
         targets: list[str] = []
-        for source, target in ways:
+        for source, target in directions:
             name = f"{fault}-{next(self._numbers)}"
             resolved = (self._resolve(source), self._resolve(target))
             rule = LinkRule(source=resolved[0], target=resolved[1], condition=condition)
@@ -73,8 +72,8 @@
             self._links.clear(name)
         self._journal.add(Fault(self._journal.now(), fault, ends, ended=True))
 
-    async def reset(self, act: acts.Reset) -> None:
-        """Reset connections once."""
-        ends = (self._resolve(act.source), self._resolve(act.target))
+    async def reset(self, action: actions.Reset) -> None:
+        """Reset the connections that exist now."""
+        ends = (self._resolve(action.source), self._resolve(action.target))
         self._links.relay.reset(*ends)
         self._journal.add(Fault(self._journal.now(), "reset", ends))
--- a/src/finchshed/fleet/network.py
+++ b/src/finchshed/fleet/network.py
@@ -1,36 +1,36 @@
-"""Addresses of a fleet: each machine is a loopback address, each fleet a network of its own.
+"""Loopback networks of fleets, in which each machine has its own address.
 
-A deployment's files use ``127.1.x.y``. A fleet takes the first free network ``127.N.`` and moves
-every address there, so that several fleets can run on one machine. It holds the network by
-listening on a port of it for as long as it lives.
+Deployment files use ``127.1.x.y``. A fleet reserves the first free network ``127.N.`` and
+translates all addresses to it, so that several fleets can run on one machine. A listening socket
+in the network marks it as reserved.
 """
 
 import enum
 import socket
 
 from finchshed.common.errors import FinchshedError
-from finchshed.fleet.deployment import EXAMPLE_NETWORK
+from finchshed.fleet.deployment import EXAMPLE_NETWORK_PREFIX
 
 FIRST_NETWORK = 1
 """Second byte of the first network tried."""
 
 LAST_NETWORK = 99
-"""Second byte of the last network tried: so many fleets can run on one machine."""
+"""Second byte of the last network tried; limits the fleets on one machine."""
 
-HOLD_HOST = "255.254"
-HOLD_PORT = 7000
-"""A port and a host that no program of a fleet listens at."""
+RESERVATION_HOST = "255.254"
+RESERVATION_PORT = 7000
+"""Address suffix and port of the reservation; no program of a fleet listens there."""
 
 RELAYED_OFFSET = 10
-"""Added to a port to get the one a program listens on behind a relay."""
+"""Added to a public port to get the private port of a program behind the relay."""
 
 
 class NoFreeNetworkError(FinchshedError):
-    """All loopback networks are held by other fleets."""
+    """All loopback networks are in use by other fleets."""
 
 
 class Port(enum.IntEnum):
-    """Ports of the programs; each machine has an address of its own."""
+    """Ports of the programs, the same on every machine."""
 
     LINK = 7100
     HTTP = 7101
@@ -44,32 +44,35 @@
 
 
 class FleetNetwork:
-    """A loopback network held by one fleet."""
+    """A loopback network reserved for one fleet."""
 
     def __init__(self) -> None:
-        self._holder = socket.socket()
-        self.prefix = self._hold()
+        self._reservation = socket.socket()
+        self.prefix = self._reserve()
 
-    def moved(self, text: str) -> str:
-        """Return ``text`` with the example network's addresses moved to this one."""
-        return text.replace(EXAMPLE_NETWORK, self.prefix)
+    def relocate(self, text: str) -> str:
+        """Return ``text`` with addresses of the example network translated to this network."""
+        return text.replace(EXAMPLE_NETWORK_PREFIX, self.prefix)
 
     def address(self, host: str, port: int) -> str:
-        """Return ``host:port`` in this network; ``host`` is of the example network."""
-        return f"{self.moved(host)}:{int(port)}"
+        """Return ``host:port`` in this network for a ``host`` of the example network."""
+        return f"{self.relocate(host)}:{int(port)}"
 
     def release(self) -> None:
-        """Let another fleet have the network."""
-        self._holder.close()
+        """Release the network for other fleets."""
+        self._reservation.close()
 
-    def _hold(self) -> str:
+    def _reserve(self) -> str:
         for number in range(FIRST_NETWORK, LAST_NETWORK + 1):
             prefix = f"127.{number}."
             try:
-                self._holder.bind((prefix + HOLD_HOST, HOLD_PORT))
+                self._reservation.bind((prefix + RESERVATION_HOST, RESERVATION_PORT))
             except OSError:
                 continue
-            self._holder.listen(1)
+            self._reservation.listen(1)
             return prefix
-        self._holder.close()
-        raise NoFreeNetworkError("all loopback networks are held by other fleets")
+        self._reservation.close()
+        raise NoFreeNetworkError(
+            f"no free loopback network from 127.{FIRST_NETWORK}. to 127.{LAST_NETWORK}.: "
+            "all are in use by other fleets"
+        )
--- a/src/finchshed/fleet/observer.py
+++ b/src/finchshed/fleet/observer.py
@@ -1,7 +1,4 @@
-"""Observes a running fleet by its admin listeners: who leads, and what is in force where.
-
-Owns the last value seen of each; relies on the names of the programs' metrics.
-"""
+"""Polls the metrics of a running fleet for the control leader and the revisions in force."""
 
 import asyncio
 import contextlib
@@ -14,10 +11,10 @@
 from finchshed.proof.history import RevisionInForce
 
 POLL_SECONDS = 0.25
-"""Between two rounds; a revision in force is judged against 4 s. Chosen, not measured."""
+"""Well below the default bound of 4 s for a change to be in force."""
 
 READ_TIMEOUT_SECONDS = 1.0
-"""How long a process may take to answer; a frozen one doesn't. Chosen, not measured."""
+"""Timeout of one read; a frozen process exceeds it."""
 
 REVISION = "finchshed_configuration_revision"
 SERVING = "finchshed_serving"
@@ -26,8 +23,8 @@
 DISK_FULL = "finchshed_control_disk_full"
 
 
-def values_of(exposition: str) -> dict[str, float]:
-    """Return the values of all samples without labels in Prometheus's text format."""
+def parse_unlabelled_samples(exposition: str) -> dict[str, float]:
+    """Return the values of all samples without labels in the Prometheus text format."""
     values = {}
     for line in exposition.splitlines():
         name, _, value = line.partition(" ")
@@ -37,11 +34,10 @@
 
 
 class FleetObserver:
-    """Polls the admin listeners and notes what changes.
+    """Polls the admin listeners and records changes of the revisions in force.
 
-    A daemon's revision is noted when it differs from the last one seen, so a history shows each
-    node's way through the revisions, late by at most one round of polling. A control node that
-    can't be read keeps what was last known of it: it may be frozen and still think that it leads.
+    A change is recorded at most one polling interval late. A control node that can't be read keeps
+    its last known state, because a frozen node may still consider itself the leader.
     """
 
     def __init__(self, fleet: Fleet, journal: FaultJournal) -> None:
@@ -50,7 +46,7 @@
         self._revisions: dict[str, int] = {}
         self._leader_terms: dict[str, float] = {}
         self.disks_seen_full: set[str] = set()
-        """Control nodes that said that their disk was full."""
+        """Control nodes that have reported a full disk."""
         self._task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> "FleetObserver":
@@ -66,27 +62,27 @@
 
     @property
     def leader(self) -> str:
-        """The control node that leads in the highest term seen; empty if none was seen."""
+        """Leader with the highest term seen, or an empty string if none was seen."""
         terms = self._leader_terms
         return max(terms, key=lambda name: terms[name]) if terms else ""
 
     @property
     def revisions(self) -> dict[str, int]:
-        """The last revision seen in force at each daemon."""
+        """Last revision seen in force at each daemon."""
         return dict(self._revisions)
 
     def followers(self) -> list[str]:
-        """Return the control nodes that run and don't lead."""
-        nodes = self._fleet.of_role(ProcessRole.CONTROL)
+        """Return the running control nodes other than the leader."""
+        nodes = self._fleet.with_role(ProcessRole.CONTROL)
         running = [node.spec.name for node in nodes if node.is_running]
         return [name for name in running if name != self.leader]
 
     async def poll(self) -> None:
-        """Read every process once."""
+        """Read the metrics of every production process once."""
         daemons = [
-            node.spec.name for node in self._fleet.of_role(ProcessRole.DAEMON, ProcessRole.EDGE)
+            node.spec.name for node in self._fleet.with_role(ProcessRole.DAEMON, ProcessRole.EDGE)
         ]
-        control = [node.spec.name for node in self._fleet.of_role(ProcessRole.CONTROL)]
+        control = [node.spec.name for node in self._fleet.with_role(ProcessRole.CONTROL)]
         await asyncio.gather(
             *(self._read_daemon(name) for name in daemons),
             *(self._read_control(name) for name in control),
@@ -98,16 +94,16 @@
             await self.poll()
 
     async def _read_daemon(self, name: str) -> None:
-        asked_at = self._journal.now()
-        values = await self._metrics(name)
+        read_at = self._journal.now()
+        values = await self._read_metrics(name)
         revision = int(values.get(REVISION, 0.0))
         if not values.get(SERVING) or self._revisions.get(name) == revision:
             return
         self._revisions[name] = revision
-        self._journal.add(RevisionInForce(asked_at, name, revision))
+        self._journal.add(RevisionInForce(read_at, name, revision))
 
     async def _read_control(self, name: str) -> None:
-        values = await self._metrics(name)
+        values = await self._read_metrics(name)
         if not values:
             return
         if values.get(DISK_FULL):
@@ -117,11 +113,11 @@
         else:
             self._leader_terms.pop(name, None)
 
-    async def _metrics(self, name: str) -> dict[str, float]:
+    async def _read_metrics(self, name: str) -> dict[str, float]:
         url = f"http://{self._fleet.plan.admin_addresses[name]}/metrics"
         timeout = aiohttp.ClientTimeout(total=READ_TIMEOUT_SECONDS)
         try:
             async with self._fleet.http.get(url, timeout=timeout) as response:
-                return values_of(await response.text())
+                return parse_unlabelled_samples(await response.text())
         except (aiohttp.ClientError, TimeoutError):
             return {}
--- a/src/finchshed/fleet/operator.py
+++ b/src/finchshed/fleet/operator.py
@@ -1,7 +1,7 @@
-"""The operator of a fleet: runs ``finchshed ctl`` against its control nodes.
+"""Runs ``finchshed ctl`` commands against the control nodes of a fleet.
 
-Each command is a process of its own, as a person would run it. The stand-in operators, which
-change the configuration under load, are processes of the fleet.
+The simulated operators, which change the configuration under load, are processes of the fleet
+instead.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 from finchshed.fleet.plan import FleetPlan
 
 APPLY_TIMEOUT_SECONDS = 30.0
-"""How long the declarations may take to be accepted; chosen, not measured."""
+"""How long the declarations may take to be accepted."""
 
 
 class OperatorError(FinchshedError):
-    """An operator's command failed."""
+    """A ``finchshed ctl`` command failed."""
 
 
 class CommandResult(msgspec.Struct, frozen=True):
-    """How one ``finchshed ctl`` command ended."""
+    """Exit code and output of one ``finchshed ctl`` command."""
 
     exit_code: int
     output: str
@@ -30,7 +30,7 @@
 
 
 class FleetOperator:
-    """Runs operator's commands, each as a process of its own like a person would."""
+    """Runs operator commands, each in a separate process."""
 
     def __init__(self, plan: FleetPlan) -> None:
         self._plan = plan
@@ -42,7 +42,7 @@
         }
 
     async def run(self, *arguments: str) -> CommandResult:
-        """Run ``finchshed ctl ARGUMENTS``."""
+        """Run ``finchshed ctl`` with ``arguments``."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -72,13 +72,13 @@
         """
         result = await self.run(*arguments)
         if result.exit_code != 0:
-            words = " ".join(arguments)
+            command = " ".join(arguments)
             raise OperatorError(
-                f"ctl {words}: exit code {result.exit_code}\n{result.output}{result.errors}"
+                f"ctl {command}: exit code {result.exit_code}\n{result.output}{result.errors}"
             )
         return result.output
 
     async def apply_declarations(self) -> str:
-        """Apply the deployment's declarations as one change."""
+        """Apply the deployment's declarations as one change and return the command's output."""
         timeout = f"--timeout={APPLY_TIMEOUT_SECONDS}"
         return (await self.run_checked("apply", str(self._plan.declarations), timeout)).strip()
--- a/src/finchshed/fleet/path_times.py
+++ b/src/finchshed/fleet/path_times.py
@@ -1,4 +1,4 @@
-"""Where the time of answered requests went: at the back end, or on the way to it and back."""
+"""Splits the latency of answered calls into time at the backend and all other time."""
 
 import collections
 from collections.abc import Mapping, Sequence
@@ -14,48 +14,48 @@
 
 
 class PathTimes(msgspec.Struct):
-    """Times of the answered calls of one kind, seconds.
+    """Durations of the answered calls of one kind, in seconds.
 
     Attributes
     ----------
-    at_back_end
-        From the start of the run to its end, with the calls it made on.
-    on_the_way
-        All else: HTTP, links, queues of the daemons, the distance of the clients.
+    backend_seconds
+        Time from start to end of the run, including downstream calls.
+    overhead_seconds
+        Remaining latency: HTTP, links, daemon queues and the network delay of clients.
     """
 
-    at_back_end: list[float] = msgspec.field(default_factory=list)
-    on_the_way: list[float] = msgspec.field(default_factory=list)
+    backend_seconds: list[float] = msgspec.field(default_factory=list)
+    overhead_seconds: list[float] = msgspec.field(default_factory=list)
 
 
-def path_times_of(index: Index) -> dict[str, PathTimes]:
-    """Return the times of the calls that one run answered, by the kind of outside call.
+def measure_path_times(index: Index) -> dict[str, PathTimes]:
+    """Return the durations of calls that exactly one run answered, by kind of call.
 
-    Calls that back ends make on stand together under :data:`NESTED`.
+    All downstream calls are grouped under :data:`NESTED`.
     """
     times: dict[str, PathTimes] = collections.defaultdict(PathTimes)
     for name, call in index.calls.items():
-        durations = _durations_of(index, name, call)
+        durations = _split_latency(index, name, call)
         if durations is None:
             continue
         kind = NESTED if call.parent else call.kind
-        times[kind].at_back_end.append(durations[0])
-        times[kind].on_the_way.append(durations[1])
+        times[kind].backend_seconds.append(durations[0])
+        times[kind].overhead_seconds.append(durations[1])
     return dict(times)
 
 
-def lines_of(times: Mapping[str, PathTimes]) -> list[str]:
-    """Return a line for each kind of call, for people."""
+def format_path_times(times: Mapping[str, PathTimes]) -> list[str]:
+    """Return a summary line for each kind of call."""
     lines = []
     for kind in sorted(times):
-        at_back_end = _percentiles(times[kind].at_back_end)
-        on_the_way = _percentiles(times[kind].on_the_way)
-        lines.append(f"{kind}: at the back end {at_back_end}, on the way {on_the_way}")
+        backend = _format_percentiles(times[kind].backend_seconds)
+        overhead = _format_percentiles(times[kind].overhead_seconds)
+        lines.append(f"{kind}: at the back end {backend}, on the way {overhead}")
     return lines
 
 
-def _durations_of(index: Index, name: str, call: CallBegan) -> tuple[float, float] | None:
-    """Return seconds at the back end and on the way; None if no single run answered the call."""
+def _split_latency(index: Index, name: str, call: CallBegan) -> tuple[float, float] | None:
+    """Return backend and overhead seconds; None unless exactly one run answered the call."""
     ends = index.call_ends.get(name, [])
     runs = index.runs_of_call.get(name, [])
     if len(ends) != 1 or len(runs) != 1 or ends[0].result is not CallResult.ANSWERED:
@@ -63,11 +63,11 @@
     ended = index.run_ends.get(runs[0].run)
     if ended is None:
         return None
-    served = ended.time - runs[0].time
-    return served, ends[0].time - call.time - served
+    backend_duration = ended.time - runs[0].time
+    return backend_duration, ends[0].time - call.time - backend_duration
 
 
-def _percentiles(values: Sequence[float]) -> str:
+def _format_percentiles(values: Sequence[float]) -> str:
     texts = [
         f"p{fraction * 100:g} {percentile(values, fraction) * MILLISECONDS:.1f}"
         for fraction in (0.5, 0.99)
--- a/src/finchshed/fleet/plan.py
+++ b/src/finchshed/fleet/plan.py
@@ -1,6 +1,6 @@
-"""All processes of a fleet, their names, and where to reach them.
+"""Plan of a fleet: its processes, their names and their addresses.
 
-Owns the names of daemons and back ends; the planner fills the plan.
+The planner builds the plan.
 """
 
 import pathlib
@@ -8,7 +8,7 @@
 import msgspec
 
 from finchshed.configuration.resources import Endpoint
-from finchshed.fleet.acts import ChangeConfiguration
+from finchshed.fleet.actions import ChangeConfiguration
 from finchshed.fleet.deployment import DECLARATIONS_FOLDER, FleetDeployment
 from finchshed.fleet.processes import ProcessRole, ProcessSpec
 from finchshed.fleet.toml_writer import to_toml
@@ -16,7 +16,7 @@
 
 
 class FleetPlan(msgspec.Struct, kw_only=True):
-    """All processes of a fleet, and where to reach them."""
+    """All processes of a fleet and their addresses."""
 
     folder: pathlib.Path
     deployment: FleetDeployment
@@ -28,28 +28,30 @@
     platform_address: str
     platform_lag_seconds: float
     relayed: dict[str, str]
-    """Addresses to listen on for others, by the address behind."""
+    """Public address of the relay by private address of the program behind it."""
     owners: dict[str, str]
-    """Name of the process behind each relayed address."""
+    """Name of the process by its private address."""
 
     @property
     def declarations(self) -> pathlib.Path:
-        """Folder with the declarations, moved to the fleet's network."""
+        """Folder of the declarations, with addresses in the fleet's network."""
         return self.folder / DECLARATIONS_FOLDER
 
     def spec(self, name: str) -> ProcessSpec:
-        """Return the process named ``name``."""
+        """Return the specification of the process ``name``."""
         return next(spec for spec in self.specs if spec.name == name)
 
-    def operator_spec(self, name: str, first_number: int, act: ChangeConfiguration) -> ProcessSpec:
-        """Write the settings of a stand-in operator and return how to start it."""
+    def operator_spec(
+        self, name: str, first_number: int, action: ChangeConfiguration
+    ) -> ProcessSpec:
+        """Write the settings of a simulated operator and return its process specification."""
         settings = OperatorSettings(
             name=name,
             token=self.deployment.operator_token,
             rpc_addresses=self.rpc_addresses,
             record_path=str(self.folder / "records" / f"{name}.jsonl"),
-            changes=act.times,
-            pause_seconds=act.pause_seconds,
+            changes=action.times,
+            pause_seconds=action.pause_seconds,
             first_number=first_number,
         )
         path = self.folder / "settings" / f"{name}.toml"
@@ -63,15 +65,15 @@
 
 
 def host_of(endpoint: Endpoint) -> str:
-    """Return the machine an endpoint stands on."""
+    """Return the host address of an endpoint's machine."""
     return endpoint.address.rpartition(":")[0]
 
 
 def daemon_name(endpoint: str) -> str:
-    """Return the name of the daemon beside an endpoint's back end."""
+    """Return the process name of an endpoint's daemon."""
     return f"{endpoint}-daemon"
 
 
 def backend_name(endpoint: str) -> str:
-    """Return the name of an endpoint's back end process."""
+    """Return the process name of an endpoint's backend."""
     return f"{endpoint}-backend"
--- a/src/finchshed/fleet/plan_options.py
+++ b/src/finchshed/fleet/plan_options.py
@@ -1,4 +1,4 @@
-"""What a run changes of the deployment that it plans."""
+"""Overrides that a run applies to its deployment."""
 
 import msgspec
 
@@ -6,14 +6,18 @@
 
 
 class PlanOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What a run changes of its deployment.
+    """Overrides of a deployment's settings for one run.
 
     Attributes
     ----------
     relayed
-        Whether internal links go through the fleet's relay, so that they can be cut.
+        Whether internal links go through the relay, which link faults require.
     load_factor
-        Multiplies the rate of every load.
+        Multiplier of the rate of every load.
+    phases
+        Phases of the run; if empty, the deployment's own phases are used.
+    platform_lag_seconds
+        Lag of the platform's instance list; None for the deployment's own lag.
     """
 
     seed: int = 1
--- a/src/finchshed/fleet/planner.py
+++ b/src/finchshed/fleet/planner.py
@@ -1,8 +1,4 @@
-"""Plans a fleet: every process with its settings file, from a deployment and declarations.
-
-Owns the settings files under the run's folder; relies on the settings types of the programs and
-stand-ins.
-"""
+"""Plans a fleet from a deployment and its declarations and writes all settings files."""
 
 import hashlib
 import pathlib
@@ -35,14 +31,14 @@
 )
 
 PLATFORM_POLL_SECONDS = 0.5
-"""A back end that the platform's list shows as leaving must get no new work 2 s later."""
+"""Leaves margin within the 2 s after which a leaving backend must get no new work."""
 
 DRAIN_SECONDS = 30.0
-"""Longest wait of a daemon for work in progress at a stop; callers give up long before."""
+"""How long a stopping daemon waits for requests in progress; exceeds the callers' timeouts."""
 
 
 class Planner:
-    """Builds a plan; writes settings files under the run folder."""
+    """Builds the plan of one run and writes its settings files to the run folder."""
 
     def __init__(
         self,
@@ -56,9 +52,9 @@
         self._deployment = deployment
         self._folder = folder
         self._network = network
-        self._listeners = FleetAddresses(network, relayed=options.relayed)
-        self._at = self._listeners.at
-        self._behind = self._listeners.behind
+        self._addresses = FleetAddresses(network, relayed=options.relayed)
+        self._address = self._addresses.public_address
+        self._listen_address = self._addresses.listen_address
         self._options = options
         self._behaviours = {service.name: service for service in deployment.service}
         self._specs: list[ProcessSpec] = []
@@ -84,13 +80,13 @@
             deployment=self._deployment,
             specs=self._specs,
             endpoints=endpoints,
-            rpc_addresses=tuple(self._at(m.host, Port.RPC) for m in self._deployment.control),
+            rpc_addresses=tuple(self._address(m.host, Port.RPC) for m in self._deployment.control),
             admin_addresses=self._admin_addresses(endpoints),
-            backend_addresses={e.name: self._at(host_of(e), Port.BACKEND) for e in endpoints},
-            platform_address=self._at(self._deployment.platform.host, Port.PLATFORM),
+            backend_addresses={e.name: self._address(host_of(e), Port.BACKEND) for e in endpoints},
+            platform_address=self._address(self._deployment.platform.host, Port.PLATFORM),
             platform_lag_seconds=self._platform_lag_seconds,
-            relayed=self._listeners.relayed,
-            owners=self._listeners.owners,
+            relayed=self._addresses.relayed,
+            owners=self._addresses.owners,
         )
 
     @property
@@ -104,12 +100,12 @@
             shutil.rmtree(target)
         target.mkdir()
         for path in sorted((self._source / DECLARATIONS_FOLDER).glob("*.toml")):
-            (target / path.name).write_text(self._network.moved(path.read_text()))
+            (target / path.name).write_text(self._network.relocate(path.read_text()))
         resources = read_declarations(target).resources.values()
         return tuple(item for item in resources if isinstance(item, Endpoint))
 
     def _plan_platform(self) -> None:
-        address = self._at(self._deployment.platform.host, Port.PLATFORM)
+        address = self._address(self._deployment.platform.host, Port.PLATFORM)
         settings = PlatformSettings(
             address=address,
             lag_seconds=self._platform_lag_seconds,
@@ -123,21 +119,23 @@
             region=machine.region,
             zone=machine.zone,
             data_folder=data_folder,
-            raft_address=self._behind(machine.name, machine.host, Port.RAFT),
-            raft_advertised_address=self._at(machine.host, Port.RAFT),
-            distribution_address=self._behind(machine.name, machine.host, Port.DISTRIBUTION),
-            distribution_advertised_address=self._at(machine.host, Port.DISTRIBUTION),
-            rpc_address=self._behind(machine.name, machine.host, Port.RPC),
-            admin_address=self._at(machine.host, Port.CONTROL_ADMIN),
+            raft_address=self._listen_address(machine.name, machine.host, Port.RAFT),
+            raft_advertised_address=self._address(machine.host, Port.RAFT),
+            distribution_address=self._listen_address(
+                machine.name, machine.host, Port.DISTRIBUTION
+            ),
+            distribution_advertised_address=self._address(machine.host, Port.DISTRIBUTION),
+            rpc_address=self._listen_address(machine.name, machine.host, Port.RPC),
+            admin_address=self._address(machine.host, Port.CONTROL_ADMIN),
             voters=tuple(
-                f"{voter.name}={self._at(voter.host, Port.RAFT)}"
+                f"{voter.name}={self._address(voter.host, Port.RAFT)}"
                 for voter in self._deployment.control
             ),
             bootstrap_token_sha256=hashlib.sha256(
                 self._deployment.operator_token.encode()
             ).hexdigest(),
             platform_list_url=(
-                f"http://{self._at(self._deployment.platform.host, Port.PLATFORM)}/instances"
+                f"http://{self._address(self._deployment.platform.host, Port.PLATFORM)}/instances"
             ),
             platform_poll_seconds=PLATFORM_POLL_SECONDS,
             platform_lag_seconds=self._platform_lag_seconds,
@@ -154,13 +152,13 @@
 
     def _plan_backend(self, endpoint: Endpoint) -> None:
         behaviour = self._behaviour(endpoint)
-        address = self._at(host_of(endpoint), Port.BACKEND)
+        address = self._address(host_of(endpoint), Port.BACKEND)
         settings = BackendSettings(
             name=endpoint.name,
             service=endpoint.service,
             zone=endpoint.zone,
             address=address,
-            daemon_address=self._at(host_of(endpoint), Port.HTTP),
+            daemon_address=self._address(host_of(endpoint), Port.HTTP),
             record_path=str(self._record_path(endpoint.name)),
             slots=endpoint.slots,
             service_time_seconds=behaviour.service_time_seconds,
@@ -181,10 +179,10 @@
             zone=endpoint.zone,
             service=endpoint.service,
             endpoint=endpoint.name,
-            backend_address=self._at(host, Port.BACKEND),
-            http_address=self._at(host, Port.HTTP),
-            link_address=self._behind(name, host, Port.LINK),
-            admin_address=self._at(host, Port.ADMIN),
+            backend_address=self._address(host, Port.BACKEND),
+            http_address=self._address(host, Port.HTTP),
+            link_address=self._listen_address(name, host, Port.LINK),
+            admin_address=self._address(host, Port.ADMIN),
             control_addresses=self._control_addresses(),
             data_folder=data_folder,
             drain_seconds=DRAIN_SECONDS,
@@ -196,9 +194,9 @@
             node=machine.name,
             region=machine.region,
             zone=machine.zone,
-            http_address=self._at(machine.host, Port.HTTP),
-            link_address=self._behind(machine.name, machine.host, Port.LINK),
-            admin_address=self._at(machine.host, Port.ADMIN),
+            http_address=self._address(machine.host, Port.HTTP),
+            link_address=self._listen_address(machine.name, machine.host, Port.LINK),
+            admin_address=self._address(machine.host, Port.ADMIN),
             control_addresses=self._control_addresses(),
             data_folder=self._data_folder(machine.name),
             drain_seconds=DRAIN_SECONDS,
@@ -211,7 +209,7 @@
         settings = CallerSettings(
             name=group.name,
             zone=group.zone,
-            edge_addresses=tuple(self._at(edge.host, Port.HTTP) for edge in edges),
+            edge_addresses=tuple(self._address(edge.host, Port.HTTP) for edge in edges),
             record_path=str(self._record_path(group.name)),
             loads=tuple(
                 msgspec.structs.replace(load, rate_per_second=load.rate_per_second * factor)
@@ -269,15 +267,15 @@
 
     def _control_addresses(self) -> tuple[str, ...]:
         return tuple(
-            f"{node.zone}={self._at(node.host, Port.DISTRIBUTION)}"
+            f"{node.zone}={self._address(node.host, Port.DISTRIBUTION)}"
             for node in self._deployment.control
         )
 
     def _admin_addresses(self, endpoints: tuple[Endpoint, ...]) -> dict[str, str]:
-        addresses = {daemon_name(e.name): self._at(host_of(e), Port.ADMIN) for e in endpoints}
-        addresses |= {m.name: self._at(m.host, Port.ADMIN) for m in self._deployment.edge}
+        addresses = {daemon_name(e.name): self._address(host_of(e), Port.ADMIN) for e in endpoints}
+        addresses |= {m.name: self._address(m.host, Port.ADMIN) for m in self._deployment.edge}
         control = self._deployment.control
-        return addresses | {m.name: self._at(m.host, Port.CONTROL_ADMIN) for m in control}
+        return addresses | {m.name: self._address(m.host, Port.CONTROL_ADMIN) for m in control}
 
     def _record_path(self, name: str) -> pathlib.Path:
         return self._folder / "records" / f"{name}.jsonl"
--- a/src/finchshed/fleet/processes.py
+++ b/src/finchshed/fleet/processes.py
@@ -1,7 +1,6 @@
-"""One process of a fleet: started from a settings file, signalled, and ended.
+"""Starts, signals and stops single processes of a fleet.
 
-Owns the process and its log file. Relies on the kernel's death signal, so that no process outlives
-the runner.
+The kernel kills the processes if the runner dies (PR_SET_PDEATHSIG).
 """
 
 import asyncio
@@ -17,7 +16,6 @@
 import msgspec
 
 POLL_SECONDS = 0.02
-"""Between two looks at a process that starts or ends; chosen, not measured."""
 
 PR_SET_PDEATHSIG = 1
 """Option of prctl(2)."""
@@ -26,7 +24,7 @@
 
 
 class ProcessRole(enum.StrEnum):
-    """What a process is in its fleet; the order is the order of starting."""
+    """Role of a process in its fleet, in starting order."""
 
     PLATFORM = "platform"
     CONTROL = "control"
@@ -41,18 +39,18 @@
 
 
 class ProcessSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """How to start one process.
+    """Specification of one process.
 
     Attributes
     ----------
     arguments
-        What follows the interpreter on its command line.
+        Command line arguments of the Python interpreter.
     listens
-        Addresses that take connections once the process is ready.
+        Addresses that accept connections once the process is ready.
     endpoint
-        The endpoint it is or serves, if any.
+        Endpoint of a backend or daemon; empty for other roles.
     data_folder
-        What it keeps over restarts; empty for nothing.
+        Folder of its persistent data, or empty.
     """
 
     name: str
@@ -65,7 +63,7 @@
 
 
 class FleetProcess:
-    """A process of the fleet, which may be ended and started again."""
+    """A process of the fleet that can be stopped and started again."""
 
     def __init__(self, spec: ProcessSpec, log_path: pathlib.Path) -> None:
         self.spec = spec
@@ -81,12 +79,12 @@
 
     @property
     def pid(self) -> int:
-        """Identity of the running process, or 0."""
+        """Process ID, or 0 if the process is not running."""
         return self._process.pid if self._process is not None and self.is_running else 0
 
     @property
     def is_running(self) -> bool:
-        """Whether the process exists (it may be frozen)."""
+        """Whether the process exists, even if it is frozen."""
         return self._process is not None and self._process.poll() is None
 
     @property
@@ -108,7 +106,7 @@
                 stderr=log,
                 env=environment,
                 start_new_session=True,
-                preexec_fn=_die_with_parent,  # noqa: PLW1509 - one call of C, no Python locks
+                preexec_fn=_set_parent_death_signal,  # noqa: PLW1509 - a single C call that takes no Python locks
             )
         self.expected_to_run = True
         self.is_frozen = False
@@ -124,7 +122,7 @@
         self._process.send_signal(number)
 
     async def wait(self, timeout_seconds: float) -> bool:
-        """Wait until the process has ended; return whether it did in time."""
+        """Wait until the process exits; return whether it did in time."""
         deadline = time.monotonic() + timeout_seconds
         while self.is_running:
             if time.monotonic() >= deadline:
@@ -133,14 +131,14 @@
         return True
 
     async def stop(self, number: signal.Signals, timeout_seconds: float) -> bool:
-        """Ask the process to end; kill it if it doesn't in time, or is frozen.
+        """Send a signal to stop the process; kill it if it is frozen or does not exit in time.
 
-        A frozen process is not woken: it would go on with what reached it meanwhile.
+        A frozen process is not resumed, because it would process input that arrived meanwhile.
 
         Returns
         -------
         bool
-            Whether it ended by itself.
+            Whether the process exited before the timeout.
         """
         self.send_signal(signal.SIGKILL if self.is_frozen else number)
         if await self.wait(timeout_seconds):
@@ -150,24 +148,24 @@
         return False
 
     def kill_now(self) -> None:
-        """End the process at once and reap it."""
+        """Kill the process and reap it."""
         if self._process is not None and self.is_running:
             self._process.kill()
             self._process.wait()
 
 
-def _die_with_parent() -> None:
+def _set_parent_death_signal() -> None:
     """Have the kernel kill the process if the runner dies without stopping it."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
 async def wait_until_listening(address: str, deadline: float, process: FleetProcess) -> bool:
-    """Wait until ``address`` takes connections.
+    """Wait until ``address`` accepts connections.
 
     Returns
     -------
     bool
-        Whether it did before ``deadline``, and before ``process`` ended.
+        Whether it did before ``deadline`` and before ``process`` exited.
     """
     host, _, port = address.rpartition(":")
     while time.monotonic() < deadline and process.is_running:
--- a/src/finchshed/fleet/reachability.py
+++ b/src/finchshed/fleet/reachability.py
@@ -1,22 +1,22 @@
-"""Which daemons can reach a majority of the control nodes, worked out from the injected faults."""
+"""Computes which daemons can reach a majority of the control group under injected faults."""
 
 from collections.abc import Callable, Sequence
 
 from finchshed.fleet.link_conditions import Peer
 
 Connected = Callable[[Peer, Peer], bool]
-"""Whether bytes pass both ways between two processes."""
+"""Returns whether traffic passes in both directions between two processes."""
 
 
-def serving_group(control: Sequence[Peer], voters: int, connected: Connected) -> list[Peer]:
-    """Return the control nodes that can be part of a working majority.
+def nodes_in_majority(control: Sequence[Peer], voters: int, connected: Connected) -> list[Peer]:
+    """Return the control nodes that can reach a majority of the group.
 
     Parameters
     ----------
     control
-        Control nodes that run.
+        Running control nodes.
     voters
-        Size of the whole group.
+        Number of voters in the whole group.
     """
     majority = voters // 2 + 1
     group = []
@@ -27,9 +27,9 @@
     return group
 
 
-def reaching(
+def daemons_reaching_control(
     daemons: Sequence[Peer], control: Sequence[Peer], voters: int, connected: Connected
 ) -> set[str]:
-    """Return the names of the daemons that can reach a control node of a working majority."""
-    group = serving_group(control, voters, connected)
+    """Return the names of daemons that can reach a control node of a majority."""
+    group = nodes_in_majority(control, voters, connected)
     return {daemon.name for daemon in daemons if any(connected(daemon, node) for node in group)}
--- a/src/finchshed/fleet/relay.py
+++ b/src/finchshed/fleet/relay.py
@@ -1,18 +1,17 @@
-"""A TCP relay in front of a program's listener, so that links can be made to fail.
+"""TCP relay in front of a program's listener that injects link faults.
 
-It copies bytes and knows no protocol. A program listens on a private address, the relay on the
-public one that others connect to. Who connects is found by the process that holds the other end of
-the connection, so no program has to name itself.
+The program listens on a private address and the relay on the public address. The relay is
+independent of the protocol and identifies a client by the process that holds the other end of the
+connection.
 
-What is done to a direction of a connection:
+Impairments of one direction of a connection:
 
-- ``delay``: bytes arrive so much later, in order;
-- ``cut``: bytes are read from neither side and nothing is closed: no sign that the link is gone.
-  New connections are accepted by the operating system and stay silent. When the cut ends, what
-  waited goes on;
-- ``rate``: so many bytes a second.
+- delay: bytes arrive later, in order;
+- cut: bytes are withheld without closing the connection, so neither end notices. New connections
+  are accepted but stay idle. Withheld bytes are forwarded when the cut ends;
+- bandwidth limit: bytes are forwarded at a limited rate.
 
-Closing both ends with a reset is an act of its own.
+In addition, connections can be reset.
 """
 
 import asyncio
@@ -21,17 +20,17 @@
 import struct
 from collections.abc import Callable
 
-from finchshed.fleet.link_conditions import Conditions, Peer, is_named
+from finchshed.fleet.link_conditions import LinkRules, Peer, matches_peer
 
 CHUNK_BYTES = 65_536
-"""Most that is read at once; chosen, not measured."""
+"""Maximum size of one read."""
 
 RESET_LINGER = struct.pack("ii", 1, 0)
-"""With this SO_LINGER a close sends a reset."""
+"""SO_LINGER value with which a close sends a reset."""
 
 
 class Relay:
-    """Listens on public addresses and copies to the private ones behind.
+    """Listens on public addresses and forwards connections to private addresses.
 
     Parameters
     ----------
@@ -39,15 +38,15 @@
         Returns the peer whose socket has these local and remote addresses, ``a.b.c.d:port``.
     """
 
-    def __init__(self, conditions: Conditions, identify: Callable[[str, str], Peer]) -> None:
-        self._conditions = conditions
+    def __init__(self, rules: LinkRules, identify: Callable[[str, str], Peer]) -> None:
+        self._rules = rules
         self._identify = identify
         self._servers: list[asyncio.Server] = []
         self._connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, public: str, private: str, owner: Peer) -> None:
-        """Relay connections to ``public`` on to ``private``, where ``owner`` listens."""
+        """Relay connections from ``public`` to ``private``, where ``owner`` listens."""
         host, _, port = public.rpartition(":")
 
         async def accepted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -61,7 +60,7 @@
         self._servers.append(server)
 
     def reset(self, source: str, target: str) -> int:
-        """Reset all connections between peers of these names or zones; return how many."""
+        """Reset all connections between peers with these names or zones; return their number."""
         found = [item for item in self._connections if item.is_between(source, target)]
         for connection in found:
             connection.reset()
@@ -84,16 +83,16 @@
             task.add_done_callback(self._tasks.discard)
         self._connections.add(connection)
         try:
-            await self._conditions.until_open(connection.client, connection.owner)
+            await self._rules.wait_until_open(connection.client, connection.owner)
             if await connection.open(private):
-                await connection.copy(self._conditions)
+                await connection.copy(self._rules)
         finally:
             self._connections.discard(connection)
             connection.reset()
 
 
 class _Connection:
-    """One connection through the relay."""
+    """A relayed connection between a client and the owner of the private address."""
 
     def __init__(
         self,
@@ -110,13 +109,13 @@
         self._owner_writer: asyncio.StreamWriter | None = None
 
     def is_between(self, source: str, target: str) -> bool:
-        """Whether the connection joins peers of these names or zones, either way."""
-        forth = is_named(source, self.client) and is_named(target, self.owner)
-        back = is_named(target, self.client) and is_named(source, self.owner)
-        return forth or back
+        """Whether the connection joins peers with these names or zones, in either order."""
+        forward = matches_peer(source, self.client) and matches_peer(target, self.owner)
+        backward = matches_peer(target, self.client) and matches_peer(source, self.owner)
+        return forward or backward
 
     async def open(self, private: str) -> bool:
-        """Connect to the program behind; return whether it listens."""
+        """Connect to the private address; return whether the program listens there."""
         host, _, port = private.rpartition(":")
         try:
             self._owner_reader, self._owner_writer = await asyncio.open_connection(
@@ -126,20 +125,20 @@
             return False
         return True
 
-    async def copy(self, conditions: Conditions) -> None:
-        """Copy both directions until both have ended, or one has broken."""
+    async def copy(self, rules: LinkRules) -> None:
+        """Copy both directions until both have ended."""
         assert self._owner_reader is not None
         assert self._owner_writer is not None
-        forth = _Direction(
-            conditions, self.client, self.owner, self._client_reader, self._owner_writer
+        forward = _Direction(
+            rules, self.client, self.owner, self._client_reader, self._owner_writer
         )
-        back = _Direction(
-            conditions, self.owner, self.client, self._owner_reader, self._client_writer
+        backward = _Direction(
+            rules, self.owner, self.client, self._owner_reader, self._client_writer
         )
-        await asyncio.gather(forth.run(), back.run())
+        await asyncio.gather(forward.run(), backward.run())
 
     def reset(self) -> None:
-        """Close both ends; who still sends gets a reset."""
+        """Reset both ends of the connection that are still open."""
         for writer in (self._client_writer, self._owner_writer):
             if writer is None or writer.transport.is_closing():
                 continue
@@ -150,26 +149,26 @@
 
 
 class _Direction:
-    """Bytes that go one way through a connection."""
+    """Copies one direction of a connection."""
 
     def __init__(
         self,
-        conditions: Conditions,
+        rules: LinkRules,
         source: Peer,
         target: Peer,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        self._conditions = conditions
+        self._rules = rules
         self._source = source
         self._target = target
         self._reader = reader
         self._writer = writer
-        # Bounded, so that a slow or cut direction pushes back on its sender.
+        # Bounded, so that a slow or cut direction applies backpressure to its sender.
         self._queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(maxsize=64)
 
     async def run(self) -> None:
-        """Copy until the source has ended."""
+        """Copy until the source closes its side."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._read())
             group.create_task(self._write())
@@ -189,15 +188,15 @@
         loop = asyncio.get_running_loop()
         while True:
             received, data = await self._queue.get()
-            condition = await self._conditions.until_open(self._source, self._target)
+            condition = await self._rules.wait_until_open(self._source, self._target)
             pause = received + condition.delay_seconds - loop.time()
             if condition.bytes_per_second:
                 pause = max(pause, len(data) / condition.bytes_per_second)
             if pause > 0.0:
                 await asyncio.sleep(pause)
-                await self._conditions.until_open(self._source, self._target)
+                await self._rules.wait_until_open(self._source, self._target)
             if not data:
-                self._end()
+                self._write_eof()
                 return
             try:
                 self._writer.write(data)
@@ -205,7 +204,7 @@
             except OSError:
                 return
 
-    def _end(self) -> None:
+    def _write_eof(self) -> None:
         if self._writer.can_write_eof() and not self._writer.transport.is_closing():
             with contextlib.suppress(OSError):
                 self._writer.write_eof()
--- a/src/finchshed/fleet/results.py
+++ b/src/finchshed/fleet/results.py
@@ -1,7 +1,4 @@
-"""Tables of the results of fault runs, from the verdicts in their folders.
-
-Relies on the names of checks that verdicts carry.
-"""
+"""Formats the verdicts of fault runs as a Markdown table."""
 
 import pathlib
 from collections.abc import Iterable, Mapping
@@ -15,7 +12,7 @@
 
 VERDICT_FILE = "verdict.json"
 
-CASES: Mapping[str, str] = {
+CASE_COLUMNS: Mapping[str, str] = {
     "answers": answers.NAME,
     "refusals": runs.NAME_REFUSED,
     "keys": runs.NAME_ONCE,
@@ -25,18 +22,18 @@
     "signs": leaving.NAME_LEAVING,
     "stops": leaving.NAME_STOP,
 }
-"""Column by the check whose cases it counts."""
+"""Name of the check whose cases a column shows, by column heading."""
 
-HEADINGS = ("deployment", "script", "processes", *CASES, "load average", "result")
+HEADINGS = ("deployment", "script", "processes", *CASE_COLUMNS, "load average", "result")
 
 
 def read_verdicts(folder: pathlib.Path) -> list[RunVerdict]:
-    """Read the verdicts of all runs below ``folder``, by deployment and script.
+    """Read the verdicts of all runs below ``folder``, sorted by deployment and script.
 
     Raises
     ------
     SettingsError
-        If there is none, or one can't be read.
+        If there is no verdict, or one can't be read.
     """
     try:
         verdicts = [
@@ -50,24 +47,24 @@
     return sorted(verdicts, key=lambda verdict: (verdict.deployment, verdict.scenario))
 
 
-def markdown_of(verdicts: Iterable[RunVerdict]) -> str:
-    """Return a table in Markdown, a row for each run."""
-    rows = [HEADINGS, ("---",) * len(HEADINGS), *(_cells(verdict) for verdict in verdicts)]
+def format_markdown(verdicts: Iterable[RunVerdict]) -> str:
+    """Return a Markdown table with a row for each run."""
+    rows = [HEADINGS, ("---",) * len(HEADINGS), *(_format_cells(verdict) for verdict in verdicts)]
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
-def _cells(verdict: RunVerdict) -> tuple[str, ...]:
+def _format_cells(verdict: RunVerdict) -> tuple[str, ...]:
     cases = {check.name: check.cases for check in verdict.checks}
     return (
         verdict.deployment,
         f"`{verdict.scenario}`",
         str(verdict.processes),
-        *(str(cases.get(check, 0)) for check in CASES.values()),
+        *(str(cases.get(check, 0)) for check in CASE_COLUMNS.values()),
         f"{verdict.load_average:.0f}",
-        _result(verdict),
+        _format_result(verdict),
     )
 
 
-def _result(verdict: RunVerdict) -> str:
+def _format_result(verdict: RunVerdict) -> str:
     failed = [f"{check.name} ({len(check.problems)})" for check in verdict.checks if check.problems]
     return "FAILED: " + ", ".join(failed) if failed else "passed"
--- a/src/finchshed/fleet/scenario.py
+++ b/src/finchshed/fleet/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario files: a load, a fault script and what must hold.
+"""Scenario files, which define phases, a fault script and expected outcomes.
 
-Owns the form of the file, which stored scripts have; names are checked against a plan.
+Stored scripts use this format. Names in a scenario are validated against a plan.
 """
 
 import pathlib
@@ -10,10 +10,10 @@
 
 from finchshed.common.errors import SettingsError
 from finchshed.configuration.resources import Name
-from finchshed.fleet.acts import (
-    LINK_ACTS,
+from finchshed.fleet.actions import (
+    LINK_ACTIONS,
     Edition,
-    FaultAct,
+    FaultAction,
     Leave,
     MisreportLoad,
     Slow,
@@ -25,20 +25,20 @@
 
 
 class Expectation(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What callers must get, besides what always holds.
+    """Bounds on callers' outcomes, in addition to the checks of every run.
 
     Attributes
     ----------
     load
-        Name of a load, or ``*`` for all together.
+        Name of a load, or ``*`` for the sum of all loads.
     phase
         Name of a phase, or ``*`` for the whole run.
     answered_at_least
-        Fraction of the requests that must be answered in the end.
+        Minimum fraction of requests that are finally answered.
     failed_at_most, refused_at_most
-        Number of requests that may end so.
+        Maximum number of requests that finally fail or are refused.
     attempts_mean_at_most
-        Attempts of callers per request.
+        Maximum mean of attempts per request.
     """
 
     load: Annotated[str, msgspec.Meta(min_length=1)]
@@ -50,21 +50,21 @@
 
 
 class FaultScenario(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A scenario file.
+    """Contents of a scenario file.
 
     Attributes
     ----------
     load_factor
-        Multiplies the rate of every load of the deployment.
+        Multiplier of the rate of every load.
     leaving_bound_seconds, in_force_bound_seconds
-        How long after the first sign a leaving back end may get new work, and how long an accepted
-        change may take to be in force; the defaults are what the system is to keep.
+        How long a leaving backend may get new requests after the first signal, and how long an
+        accepted change may take to be in force. The defaults are the requirements on the system.
     """
 
     name: Name
     description: str
     phase: tuple[Phase, ...]
-    act: tuple[FaultAct, ...] = ()
+    act: tuple[FaultAction, ...] = ()
     expect: tuple[Expectation, ...] = ()
     load_factor: Annotated[float, msgspec.Meta(gt=0.0, le=100.0)] = 1.0
     platform_lag_seconds: Annotated[float, msgspec.Meta(ge=0.0, le=600.0)] = 30.0
@@ -73,8 +73,8 @@
 
     @property
     def needs_relay(self) -> bool:
-        """Whether an act works on links."""
-        return any(isinstance(act, LINK_ACTS) for act in self.act)
+        """Whether any action affects links."""
+        return any(isinstance(action, LINK_ACTIONS) for action in self.act)
 
 
 def read_scenario(path: pathlib.Path) -> FaultScenario:
@@ -83,7 +83,7 @@
     Raises
     ------
     SettingsError
-        If the file can't be read or holds a wrong key or value.
+        If the file can't be read, or has an unknown key or an invalid value.
     """
     try:
         return msgspec.toml.decode(path.read_bytes(), type=FaultScenario)
@@ -91,8 +91,8 @@
         raise SettingsError([f"{path}: {error}"]) from error
 
 
-def problems_of(scenario: FaultScenario, plan: FleetPlan) -> list[str]:
-    """Return a line for each name of ``scenario`` that the planned fleet doesn't have."""
+def find_unknown_names(scenario: FaultScenario, plan: FleetPlan) -> list[str]:
+    """Return a line for each name in ``scenario`` that the planned fleet does not have."""
     processes = {spec.name for spec in plan.specs}
     zones = {spec.zone for spec in plan.specs if spec.zone}
     endpoints = {endpoint.name for endpoint in plan.endpoints}
@@ -100,25 +100,25 @@
     loads = {load.name for group in plan.deployment.caller for load in group.loads}
     phases = {phase.name for phase in scenario.phase}
     problems = []
-    for act in scenario.act:
-        where = f"act at {act.at:g}"
-        if isinstance(act, Slow | Edition):
-            problems += _unknown(where, act.target, endpoints | services)
-        elif isinstance(act, Leave | MisreportLoad):
-            problems += _unknown(where, act.target, endpoints)
-        elif isinstance(act, LINK_ACTS):
+    for action in scenario.act:
+        where = f"act at {action.at:g}"
+        if isinstance(action, Slow | Edition):
+            problems += _check_name(where, action.target, endpoints | services)
+        elif isinstance(action, Leave | MisreportLoad):
+            problems += _check_name(where, action.target, endpoints)
+        elif isinstance(action, LINK_ACTIONS):
             allowed = processes | zones | SPECIAL_SELECTORS
-            problems += _unknown(where, act.source, allowed)
-            problems += _unknown(where, act.target, allowed)
-        elif hasattr(act, "target"):
-            problems += _unknown(where, act.target, processes | SPECIAL_SELECTORS - {"*"})
+            problems += _check_name(where, action.source, allowed)
+            problems += _check_name(where, action.target, allowed)
+        elif hasattr(action, "target"):
+            problems += _check_name(where, action.target, processes | SPECIAL_SELECTORS - {"*"})
     for expectation in scenario.expect:
-        problems += _unknown("expect: load", expectation.load, loads | {"*"})
-        problems += _unknown("expect: phase", expectation.phase, phases | {"*"})
+        problems += _check_name("expect: load", expectation.load, loads | {"*"})
+        problems += _check_name("expect: phase", expectation.phase, phases | {"*"})
     return problems
 
 
-def _unknown(where: str, name: str, allowed: set[str] | frozenset[str]) -> list[str]:
+def _check_name(where: str, name: str, allowed: set[str] | frozenset[str]) -> list[str]:
     if name in allowed:
         return []
     return [f"{where}: no such name: {name}; allowed are: {', '.join(sorted(allowed))}"]
--- a/src/finchshed/fleet/serving_events.py
+++ b/src/finchshed/fleet/serving_events.py
@@ -1,6 +1,6 @@
-"""What back ends ran, and the calls they made on, as events of a history.
+"""Converts backend records to history events of runs and downstream calls.
 
-Owns the rules of when a run or a call counts as ended; relies on records in order of time.
+Determines when runs and calls end, also for killed backends. Records must be ordered by time.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -22,9 +22,9 @@
 )
 from finchshed.standins.records import BackendEvent, BackendRecord
 
-ANSWER_SIGN = "answer"
+ANSWER_SIGNAL = "answer"
 ANSWERS = frozenset({BackendEvent.FINISHED, BackendEvent.FAILED, BackendEvent.REFUSED})
-"""Events with which a back end answers a request."""
+"""Events of a backend that responds to a request."""
 
 RUN_ENDS = {
     BackendEvent.FINISHED: RunResult.FINISHED,
@@ -34,17 +34,17 @@
 
 
 class ServingEvents:
-    """What back ends ran, and the calls they made on.
+    """Converts the backend records of one run.
 
     Parameters
     ----------
     sessions
-        Session by name of the call, of calls that outside callers made in one.
+        Session by call, for calls of external callers that belong to a session.
 
     Attributes
     ----------
     roots
-        Root identity by name of the call.
+        Root ID by call.
     """
 
     def __init__(
@@ -70,12 +70,12 @@
         """Return the events of all records."""
         events: list[Event] = []
         for record in self._records:
-            events += self._events_of(record)
-        events += self._crashes()
+            events += self._convert(record)
+        events += self._crashed_runs()
         return events
 
-    def _events_of(self, record: BackendRecord) -> Iterator[Event]:
-        yield from self._first_sign(record)
+    def _convert(self, record: BackendRecord) -> Iterator[Event]:
+        yield from self._leaving_signal(record)
         if record.event is BackendEvent.STARTED:
             yield from self._started(record)
         elif record.event in RUN_ENDS:
@@ -84,12 +84,12 @@
             yield from self._call_began(record)
         elif record.event is BackendEvent.CALL_ENDED:
             self._open_calls.pop(record.call, None)
-            yield _nested_ended(record, self._time(record))
+            yield _call_end_event(record, self._time(record))
 
-    def _first_sign(self, record: BackendRecord) -> Iterator[Event]:
-        """Yield that an endpoint leaves with the first answer that says so.
+    def _leaving_signal(self, record: BackendRecord) -> Iterator[Event]:
+        """Yield a leaving event for the first response of a draining backend.
 
-        A back end that drains tells it by its answers; before the first one nobody can know.
+        Only the responses announce the drain, so no one can know of it before the first one.
         """
         if record.event is BackendEvent.DRAINING:
             self._reported_draining.discard(record.backend)
@@ -97,7 +97,7 @@
         is_reported = record.backend in self._reported_draining
         if record.event in ANSWERS and record.draining_seconds >= 0.0 and not is_reported:
             self._reported_draining.add(record.backend)
-            yield EndpointLeaving(self._time(record), record.backend, ANSWER_SIGN)
+            yield EndpointLeaving(self._time(record), record.backend, ANSWER_SIGNAL)
 
     def _started(self, record: BackendRecord) -> Iterator[Event]:
         self._runs[record.run] = record
@@ -118,14 +118,14 @@
             endpoint=record.backend,
             service=record.service,
             root=record.root,
-            importance=importance_of(record),
+            importance=read_importance(record),
             admitted=True,
         )
 
     def _ended(self, record: BackendRecord) -> Iterator[Event]:
         self._open_runs.pop(record.run, None)
         time = self._time(record)
-        yield from self._abandon_calls_of(record.run, time)
+        yield from self._abandon_calls(record.run, time)
         yield RunEnded(time, record.run, RUN_ENDS[record.event])
 
     def _call_began(self, record: BackendRecord) -> Iterator[Event]:
@@ -138,19 +138,19 @@
             call=record.call,
             root=run.root,
             service=record.service,
-            importance=importance_of(run),
+            importance=read_importance(run),
             parent=record.run,
         )
 
-    def _abandon_calls_of(self, run: str, time: float) -> Iterator[Event]:
-        """Yield the end of calls that a run made on and did not wait for."""
-        left = [call for call, record in self._open_calls.items() if record.run == run]
-        for call in left:
+    def _abandon_calls(self, run: str, time: float) -> Iterator[Event]:
+        """Yield the end of downstream calls that are open when their run ends."""
+        open_calls = [call for call, record in self._open_calls.items() if record.run == run]
+        for call in open_calls:
             del self._open_calls[call]
             yield CallEnded(time, call, CallResult.ABANDONED)
 
-    def _crashes(self) -> Iterator[Event]:
-        """Yield the end of runs that a kill of their back end ended."""
+    def _crashed_runs(self) -> Iterator[Event]:
+        """Yield the end of runs whose backend was killed."""
         kills = [
             event
             for event in self._journal.events
@@ -159,21 +159,23 @@
         for run, record in list(self._open_runs.items()):
             began = self._time(record)
             name = backend_name(record.backend)
-            times = [kill.time for kill in kills if name in kill.targets and kill.time >= began]
-            if times:
-                yield from self._abandon_calls_of(run, min(times))
-                yield RunEnded(min(times), run, RunResult.CRASHED)
+            kill_times = [
+                kill.time for kill in kills if name in kill.targets and kill.time >= began
+            ]
+            if kill_times:
+                yield from self._abandon_calls(run, min(kill_times))
+                yield RunEnded(min(kill_times), run, RunResult.CRASHED)
 
     def _time(self, record: BackendRecord) -> float:
         return record.at - self._journal.began
 
 
-def importance_of(record: BackendRecord) -> Importance:
-    """Return the importance a run was sent with."""
+def read_importance(record: BackendRecord) -> Importance:
+    """Return the importance of the request of a run."""
     return Importance(int(record.importance)) if record.importance else Importance.NORMAL
 
 
-def _nested_ended(record: BackendRecord, time: float) -> CallEnded:
+def _call_end_event(record: BackendRecord, time: float) -> CallEnded:
     result = CallResult.FAILED
     if record.ran == "yes":
         result = CallResult.ANSWERED
--- a/src/finchshed/fleet/socket_diagnosis.py
+++ b/src/finchshed/fleet/socket_diagnosis.py
@@ -1,20 +1,20 @@
-"""Asks the kernel for one TCP socket by its two addresses (sock_diag, see sock_diag(7)).
+"""Looks up a TCP socket by its two addresses through netlink (sock_diag(7)).
 
-The table under /proc/net/tcp is no snapshot: while other connections come and go its reader can
-miss rows, and it takes longer the more connections there are. A request for one socket is exact.
+Unlike a scan of /proc/net/tcp, which can miss rows while connections change, this lookup is exact
+and its cost does not grow with the number of connections.
 """
 
 import socket
 import struct
 
-# Numbers of the kernel's interface: linux/netlink.h, linux/sock_diag.h and linux/inet_diag.h.
+# Constants from linux/netlink.h, linux/sock_diag.h and linux/inet_diag.h.
 NETLINK_SOCK_DIAG = 4
 SOCK_DIAG_BY_FAMILY = 20
 NLM_F_REQUEST = 1
 ALL_STATES = 0xFFFFFFFF
 ANY_COOKIE = b"\xff" * 8
 RECEIVE_BYTES = 8192
-"""More than the answer for one socket."""
+"""Exceeds the size of a response for one socket."""
 
 MESSAGE_HEADER = struct.Struct("=IHHII")
 """Length, type, flags, sequence number and port of a netlink message (struct nlmsghdr)."""
@@ -32,15 +32,15 @@
 """Timer, queues, user and inode of struct inet_diag_msg."""
 
 
-def inode_between(local_address: str, remote_address: str) -> int:
-    """Return the inode of the connected TCP socket with these addresses, ``a.b.c.d:port`` each.
+def find_socket_inode(local_address: str, remote_address: str) -> int:
+    """Return the inode of the TCP socket with these addresses, each ``a.b.c.d:port``.
 
-    0 if there is none, or nobody holds it any more.
+    The result is 0 if there is no such socket, or no process holds it any more.
     """
-    request = _request(local_address, remote_address)
-    with socket.socket(socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_SOCK_DIAG) as channel:
-        channel.send(request)
-        answer = channel.recv(RECEIVE_BYTES)
+    request = _pack_request(local_address, remote_address)
+    with socket.socket(socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_SOCK_DIAG) as netlink:
+        netlink.send(request)
+        answer = netlink.recv(RECEIVE_BYTES)
     _, kind, _, _, _ = MESSAGE_HEADER.unpack_from(answer)
     if kind != SOCK_DIAG_BY_FAMILY:
         return 0
@@ -49,7 +49,7 @@
     return int(inode)
 
 
-def _request(local_address: str, remote_address: str) -> bytes:
+def _pack_request(local_address: str, remote_address: str) -> bytes:
     local_host, _, local_port = local_address.rpartition(":")
     remote_host, _, remote_port = remote_address.rpartition(":")
     body = REQUEST_HEAD.pack(socket.AF_INET, socket.IPPROTO_TCP, 0, 0, ALL_STATES)
--- a/src/finchshed/fleet/sockets.py
+++ b/src/finchshed/fleet/sockets.py
@@ -1,4 +1,4 @@
-"""Which process holds a socket, from the kernel's tables under /proc."""
+"""Finds the process that holds a socket, from its descriptors under /proc."""
 
 import os
 import pathlib
@@ -8,26 +8,26 @@
 SOCKET_PREFIX = "socket:["
 
 
-def holder_of(inode: int, pids: Iterable[int]) -> int:
-    """Return which of ``pids`` holds the socket, or 0."""
-    wanted = f"{SOCKET_PREFIX}{inode}]"
+def find_socket_holder(inode: int, pids: Iterable[int]) -> int:
+    """Return the first of ``pids`` that holds the socket, or 0 if none does."""
+    socket_link = f"{SOCKET_PREFIX}{inode}]"
     for pid in pids:
-        if wanted in descriptors_of(pid):
+        if socket_link in list_descriptors(pid):
             return pid
     return 0
 
 
-def descriptors_of(pid: int) -> list[str]:
-    """Return what each open descriptor of a process stands for; empty if it is gone."""
+def list_descriptors(pid: int) -> list[str]:
+    """Return the link target of each open descriptor of a process; empty if it has exited."""
     folder = PROC / str(pid) / "fd"
-    found = []
+    targets = []
     try:
         names = os.listdir(folder)
     except OSError:
         return []
     for name in names:
         try:
-            found.append(os.readlink(folder / name))
+            targets.append(os.readlink(folder / name))
         except OSError:
             continue
-    return found
+    return targets
--- a/src/finchshed/fleet/storm.py
+++ b/src/finchshed/fleet/storm.py
@@ -1,8 +1,8 @@
-"""Fault scripts drawn from a seed: any fault at any moment, together or twice.
+"""Generates random fault scripts ("storms") from seeds.
 
-A storm ends before its last phase, in which callers must be served again. Faults that the system
-isn't asked to outlive are not drawn: no more than one control disk is lost a storm, and every
-process that was killed starts again.
+Faults can overlap and repeat, and end before the last phase, in which service must have recovered.
+A storm stays within what the system must survive: at most one control disk is lost, and every
+killed process starts again.
 """
 
 import itertools
@@ -11,60 +11,60 @@
 
 import msgspec
 
-from finchshed.fleet import acts
+from finchshed.fleet import actions
 from finchshed.fleet.plan import backend_name, daemon_name
 from finchshed.fleet.scenario import Expectation, FaultScenario
 from finchshed.standins.settings import Phase
 
-# The shape of a storm is chosen, not measured. A change of any figure changes the script of every
-# seed, and with it what a seed that once failed stands for.
+# Any change of these values changes the script of every seed, so that seeds of earlier failures no
+# longer reproduce them.
 CALM_SECONDS = 3.0
 STORM_SECONDS = 22.0
-AFTER_SECONDS = 10.0
-"""Lengths of the three phases; callers must be served in the last."""
+RECOVERY_SECONDS = 10.0
+"""Durations of the three phases; service must have recovered in the last one."""
 
-LAST_ACT_SECONDS = CALM_SECONDS + STORM_SECONDS - 8.0
-"""No fault begins later, and none takes longer than what is left then."""
+LATEST_FAULT_SECONDS = CALM_SECONDS + STORM_SECONDS - 8.0
+"""Latest start of a fault, early enough for it to end within the storm."""
 
-FAULT_SECONDS = (0.5, 6.0)
-"""Least and most seconds that a fault lasts."""
+FAULT_DURATION_RANGE = (0.5, 6.0)
+"""Minimum and maximum duration of a fault."""
 
-FULL_DISK_SECONDS = (3.0, 6.0)
-"""Long enough for a change to meet it."""
+FULL_DISK_DURATION_RANGE = (3.0, 6.0)
+"""Minimum and maximum duration of a full disk, which must overlap a change."""
 
-FAULTS = (5, 9)
-"""Least and most faults of a storm."""
+FAULT_COUNT_RANGE = (5, 9)
+"""Minimum and maximum number of faults."""
 
-OPERATORS = (1, 2)
-"""Least and most operators, who change the configuration throughout."""
+OPERATOR_COUNT_RANGE = (1, 2)
+"""Minimum and maximum number of operators that change the configuration."""
 
-CHANGES = 20
+CHANGES_PER_OPERATOR = 20
 CHANGE_PAUSE_SECONDS = 0.6
-"""Changes of each operator, and the pause before each: 12 s of the storm."""
+"""Changes of each operator and the pause before each; these spread over 12 s."""
 
-RESTART_SECONDS = (0.2, 3.0)
-"""Least and most seconds that a killed process is gone."""
+RESTART_DELAY_RANGE = (0.2, 3.0)
+"""Minimum and maximum delay before a killed process restarts."""
 
-SLOW_FACTORS = (2.0, 6.0)
-"""Least and most times that the work of a slow back end takes longer."""
+SLOW_FACTOR_RANGE = (2.0, 6.0)
+"""Minimum and maximum factor of slowed service times."""
 
-DELAYS = (0.01, 0.2)
-"""Least and most seconds that bytes between two zones come later."""
+DELAY_RANGE = (0.01, 0.2)
+"""Minimum and maximum delay of traffic between two zones, in seconds."""
 
-NARROW_BYTES = (5_000.0, 100_000.0)
-"""Least and most bytes a second of a narrow link."""
+BANDWIDTH_RANGE = (5_000.0, 100_000.0)
+"""Minimum and maximum bandwidth of a throttled link, in bytes per second."""
 
-TOGETHER_FRACTION = 0.3
-"""Fraction of faults that come at the same moment as the one before."""
+SIMULTANEOUS_PROBABILITY = 0.3
+"""Probability that a fault starts at the same time as the previous one."""
 
-ANSWERED_AFTER = 0.97
-"""Fraction of the last phase's requests that must be answered."""
+MIN_ANSWERED_AFTER = 0.97
+"""Minimum fraction of requests answered in the last phase."""
 
-Draw = Callable[[float], acts.FaultAct]
+ActionGenerator = Callable[[float], actions.FaultAction]
 
 
-class Targets(msgspec.Struct, frozen=True):
-    """What of a fleet faults can strike."""
+class StormTargets(msgspec.Struct, frozen=True):
+    """Names in a fleet that faults can target."""
 
     control: tuple[str, ...]
     edges: tuple[str, ...]
@@ -74,35 +74,35 @@
 
     @property
     def daemons(self) -> tuple[str, ...]:
-        """Processes of the data path."""
+        """Edges and daemons of endpoints."""
         return (*self.edges, *(daemon_name(endpoint) for endpoint in self.endpoints))
 
 
-def storm(targets: Targets, seed: int) -> FaultScenario:
-    """Return the storm of a seed."""
-    generator = _Generator(targets, random.Random(seed))
+def storm(targets: StormTargets, seed: int) -> FaultScenario:
+    """Return the scenario generated from ``seed``."""
+    generator = _StormGenerator(targets, random.Random(seed))
     return FaultScenario(
         name=f"storm-{seed}",
         description="Faults drawn from a seed; everything that must hold holds",
         phase=(
             Phase(name="calm", duration_seconds=CALM_SECONDS),
             Phase(name="storm", duration_seconds=STORM_SECONDS),
-            Phase(name="after", duration_seconds=AFTER_SECONDS),
+            Phase(name="after", duration_seconds=RECOVERY_SECONDS),
         ),
         act=generator.script(),
-        expect=(Expectation(load="*", phase="after", answered_at_least=ANSWERED_AFTER),),
+        expect=(Expectation(load="*", phase="after", answered_at_least=MIN_ANSWERED_AFTER),),
     )
 
 
-class _Generator:
-    def __init__(self, targets: Targets, rng: random.Random) -> None:
+class _StormGenerator:
+    def __init__(self, targets: StormTargets, rng: random.Random) -> None:
         self._targets = targets
         self._rng = rng
-        self._disks_to_lose = 1
-        self._draws: tuple[Draw, ...] = (
+        self._remaining_disk_losses = 1
+        self._generators: tuple[ActionGenerator, ...] = (
             self._kill_daemon,
             self._kill_daemon,
-            self._kill_back_end,
+            self._kill_backend,
             self._kill_control,
             self._freeze,
             self._restart,
@@ -116,114 +116,118 @@
             self._fill_disk,
         )
 
-    def script(self) -> tuple[acts.FaultAct, ...]:
-        operators = self._rng.randint(*OPERATORS)
+    def script(self) -> tuple[actions.FaultAction, ...]:
+        operators = self._rng.randint(*OPERATOR_COUNT_RANGE)
         changes = [
-            acts.ChangeConfiguration(
-                at=CALM_SECONDS, times=CHANGES, pause_seconds=CHANGE_PAUSE_SECONDS
+            actions.ChangeConfiguration(
+                at=CALM_SECONDS, times=CHANGES_PER_OPERATOR, pause_seconds=CHANGE_PAUSE_SECONDS
             )
             for _ in range(operators)
         ]
-        number = self._rng.randint(*FAULTS)
-        faults = [self._rng.choice(self._draws)(at) for at in self._times(number)]
+        number = self._rng.randint(*FAULT_COUNT_RANGE)
+        faults = [self._rng.choice(self._generators)(at) for at in self._draw_times(number)]
         return (*changes, *faults)
 
-    def _times(self, number: int) -> list[float]:
+    def _draw_times(self, number: int) -> list[float]:
         times: list[float] = []
         for _ in itertools.repeat(None, number):
-            if times and self._rng.random() < TOGETHER_FRACTION:
+            if times and self._rng.random() < SIMULTANEOUS_PROBABILITY:
                 times.append(times[-1])
             else:
-                times.append(round(self._rng.uniform(CALM_SECONDS, LAST_ACT_SECONDS), 2))
+                times.append(round(self._rng.uniform(CALM_SECONDS, LATEST_FAULT_SECONDS), 2))
         return times
 
-    def _seconds(self) -> float:
-        return round(self._rng.uniform(*FAULT_SECONDS), 2)
+    def _draw_duration(self) -> float:
+        return round(self._rng.uniform(*FAULT_DURATION_RANGE), 2)
 
-    def _one(self, names: Sequence[str]) -> str:
+    def _choose(self, names: Sequence[str]) -> str:
         return self._rng.choice(names)
 
-    def _pair(self, names: Sequence[str]) -> tuple[str, str]:
+    def _choose_pair(self, names: Sequence[str]) -> tuple[str, str]:
         first, second = self._rng.sample(names, 2)
         return first, second
 
-    def _kill(self, at: float, target: str, *, wipe: bool = False) -> acts.FaultAct:
-        pause = round(self._rng.uniform(*RESTART_SECONDS), 2)
-        return acts.Kill(at=at, target=target, restart_after_seconds=pause, wipe=wipe)
+    def _kill(self, at: float, target: str, *, wipe: bool = False) -> actions.FaultAction:
+        pause = round(self._rng.uniform(*RESTART_DELAY_RANGE), 2)
+        return actions.Kill(at=at, target=target, restart_after_seconds=pause, wipe=wipe)
 
-    def _kill_daemon(self, at: float) -> acts.FaultAct:
-        return self._kill(at, self._one(self._targets.daemons))
+    def _kill_daemon(self, at: float) -> actions.FaultAction:
+        return self._kill(at, self._choose(self._targets.daemons))
 
-    def _kill_back_end(self, at: float) -> acts.FaultAct:
-        return self._kill(at, backend_name(self._one(self._targets.endpoints)))
+    def _kill_backend(self, at: float) -> actions.FaultAction:
+        return self._kill(at, backend_name(self._choose(self._targets.endpoints)))
 
-    def _kill_control(self, at: float) -> acts.FaultAct:
-        wipe = self._disks_to_lose > 0 and self._rng.random() < 0.5
-        self._disks_to_lose -= wipe
-        return self._kill(at, self._one(self._targets.control), wipe=wipe)
+    def _kill_control(self, at: float) -> actions.FaultAction:
+        wipe = self._remaining_disk_losses > 0 and self._rng.random() < 0.5
+        self._remaining_disk_losses -= wipe
+        return self._kill(at, self._choose(self._targets.control), wipe=wipe)
 
-    def _freeze(self, at: float) -> acts.FaultAct:
+    def _freeze(self, at: float) -> actions.FaultAction:
         names = (*self._targets.daemons, *self._targets.control)
-        return acts.Freeze(at=at, target=self._one(names), duration_seconds=self._seconds())
+        return actions.Freeze(
+            at=at, target=self._choose(names), duration_seconds=self._draw_duration()
+        )
 
-    def _restart(self, at: float) -> acts.FaultAct:
+    def _restart(self, at: float) -> actions.FaultAction:
         names = (*self._targets.daemons, *self._targets.control)
-        return acts.Restart(at=at, target=self._one(names))
+        return actions.Restart(at=at, target=self._choose(names))
 
-    def _cut_zones(self, at: float) -> acts.FaultAct:
-        source, target = self._pair(self._targets.zones)
+    def _cut_zones(self, at: float) -> actions.FaultAction:
+        source, target = self._choose_pair(self._targets.zones)
         return self._cut(at, source, target)
 
-    def _cut_process(self, at: float) -> acts.FaultAct:
+    def _cut_process(self, at: float) -> actions.FaultAction:
         names = (*self._targets.daemons, *self._targets.control)
-        return self._cut(at, self._one(names), "*")
+        return self._cut(at, self._choose(names), "*")
 
-    def _cut(self, at: float, source: str, target: str) -> acts.FaultAct:
-        return acts.Cut(
+    def _cut(self, at: float, source: str, target: str) -> actions.FaultAction:
+        return actions.Cut(
             at=at,
             source=source,
             target=target,
-            duration_seconds=self._seconds(),
+            duration_seconds=self._draw_duration(),
             one_way=self._rng.random() < 0.3,
         )
 
-    def _delay(self, at: float) -> acts.FaultAct:
-        source, target = self._pair(self._targets.zones)
-        return acts.Delay(
+    def _delay(self, at: float) -> actions.FaultAction:
+        source, target = self._choose_pair(self._targets.zones)
+        return actions.Delay(
             at=at,
             source=source,
             target=target,
-            delay_seconds=round(self._rng.uniform(*DELAYS), 3),
-            duration_seconds=self._seconds(),
+            delay_seconds=round(self._rng.uniform(*DELAY_RANGE), 3),
+            duration_seconds=self._draw_duration(),
         )
 
-    def _throttle(self, at: float) -> acts.FaultAct:
-        return acts.Throttle(
+    def _throttle(self, at: float) -> actions.FaultAction:
+        return actions.Throttle(
             at=at,
             source="*",
-            target=self._one(self._targets.daemons),
-            bytes_per_second=round(self._rng.uniform(*NARROW_BYTES)),
-            duration_seconds=self._seconds(),
+            target=self._choose(self._targets.daemons),
+            bytes_per_second=round(self._rng.uniform(*BANDWIDTH_RANGE)),
+            duration_seconds=self._draw_duration(),
         )
 
-    def _reset(self, at: float) -> acts.FaultAct:
-        source, target = self._pair(self._targets.zones)
-        return acts.Reset(at=at, source=source, target=target)
+    def _reset(self, at: float) -> actions.FaultAction:
+        source, target = self._choose_pair(self._targets.zones)
+        return actions.Reset(at=at, source=source, target=target)
 
-    def _slow(self, at: float) -> acts.FaultAct:
-        return acts.Slow(
+    def _slow(self, at: float) -> actions.FaultAction:
+        return actions.Slow(
             at=at,
-            target=self._one(self._targets.services),
-            factor=round(self._rng.uniform(*SLOW_FACTORS), 1),
-            duration_seconds=self._seconds(),
+            target=self._choose(self._targets.services),
+            factor=round(self._rng.uniform(*SLOW_FACTOR_RANGE), 1),
+            duration_seconds=self._draw_duration(),
         )
 
-    def _misreport(self, at: float) -> acts.FaultAct:
-        return acts.MisreportLoad(
-            at=at, target=self._one(self._targets.endpoints), duration_seconds=self._seconds()
+    def _misreport(self, at: float) -> actions.FaultAction:
+        return actions.MisreportLoad(
+            at=at,
+            target=self._choose(self._targets.endpoints),
+            duration_seconds=self._draw_duration(),
         )
 
-    def _fill_disk(self, at: float) -> acts.FaultAct:
-        target = self._one(self._targets.control)
-        seconds = round(self._rng.uniform(*FULL_DISK_SECONDS), 2)
-        return acts.FillDisk(at=at, target=target, duration_seconds=seconds)
+    def _fill_disk(self, at: float) -> actions.FaultAction:
+        target = self._choose(self._targets.control)
+        seconds = round(self._rng.uniform(*FULL_DISK_DURATION_RANGE), 2)
+        return actions.FillDisk(at=at, target=target, duration_seconds=seconds)
--- a/src/finchshed/fleet/storm_runs.py
+++ b/src/finchshed/fleet/storm_runs.py
@@ -1,6 +1,6 @@
-"""Runs storms of faults on a fleet, one seed after another.
+"""Runs storms on a fleet, one seed after another.
 
-Owns the folder of each run with its script, from which the run can be repeated.
+The folder of each run has its fault script, with which the run can be repeated.
 """
 
 import pathlib
@@ -11,17 +11,17 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.fleet.deployment import DECLARATIONS_FOLDER, FleetDeployment, read_deployment
 from finchshed.fleet.fault_run import FaultRun
-from finchshed.fleet.storm import Targets, storm
+from finchshed.fleet.storm import StormTargets, storm
 from finchshed.fleet.toml_writer import to_toml
 
 SCRIPT_FILE = "script.toml"
 
 
-def targets_of(source: pathlib.Path, deployment: FleetDeployment) -> Targets:
-    """Return what of a deployment faults can strike; its declarations stand in ``source``."""
+def read_storm_targets(source: pathlib.Path, deployment: FleetDeployment) -> StormTargets:
+    """Return the fault targets of ``deployment``, whose declarations are in ``source``."""
     resources = read_declarations(source / DECLARATIONS_FOLDER).resources.values()
     endpoints = [item for item in resources if isinstance(item, Endpoint)]
-    return Targets(
+    return StormTargets(
         control=tuple(machine.name for machine in deployment.control),
         edges=tuple(machine.name for machine in deployment.edge),
         endpoints=tuple(endpoint.name for endpoint in endpoints),
@@ -31,8 +31,8 @@
 
 
 async def run_storms(source: pathlib.Path, folder: pathlib.Path, seeds: Iterable[int]) -> int:
-    """Run the storm of each seed; return 0 only if none failed."""
-    targets = targets_of(source, read_deployment(source))
+    """Run the storm of each seed; return exit code 0 only if none failed."""
+    targets = read_storm_targets(source, read_deployment(source))
     failed = []
     for seed in seeds:
         script = storm(targets, seed)
--- a/src/finchshed/fleet/summary.py
+++ b/src/finchshed/fleet/summary.py
@@ -1,7 +1,4 @@
-"""What a run's callers got, by load and phase, from their records.
-
-Owns the counts and their table for people.
-"""
+"""Summarizes the outcomes of callers' requests by phase and load."""
 
 import collections
 from collections.abc import Iterable, Sequence
@@ -30,7 +27,9 @@
     Attributes
     ----------
     retried
-        Requests that their caller sent more than once.
+        Requests, other than downloads, with more than one attempt.
+    wrong
+        Requests with an invalid response.
     """
 
     phase: str
@@ -45,7 +44,7 @@
     latencies: list[float] = msgspec.field(default_factory=list)
 
     def add(self, record: CallerRecord) -> None:
-        """Count one request."""
+        """Add one request to the counts."""
         self.sent += 1
         self.attempts += len(record.attempts)
         self.retried += len(record.attempts) > 1 and not record.session
@@ -59,7 +58,7 @@
             self.failed += 1
 
     def cells(self) -> tuple[str, ...]:
-        """Return the row's texts, in the order of the headings."""
+        """Return the row's cells in the order of the headings."""
         counts = (
             self.sent,
             self.answered,
@@ -78,15 +77,15 @@
 
 
 def percentile(values: Sequence[float], fraction: float) -> float:
-    """Return the value below which ``fraction`` of ``values`` lie; 0 for none."""
+    """Return the value below which ``fraction`` of ``values`` lie, or 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def rows_of(records: Iterable[CallerRecord]) -> list[Row]:
-    """Return the counts by phase, in order of time, and load."""
+def summarize_records(records: Iterable[CallerRecord]) -> list[Row]:
+    """Return the counts by load and phase, with phases in order of appearance."""
     rows: dict[tuple[str, str], Row] = {}
     phases: dict[str, int] = collections.defaultdict(lambda: len(phases))
     for record in records:
@@ -98,8 +97,8 @@
     return sorted(rows.values(), key=lambda row: (phases[row.phase], row.load))
 
 
-def table_of(rows: Sequence[Row]) -> str:
-    """Return the counts as a table for people."""
+def format_table(rows: Sequence[Row]) -> str:
+    """Return the counts as an aligned text table."""
     lines = [HEADINGS, *(row.cells() for row in rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(HEADINGS))]
     texts = []
@@ -113,5 +112,5 @@
 
 
 def wrong_answers(records: Iterable[CallerRecord]) -> list[str]:
-    """Return a line for each answer that wasn't the whole answer to its own request."""
+    """Return a line for each request with a response that was incomplete or not its own."""
     return [f"{record.request}: {record.problem}" for record in records if record.problem]
--- a/src/finchshed/fleet/toml_writer.py
+++ b/src/finchshed/fleet/toml_writer.py
@@ -1,7 +1,7 @@
-"""Writes settings as TOML.
+"""Writes settings as TOML, which the standard library can only read.
 
-The standard library reads TOML only. What settings hold (text, numbers, truth values, lists and
-lists of tables) is written here; JSON's form of a scalar is valid TOML.
+Supports strings, numbers, booleans, lists and tables. Scalars are written as JSON, which is also
+valid TOML.
 """
 
 import json
@@ -17,14 +17,14 @@
 
 
 def table_to_toml(table: Mapping[str, Any]) -> str:
-    """Return a table of plain values as a TOML document, a line for each key."""
-    return "".join(f"{key} = {_value(value)}\n" for key, value in table.items())
+    """Return a table of built-in values as a TOML document with one line per key."""
+    return "".join(f"{key} = {_format_value(value)}\n" for key, value in table.items())
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, Mapping):
-        inner = ", ".join(f"{key} = {_value(item)}" for key, item in value.items())
+        inner = ", ".join(f"{key} = {_format_value(item)}" for key, item in value.items())
         return "{ " + inner + " }"
     if isinstance(value, list | tuple):
-        return "[" + ", ".join(_value(item) for item in value) + "]"
+        return "[" + ", ".join(_format_value(item) for item in value) + "]"
     return json.dumps(value)
--- a/src/finchshed/fleet/verdict.py
+++ b/src/finchshed/fleet/verdict.py
@@ -1,22 +1,19 @@
-"""What a fault run showed: counts, checks and whether it passed.
-
-Owns the form of ``verdict.json``, which stored runs have.
-"""
+"""Verdict of a fault run and the format of ``verdict.json``."""
 
 import pathlib
 from collections.abc import Mapping
 
 import msgspec
 
-from finchshed.fleet.path_times import PathTimes, lines_of
-from finchshed.fleet.summary import Row, table_of
+from finchshed.fleet.path_times import PathTimes, format_path_times
+from finchshed.fleet.summary import Row, format_table
 
-SHOWN_LINES = 12
-"""Lines of a failed check that are printed; all are in the verdict's file."""
+MAX_PRINTED_PROBLEMS = 12
+"""Maximum number of printed problems per check; the file has all of them."""
 
 
 class Check(msgspec.Struct, frozen=True):
-    """One thing that was checked, over so many cases, with a line for each that failed."""
+    """Result of one check: the number of cases and a line for each problem."""
 
     name: str
     cases: int
@@ -29,7 +26,7 @@
     Attributes
     ----------
     load_average
-        The machine's, over the minute before the run's end.
+        One-minute load average of the machine at the end of the run.
     """
 
     scenario: str
@@ -42,7 +39,7 @@
 
     @property
     def passed(self) -> bool:
-        """Whether nothing that was checked failed."""
+        """Whether no check found a problem."""
         return not any(check.problems for check in self.checks)
 
     def write(self, path: pathlib.Path) -> None:
@@ -50,15 +47,15 @@
         path.write_bytes(msgspec.json.format(msgspec.json.encode(self), indent=1) + b"\n")
 
 
-def text_of(verdict: RunVerdict, rows: list[Row], times: Mapping[str, PathTimes]) -> str:
-    """Return the verdict for people."""
-    lines = [table_of(rows), "", *lines_of(times), ""]
+def format_verdict(verdict: RunVerdict, rows: list[Row], times: Mapping[str, PathTimes]) -> str:
+    """Return the verdict as text for the terminal."""
+    lines = [format_table(rows), "", *format_path_times(times), ""]
     for check in verdict.checks:
         state = "FAILED" if check.problems else "ok"
         lines.append(f"{check.name}: {state}, {check.cases} cases, {len(check.problems)} wrong")
-        lines += [f"  {line}" for line in check.problems[:SHOWN_LINES]]
-        left = len(check.problems) - SHOWN_LINES
-        if left > 0:
-            lines.append(f"  and {left} more")
+        lines += [f"  {line}" for line in check.problems[:MAX_PRINTED_PROBLEMS]]
+        omitted = len(check.problems) - MAX_PRINTED_PROBLEMS
+        if omitted > 0:
+            lines.append(f"  and {omitted} more")
     lines.append(f"{verdict.scenario}: {'passed' if verdict.passed else 'FAILED'}")
     return "\n".join(lines)
--- a/tests/fleet/test_coverage.py
+++ b/tests/fleet/test_case_counts.py
@@ -1,7 +1,7 @@
-"""Every checker of a history says over how many cases it judged."""
+"""Case counts of the history checkers."""
 
 from finchshed.common.importance import Importance
-from finchshed.fleet.coverage import CASES
+from finchshed.fleet.case_counts import CASE_COUNTERS
 from finchshed.proof.checks import CHECKS, sessions
 from finchshed.proof.checks.index import Index
 from finchshed.proof.history import CallBegan, CallEnded, CallResult, Event
@@ -30,15 +30,15 @@
     return Index(History(header, [event for pair in events for event in pair]))
 
 
-def test_every_checker_has_a_count() -> None:
-    assert list(CASES) == list(CHECKS)
+def test_every_checker_has_a_case_counter() -> None:
+    assert list(CASE_COUNTERS) == list(CHECKS)
 
 
-def test_only_answered_requests_of_sessions_count_as_cases() -> None:
+def test_only_answered_session_requests_count_as_cases() -> None:
     index = index_of(download(1, "s", 206), download(2, "", 206), download(3, "s", 503))
-    assert CASES[sessions.NAME](index) == 1
+    assert CASE_COUNTERS[sessions.NAME](index) == 1
 
 
-def test_a_download_in_ranges_is_a_running_session() -> None:
+def test_refused_range_of_a_served_session_is_a_violation() -> None:
     index = index_of(download(1, "s", 206), download(2, "s", 503))
     assert [violation.subject for violation in sessions.check(index)] == ["download-2/0"]
--- a/tests/fleet/test_examples.py
+++ b/tests/fleet/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples stand for the deployments of the stated sizes."""
+"""Sizes and consistency of the example deployments."""
 
 import collections
 import pathlib
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(SIZES))
-def test_back_ends_and_slots_are_as_stated(name: str) -> None:
+def test_examples_have_the_expected_backends_and_slots(name: str) -> None:
     endpoints = endpoints_of(name)
     counts = collections.Counter((item.service, item.slots) for item in endpoints)
     assert counts == {(service, slots): n for service, (n, slots) in SIZES[name].items()}
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(SIZES))
-def test_deployment_agrees_with_its_declarations(name: str) -> None:
+def test_deployment_matches_its_declarations(name: str) -> None:
     deployment = read_deployment(EXAMPLES / name)
     endpoints = endpoints_of(name)
     assert {service.name for service in deployment.service} == {e.service for e in endpoints}
--- a/tests/fleet/test_expectations.py
+++ b/tests/fleet/test_expectations.py
@@ -1,6 +1,6 @@
 import pytest
 
-from finchshed.fleet.expectations import unmet
+from finchshed.fleet.expectations import find_unmet_expectations
 from finchshed.fleet.scenario import Expectation
 from finchshed.fleet.summary import Row
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("expectation", "said"),
+    ("expectation", "expected"),
     [
         (Expectation(load="check", phase="surge", answered_at_least=0.71), "answered 0.7000"),
         (Expectation(load="check", failed_at_most=0), "failed 1"),
@@ -21,16 +21,16 @@
         (Expectation(load="purchase"), "nothing was sent"),
     ],
 )
-def test_bound_that_is_not_kept_is_named(expectation: Expectation, said: str) -> None:
-    lines = unmet([expectation], ROWS)
+def test_violated_bound_is_reported(expectation: Expectation, expected: str) -> None:
+    lines = find_unmet_expectations([expectation], ROWS)
     assert len(lines) == 1
-    assert said in lines[0]
+    assert expected in lines[0]
 
 
-def test_bounds_that_are_kept_say_nothing() -> None:
-    kept = [
+def test_satisfied_bounds_are_not_reported() -> None:
+    satisfied = [
         Expectation(load="check", phase="calm", answered_at_least=1.0, failed_at_most=0),
         Expectation(load="check", answered_at_least=0.85, attempts_mean_at_most=1.5),
         Expectation(load="*", refused_at_most=92, failed_at_most=1),
     ]
-    assert unmet(kept, ROWS) == []
+    assert find_unmet_expectations(satisfied, ROWS) == []
--- a/tests/fleet/test_histories.py
+++ b/tests/fleet/test_histories.py
@@ -4,7 +4,7 @@
 from finchshed.configuration.resources import Route, Service
 from finchshed.daemon.catalogue import Catalogue
 from finchshed.fleet.deployment import read_deployment
-from finchshed.fleet.histories import Records, build_history, caller_events, operator_events
+from finchshed.fleet.histories import RunRecords, build_history, caller_events, operator_events
 from finchshed.fleet.journal import FaultJournal
 from finchshed.fleet.network import FleetNetwork
 from finchshed.fleet.plan_options import PlanOptions
@@ -43,7 +43,7 @@
     return BackendRecord(at=BEGAN + at, backend="one", event=event, **fields)  # type: ignore[arg-type]
 
 
-def serving(records: list[BackendRecord], *faults: Fault) -> list[Event]:
+def serving_events_of(records: list[BackendRecord], *faults: Fault) -> list[Event]:
     journal = FaultJournal(BEGAN)
     journal.events += faults
     return ServingEvents(records, journal, {"download-0/0": "s"}).events()
@@ -53,9 +53,9 @@
     return [event for event in events if isinstance(event, kind)]
 
 
-def test_run_with_a_call_on_keeps_its_root_and_importance() -> None:
+def test_downstream_call_inherits_root_and_importance_of_its_run() -> None:
     nested = {"call": "one:1:1/0", "service": "two", "root": "", "importance": ""}
-    events = serving(
+    events = serving_events_of(
         [
             backend_record(1.0, BackendEvent.STARTED, service="first"),
             backend_record(1.1, BackendEvent.CALL_BEGAN, **nested),
@@ -74,7 +74,7 @@
 def test_kill_ends_open_runs_and_their_calls() -> None:
     kill = Fault(2.0, "kill", ("one-backend",))
     other = Fault(1.5, "kill", ("two-backend",))
-    events = serving(
+    events = serving_events_of(
         [
             backend_record(1.0, BackendEvent.STARTED),
             backend_record(1.1, BackendEvent.CALL_BEGAN, call="one:1:1/0"),
@@ -86,8 +86,8 @@
     assert of_type(events, CallEnded) == [CallEnded(2.0, "one:1:1/0", CallResult.ABANDONED)]
 
 
-def test_first_answer_of_a_draining_back_end_is_its_sign() -> None:
-    events = serving(
+def test_first_answer_of_a_draining_backend_is_its_leaving_signal() -> None:
+    events = serving_events_of(
         [
             backend_record(1.0, BackendEvent.STARTED),
             backend_record(1.5, BackendEvent.DRAINING, run=""),
@@ -104,8 +104,8 @@
     ]
 
 
-def test_run_that_is_still_going_has_no_end() -> None:
-    events = serving([backend_record(1.0, BackendEvent.STARTED)])
+def test_open_run_has_no_end_event() -> None:
+    events = serving_events_of([backend_record(1.0, BackendEvent.STARTED)])
     assert len(of_type(events, RunBegan)) == 1
     assert not of_type(events, RunEnded)
 
@@ -116,7 +116,7 @@
     return AttemptRecord(call=call, edge="e", outcome=outcome, **fields)  # type: ignore[arg-type]
 
 
-def test_each_attempt_is_a_call_with_the_root_its_back_end_saw() -> None:
+def test_each_attempt_is_a_call_with_the_root_seen_by_its_backend() -> None:
     record = CallerRecord(
         request="officers-1",
         load="check",
@@ -148,7 +148,7 @@
     assert [event.whole for event in ended] == [True, True, False]
 
 
-def test_operators_records_become_changes() -> None:
+def test_operator_records_become_change_events() -> None:
     fields = {"operator": "o", "change_id": "c", "expected_revision": 1, "value": 601.0}
     records = [
         OperatorRecord(at=BEGAN + 1.0, outcome=StandinChangeOutcome.SUBMITTED, **fields),  # type: ignore[arg-type]
@@ -160,7 +160,7 @@
     ]
 
 
-def test_history_is_judged_by_the_bounds_of_its_scenario(tmp_path: pathlib.Path) -> None:
+def test_history_header_has_the_bounds_of_the_scenario(tmp_path: pathlib.Path) -> None:
     network = FleetNetwork()
     try:
         planner = Planner(SMALL, read_deployment(SMALL), tmp_path, network, PlanOptions())
@@ -173,7 +173,7 @@
         phase=(Phase(name="all", duration_seconds=1.0),),
         in_force_bound_seconds=7.0,
     )
-    records = Records(callers=[], backends=[], operators=[])
+    records = RunRecords(callers=[], backends=[], operators=[])
     history = build_history(plan, records, FaultJournal(BEGAN), scenario, 5)
     header = history.header
     assert (header.scenario, header.seed, header.source) == ("x", 5, "fleet")
@@ -181,9 +181,9 @@
     assert header.retry_budget == 3
 
 
-def test_run_of_a_session_carries_it() -> None:
-    """Work of a session may go on at an endpoint that leaves, so the checker must know it."""
-    events = serving(
+def test_run_event_has_the_session_of_its_call() -> None:
+    """The checker needs the session, because its requests may continue at a leaving endpoint."""
+    events = serving_events_of(
         [
             backend_record(1.0, BackendEvent.STARTED, call="download-0/0"),
             backend_record(2.0, BackendEvent.STARTED, run="one:1:2"),
--- a/tests/fleet/test_path_times.py
+++ b/tests/fleet/test_path_times.py
@@ -1,7 +1,7 @@
 import pytest
 
 from finchshed.common.importance import Importance
-from finchshed.fleet.path_times import NESTED, path_times_of
+from finchshed.fleet.path_times import NESTED, measure_path_times
 from finchshed.proof.checks.index import Index
 from finchshed.proof.history import (
     CallBegan,
@@ -29,7 +29,7 @@
     ]
 
 
-def test_time_is_divided_between_back_end_and_way() -> None:
+def test_latency_is_split_into_backend_time_and_overhead() -> None:
     events = [
         *call("a", 0.0, 1.0, CallResult.ANSWERED),
         *run("one", "a", 0.1, 0.9),
@@ -41,9 +41,9 @@
         *run("four", "twice", 0.3, 0.4),
     ]
     header = Header(schema=SCHEMA_VERSION, source="fleet", scenario="x", seed=1, version="")
-    times = path_times_of(Index(History(header, events)))
+    times = measure_path_times(Index(History(header, events)))
     assert set(times) == {"check", NESTED}
-    assert times["check"].at_back_end == [pytest.approx(0.8)]
-    assert times["check"].on_the_way == [pytest.approx(0.2)]
-    assert times[NESTED].at_back_end == [pytest.approx(0.1)]
-    assert times[NESTED].on_the_way == [pytest.approx(0.2)]
+    assert times["check"].backend_seconds == [pytest.approx(0.8)]
+    assert times["check"].overhead_seconds == [pytest.approx(0.2)]
+    assert times[NESTED].backend_seconds == [pytest.approx(0.1)]
+    assert times[NESTED].overhead_seconds == [pytest.approx(0.2)]
--- a/tests/fleet/test_relay.py
+++ b/tests/fleet/test_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from finchshed.fleet.link_conditions import Condition, Conditions, LinkRule, Peer
+from finchshed.fleet.link_conditions import LinkCondition, LinkRule, LinkRules, Peer
 from finchshed.fleet.relay import Relay
 
 CLIENT = Peer(name="edge-1", zone="north")
@@ -18,12 +18,12 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-class Echo:
-    """A relay in front of a listener that sends back what it gets."""
+class RelayedEchoServer:
+    """An echo server behind a relay."""
 
     def __init__(self) -> None:
-        self.conditions = Conditions()
-        self.relay = Relay(self.conditions, lambda *_: CLIENT)
+        self.rules = LinkRules()
+        self.relay = Relay(self.rules, lambda *_: CLIENT)
         self.public = free_address()
         self.private = free_address()
 
@@ -52,18 +52,18 @@
 
 
 @pytest.fixture
-async def echo() -> AsyncIterator[Echo]:
-    running = Echo()
+async def echo() -> AsyncIterator[RelayedEchoServer]:
+    running = RelayedEchoServer()
     await running.start()
     yield running
     await running.stop()
 
 
 def rule(source: str, target: str, **condition: float | bool) -> LinkRule:
-    return LinkRule(source=source, target=target, condition=Condition(**condition))  # type: ignore[arg-type]
+    return LinkRule(source=source, target=target, condition=LinkCondition(**condition))  # type: ignore[arg-type]
 
 
-async def test_bytes_pass_both_ways_and_the_end_is_passed_on(echo: Echo) -> None:
+async def test_bytes_and_end_of_file_are_relayed(echo: RelayedEchoServer) -> None:
     reader, writer = await echo.connect()
     writer.write(b"hello")
     assert await reader.readexactly(5) == b"hello"
@@ -71,44 +71,44 @@
     assert await reader.read() == b""
 
 
-async def test_cut_gives_no_sign_and_bytes_go_on_when_it_ends(echo: Echo) -> None:
+async def test_cut_is_silent_and_bytes_arrive_when_it_ends(echo: RelayedEchoServer) -> None:
     reader, writer = await echo.connect()
     writer.write(b"a")
     assert await reader.readexactly(1) == b"a"
-    echo.conditions.set("cut", rule("north", "south", cut=True))
+    echo.rules.set("cut", rule("north", "south", cut=True))
     writer.write(b"b")
     with pytest.raises(TimeoutError):
         await asyncio.wait_for(reader.readexactly(1), 0.2)
     assert not reader.at_eof()
-    echo.conditions.clear("cut")
+    echo.rules.clear("cut")
     assert await asyncio.wait_for(reader.readexactly(1), 5.0) == b"b"
 
 
-async def test_one_way_cut_lets_the_other_way_pass(echo: Echo) -> None:
+async def test_one_way_cut_holds_bytes_of_one_direction(echo: RelayedEchoServer) -> None:
     reader, writer = await echo.connect()
-    echo.conditions.set("cut", rule("edge-1", "one-daemon", cut=True))
+    echo.rules.set("cut", rule("edge-1", "one-daemon", cut=True))
     writer.write(b"x")
     with pytest.raises(TimeoutError):
         await asyncio.wait_for(reader.readexactly(1), 0.2)
-    echo.conditions.clear("cut")
+    echo.rules.clear("cut")
     assert await reader.readexactly(1) == b"x"
-    echo.conditions.set("cut", rule("south", "north", cut=True))
+    echo.rules.set("cut", rule("south", "north", cut=True))
     writer.write(b"y")
     with pytest.raises(TimeoutError):
         await asyncio.wait_for(reader.readexactly(1), 0.2)
-    echo.conditions.clear("cut")
+    echo.rules.clear("cut")
     assert await reader.readexactly(1) == b"y"
 
 
-async def test_other_pairs_are_not_cut(echo: Echo) -> None:
-    echo.conditions.set("cut", rule("edge-2", "one-daemon", cut=True))
+async def test_cut_does_not_affect_other_pairs(echo: RelayedEchoServer) -> None:
+    echo.rules.set("cut", rule("edge-2", "one-daemon", cut=True))
     reader, writer = await echo.connect()
     writer.write(b"x")
     assert await asyncio.wait_for(reader.readexactly(1), 5.0) == b"x"
 
 
-async def test_delay_holds_bytes_back_in_order(echo: Echo) -> None:
-    echo.conditions.set("slow", rule("*", "*", delay_seconds=0.1))
+async def test_delayed_bytes_arrive_in_order(echo: RelayedEchoServer) -> None:
+    echo.rules.set("slow", rule("*", "*", delay_seconds=0.1))
     reader, writer = await echo.connect()
     begun = time.monotonic()
     for letter in b"abc":
@@ -118,8 +118,8 @@
     assert time.monotonic() - begun >= 0.2
 
 
-async def test_rate_bounds_bytes_a_second(echo: Echo) -> None:
-    echo.conditions.set("narrow", rule("north", "south", bytes_per_second=10_000.0))
+async def test_bandwidth_is_limited(echo: RelayedEchoServer) -> None:
+    echo.rules.set("narrow", rule("north", "south", bytes_per_second=10_000.0))
     reader, writer = await echo.connect()
     begun = time.monotonic()
     writer.write(b"z" * 3000)
@@ -127,7 +127,7 @@
     assert time.monotonic() - begun >= 0.3
 
 
-async def test_reset_breaks_the_connection(echo: Echo) -> None:
+async def test_reset_breaks_matching_connections(echo: RelayedEchoServer) -> None:
     reader, writer = await echo.connect()
     writer.write(b"a")
     await reader.readexactly(1)
@@ -137,9 +137,9 @@
         await reader.readexactly(1)
 
 
-async def test_refused_behind_the_relay_ends_the_connection(echo: Echo) -> None:
-    await echo.relay.listen(nowhere := free_address(), free_address(), OWNER)
-    host, _, port = nowhere.rpartition(":")
+async def test_connection_ends_if_the_program_does_not_listen(echo: RelayedEchoServer) -> None:
+    await echo.relay.listen(unserved := free_address(), free_address(), OWNER)
+    host, _, port = unserved.rpartition(":")
     reader, _ = await asyncio.open_connection(host, int(port))
     with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
         await asyncio.wait_for(reader.readexactly(1), 5.0)
--- a/tests/fleet/test_running_processes.py
+++ b/tests/fleet/test_running_processes.py
@@ -1,4 +1,4 @@
-"""What the kernel says of the processes of a running fleet, and of planted offenders."""
+"""Children, io_uring, shared memory and threads of the processes of a running fleet."""
 
 import subprocess
 import sys
@@ -17,10 +17,9 @@
 SMALL = Path(__file__).parent / "small"
 WAIT_SECONDS = 30.0
 
-MOST_THREADS = {ProcessRole.DAEMON: 8, ProcessRole.EDGE: 8, ProcessRole.CONTROL: 48}
-"""A daemon has its event loop's thread, four of libuv's pool and the executor's that syncs the
-revision it holds (six in all when this was written); a control node has grpcio's own besides, whose
-number follows the machine's cores (21 in all on 12 cores)."""
+MAX_THREADS = {ProcessRole.DAEMON: 8, ProcessRole.EDGE: 8, ProcessRole.CONTROL: 48}
+"""A daemon has the event loop's thread, four threads of libuv's pool and one executor thread that
+syncs its revision; a control node also has grpcio's threads, whose number depends on the cores."""
 
 
 async def test_no_production_process_has_children_io_uring_or_shared_memory(
@@ -30,17 +29,17 @@
     async with fleet:
         await bring_up(fleet)
         await fleet.start(ProcessRole.CALLER)
-        processes = fleet.of_role(*PRODUCTION_ROLES)
+        processes = fleet.with_role(*PRODUCTION_ROLES)
         found = {process.spec.name: violations_of(process.pid) for process in processes}
         threads = {process.spec.name: thread_count(process.pid) for process in processes}
         roles = {process.spec.name: process.spec.role for process in processes}
     assert set(roles.values()) == set(PRODUCTION_ROLES)
     assert {name: lines for name, lines in found.items() if lines} == {}
-    too_many = {n: count for n, count in threads.items() if count > MOST_THREADS[roles[n]]}
+    too_many = {n: count for n, count in threads.items() if count > MAX_THREADS[roles[n]]}
     assert too_many == {}, threads
 
 
-OFFENDERS = {
+VIOLATIONS = {
     "child process": "import subprocess\nkept = subprocess.Popen(['sleep', '60'])",
     "shared-memory segment /dev/shm/": (
         "from multiprocessing import shared_memory, resource_tracker\n"
@@ -63,7 +62,7 @@
 
 @contextmanager
 def running(code: str) -> Iterator[int]:
-    """Run ``code`` in a process that then waits; yield its identity once the code has run."""
+    """Run ``code`` in a process that then waits; yield its process ID once the code has run."""
     text = f"{code}\nprint('ready', flush=True)\ninput()\n"
     if "Popen" in code:
         text += "kept.kill()\nkept.wait()\n"
@@ -76,14 +75,14 @@
         assert process.returncode == 0
 
 
-@pytest.mark.parametrize("kind", OFFENDERS)
-def test_a_planted_offender_is_found(kind: str) -> None:
-    with running(OFFENDERS[kind]) as pid:
+@pytest.mark.parametrize("kind", VIOLATIONS)
+def test_violation_is_reported(kind: str) -> None:
+    with running(VIOLATIONS[kind]) as pid:
         found = violations_of(pid)
     assert [line for line in found if line.startswith(kind)], found
 
 
-def test_a_process_without_any_is_clean() -> None:
+def test_process_without_violations_is_not_reported() -> None:
     with running("import asyncio, socket") as pid:
         assert violations_of(pid) == []
         assert thread_count(pid) == 1
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -109,7 +109,7 @@
     assert [attempt.status for attempt in record.attempts] == statuses
     assert (record.outcome, record.problem) == (CallerOutcome.ANSWERED, "")
     assert editions.saw_new_edition(record)
-    assert editions.problems_of([record], published=True) == []
+    assert editions.find_edition_problems([record], published=True) == []
 
 
 async def test_mixed_editions_are_reported_if_ranges_are_unconditional(
@@ -117,7 +117,7 @@
 ) -> None:
     record = await run_download(tmp_path, Publisher(keeps_edition=False), conditional=False)
     assert "edition changed" in record.problem
-    assert editions.problems_of([record], published=False) != []
+    assert editions.find_edition_problems([record], published=False) != []
 
 
 async def test_download_restarts_at_the_next_edge_when_its_edge_is_down(
