--- a/src/finchshed/fleet/final_configuration.py
+++ b/src/finchshed/fleet/final_configuration.py
@@ -100,7 +100,7 @@
 def _allowed_values(
     records: Iterable[OperatorRecord], in_force: int, highest_accepted: int
 ) -> set[float]:
-    """Return the values that may be in force; empty if any value is acceptable."""
+    """Return the values that may be in force; empty if no change qualifies."""
     wanted = (
         StandinChangeOutcome.ACCEPTED
         if in_force == highest_accepted
--- a/src/finchshed/fleet/relay.py
+++ b/src/finchshed/fleet/relay.py
@@ -126,7 +126,7 @@
         return True
 
     async def copy(self, rules: LinkRules) -> None:
-        """Copy both directions until both have ended."""
+        """Copy both directions until both have ended or one has failed."""
         assert self._owner_reader is not None
         assert self._owner_writer is not None
         forward = _Direction(
--- a/src/finchshed/standins/operator.py
+++ b/src/finchshed/standins/operator.py
@@ -27,7 +27,7 @@
 """Key window set by change 0; change N sets this plus N seconds."""
 
 CHANGE_TIMEOUT_SECONDS = 60.0
-"""Time after which an unanswered change is abandoned."""
+"""How long the operator tries to get a change accepted."""
 
 
 class StandinChangeOutcome(enum.StrEnum):
