--- a/tests/standins/test_operator.py
+++ b/tests/standins/test_operator.py
@@ -46,7 +46,7 @@
 def group(monkeypatch: pytest.MonkeyPatch) -> FakeControlGroup:
     fake = FakeControlGroup()
     monkeypatch.setattr(operator, "read_configuration", fake.read)
-    monkeypatch.setattr(operator, "submit_change", fake.submit_change)
+    monkeypatch.setattr(operator, "submit_change", fake.submit)
     return fake
 
 
