--- a/src/finchshed/campaign/__init__.py
+++ b/src/finchshed/campaign/__init__.py
@@ -1,5 +1,5 @@
-"""Campaigns: faults drawn by seed, run on the emulator, judged by the checkers of ``proof``.
+"""Randomized fault-injection campaigns, run on the emulator and checked by ``proof``.
 
-Relies on ``emulator`` for the runs and on ``proof`` for histories and checkers; neither knows of
-campaigns, and ``proof`` knows of no emulator.
+Depends on ``emulator`` for the runs and on ``proof`` for histories and checkers. Neither depends on
+this package, and ``proof`` doesn't depend on ``emulator``.
 """
--- a/src/finchshed/campaign/command.py
+++ b/src/finchshed/campaign/command.py
@@ -1,7 +1,4 @@
-"""``finchshed prove``: check the stated properties over seeds.
-
-Owns the flags and what is printed; exit codes are in the command's help.
-"""
+"""``finchshed prove``: runs scenarios over a range of seeds and prints violated properties."""
 
 import sys
 import time
@@ -25,7 +22,7 @@
 ALL = "all"
 DEFAULT_SEEDS = "1..20"
 PROGRESS_SECONDS = 2.0
-"""Seconds between lines of progress; chosen, not measured."""
+"""Minimum seconds between updates of the progress line."""
 
 
 def prove(
@@ -57,17 +54,17 @@
     history
         File that gets the history of the run; for one seed.
     """
-    names = list(SCENARIOS) if scenario == ALL else _names(scenario)
-    numbers = parse_seeds(str(seeds))
+    names = list(SCENARIOS) if scenario == ALL else _parse_scenario_names(scenario)
+    seed_numbers = parse_seeds(str(seeds))
     if only or history:
-        return _prove_one(names, numbers, str(only), history)
-    summaries = [_campaign(name, numbers, workers, out) for name in names]
+        return _run_single_seed(names, seed_numbers, str(only), history)
+    summaries = [_run_scenario(name, seed_numbers, workers, out) for name in names]
     print(f"finchshed {__version__}")
     print("\n".join(summary_lines(summaries)))
     return ExitCode.FAILED if any(summary.failed for summary in summaries) else ExitCode.OK
 
 
-def _campaign(name: str, seeds: list[int], workers: int, out: str) -> ScenarioSummary:
+def _run_scenario(name: str, seeds: list[int], workers: int, out: str) -> ScenarioSummary:
     summary = ScenarioSummary(name)
     progress = _Progress(name, len(seeds))
     for result in run_campaign(name, seeds, workers):
@@ -82,12 +79,12 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds that ``text`` names: ``7`` or ``1..100``.
+    """Parse one seed (``7``) or an inclusive range (``1..100``).
 
     Raises
     ------
     SettingsError
-        If it names none.
+        If ``text`` is neither, or the range is empty.
     """
     first, separator, last = text.partition("..")
     try:
@@ -101,7 +98,7 @@
 
 
 def report_lines(result: SeedResult) -> list[str]:
-    """Return what broke in a seed, and how to repeat it."""
+    """Return a report of a failed seed: violations, faults, and the command that reproduces it."""
     lines = [f"{result.scenario} seed {result.seed} ({result.deployment}): FAILED"]
     lines += [f"  {result.error}"] if result.error else []
     lines += [f"  {violation}" for violation in result.violations[:5]]
@@ -113,7 +110,7 @@
     return lines
 
 
-def _names(scenario: str) -> list[str]:
+def _parse_scenario_names(scenario: str) -> list[str]:
     names = scenario.split(",")
     unknown = [name for name in names if name not in SCENARIOS]
     if unknown:
@@ -122,11 +119,11 @@
     return names
 
 
-def _prove_one(names: list[str], seeds: list[int], only: str, history: str) -> int:
+def _run_single_seed(names: list[str], seeds: list[int], only: str, history: str) -> int:
     if len(names) != 1 or len(seeds) != 1:
         raise SettingsError(["flags --only and --history need one scenario and one seed"])
     plan = plan_of(names[0], seeds[0])
-    positions = _positions(only, len(plan.disturbances)) if only else None
+    positions = _parse_positions(only, len(plan.disturbances)) if only else None
     result, recorded = run_plan(plan if positions is None else plan.only(positions))
     if positions is not None:
         result.kept = list(positions)
@@ -140,7 +137,7 @@
     return ExitCode.OK
 
 
-def _positions(only: str, count: int) -> tuple[int, ...]:
+def _parse_positions(only: str, count: int) -> tuple[int, ...]:
     if only == "none":
         return ()
     try:
@@ -153,18 +150,18 @@
 
 
 class _Progress:
-    """One line on standard error that says how far a campaign is, where it is a terminal."""
+    """Progress line on standard error, printed only if it is a terminal."""
 
     def __init__(self, name: str, total: int) -> None:
         self._name = name
         self._total = total
-        self._shown = 0.0
+        self._last_shown_at = 0.0
 
     def show(self, summary: ScenarioSummary) -> None:
-        """Show the present state now and then."""
+        """Print the progress, at most once per ``PROGRESS_SECONDS``."""
         now = time.monotonic()
-        if not sys.stderr.isatty() or now - self._shown < PROGRESS_SECONDS:
+        if not sys.stderr.isatty() or now - self._last_shown_at < PROGRESS_SECONDS:
             return
-        self._shown = now
+        self._last_shown_at = now
         line = f"\r{self._name}: {summary.seeds}/{self._total}, failed {len(summary.failed)}"
         print(line, end="", file=sys.stderr, flush=True)
--- a/src/finchshed/campaign/runner.py
+++ b/src/finchshed/campaign/runner.py
@@ -1,6 +1,6 @@
-"""Runs seeds of a scenario and judges their histories; shrinks what fails.
+"""Runs the seeds of a scenario, checks their histories and shrinks failing plans.
 
-Owns the result of a seed and the summary of a scenario. One seed gives one history.
+Runs are deterministic: a seed always produces the same history.
 """
 
 from collections import Counter
@@ -18,18 +18,18 @@
 from finchshed.proof.history_file import History
 
 VIOLATIONS_KEPT = 20
-"""Violations kept of one seed; chosen, not measured."""
+"""Maximum number of violations stored per seed."""
 
 
 class SeedResult(msgspec.Struct):
-    """Outcome of one seed.
+    """Result of running and checking one seed.
 
     Attributes
     ----------
     kept
-        Positions of the disturbances that are enough for the first violation, after shrinking.
+        Positions of the disturbances left after shrinking, or None if not shrunk.
     error
-        What stopped the run, where it ended in an exception: a broken invariant within a process.
+        Type and message of the exception that ended the run, or empty.
     """
 
     scenario: str
@@ -46,18 +46,18 @@
 
     @property
     def failed(self) -> bool:
-        """Whether a property was broken."""
+        """Whether a check found a violation or the run raised an exception."""
         return bool(self.violations or self.error)
 
     def broken_checks(self) -> Counter[str]:
-        """Return how often each checker found something."""
+        """Return the number of violations per check; an exception counts as ``process``."""
         if self.error:
             return Counter({"process": 1})
         return Counter(violation.check for violation in self.violations)
 
 
 def run_plan(plan: Plan) -> tuple[SeedResult, History | None]:
-    """Run one plan and judge it; the history is None where the run stopped with an error."""
+    """Run a plan and check its history, which is None if the run raised an exception."""
     result = SeedResult(plan.scenario, plan.seed, plan.deployment.name)
     result.disturbances = [repr(item) for item in plan.disturbances]
     try:
@@ -74,38 +74,38 @@
 
 
 def run_seed(scenario: str, seed: int, shrink: bool = True) -> SeedResult:
-    """Run one seed; if it fails, find a smaller list of faults that fails the same checker."""
+    """Run one seed; if it fails, shrink its faults to a smaller set that fails the same check."""
     tune_collector()
     plan = plan_of(scenario, seed)
     result, _ = run_plan(plan)
     if shrink and result.failed:
-        result.kept = shrunk(plan, result)
+        result.kept = shrink_disturbances(plan, result)
     return result
 
 
-def shrunk(plan: Plan, result: SeedResult) -> list[int]:
-    """Return positions of disturbances that still break what ``result`` broke.
+def shrink_disturbances(plan: Plan, result: SeedResult) -> list[int]:
+    """Return positions of a locally minimal set of disturbances that fails the same check.
 
-    Disturbances are left out one by one, and again until none can be.
+    Removes disturbances one at a time until none can be removed.
     """
-    wanted = next(iter(result.broken_checks()))
+    failed_check = next(iter(result.broken_checks()))
     kept = list(range(len(plan.disturbances)))
-    smaller = True
-    while smaller:
-        smaller = False
+    removed_any = True
+    while removed_any:
+        removed_any = False
         for position in list(kept):
-            fewer = [other for other in kept if other != position]
-            trial, _ = run_plan(plan.only(tuple(fewer)))
-            if wanted in trial.broken_checks():
-                kept = fewer
-                smaller = True
+            candidate = [other for other in kept if other != position]
+            trial, _ = run_plan(plan.only(tuple(candidate)))
+            if failed_check in trial.broken_checks():
+                kept = candidate
+                removed_any = True
     return kept
 
 
 def run_campaign(
     scenario: str, seeds: Sequence[int], workers: int, shrink: bool = True
 ) -> Iterator[SeedResult]:
-    """Yield the result of each seed, in order."""
+    """Yield the result of each seed in the order of ``seeds``."""
     if workers <= 1:
         for seed in seeds:
             yield run_seed(scenario, seed, shrink)
@@ -116,7 +116,7 @@
 
 
 def repeat_command(result: SeedResult) -> str:
-    """Return the command that repeats a failing seed, with its shrunk list of faults."""
+    """Return the command that reproduces a failing seed with its shrunk faults."""
     command = f"finchshed prove --scenario={result.scenario} --seeds={result.seed}"
     if result.kept is not None:
         command += f" --only={','.join(map(str, result.kept)) or 'none'}"
@@ -124,7 +124,7 @@
 
 
 class ScenarioSummary(msgspec.Struct):
-    """A campaign over one scenario."""
+    """Totals over the seeds of one scenario."""
 
     scenario: str
     seeds: int = 0
@@ -135,7 +135,7 @@
     broken: dict[str, int] = {}
 
     def add(self, result: SeedResult) -> None:
-        """Count one seed."""
+        """Add the result of one seed."""
         self.seeds += 1
         self.roots += result.roots
         self.processor_seconds += result.processor_seconds
@@ -148,7 +148,7 @@
 
 
 def summary_lines(summaries: Iterable[ScenarioSummary]) -> list[str]:
-    """Return a table of campaigns."""
+    """Return the summaries as lines of a text table."""
     lines = [f"{'scenario':<18}{'seeds':>7}{'failed':>8}{'requests':>10}{'cpu s':>9}  broken"]
     for summary in summaries:
         broken = ", ".join(f"{name} {count}" for name, count in summary.broken.items())
