--- a/src/finchshed/campaign/sampler.py
+++ b/src/finchshed/campaign/sampler.py
@@ -84,7 +84,7 @@
         return node in self._disk_loss_nodes
 
     def daemon_node(self) -> str:
-        """Return the name of an edge daemon (probability 1/4) or of a sidecar daemon."""
+        """Return the name of an edge daemon (probability 1/4) or of a back end's daemon."""
         edges = [f"edge-{zone}" for zone in self.deployment.zones]
         return self.choice(edges) if self.chance(0.25) else self.choice(self.endpoints)
 
