--- a/src/finchshed/emulator/control/control_plane.py
+++ b/src/finchshed/emulator/control/control_plane.py
@@ -13,7 +13,7 @@
     """The control nodes of a run."""
 
     def connect(self, daemon: SimulatedDaemon) -> ControlConnection:
-        """Return the way to control for the present life of ``daemon``."""
+        """Return the way to control for the present generation of ``daemon``."""
         ...
 
     def start(
--- a/src/finchshed/emulator/control/group.py
+++ b/src/finchshed/emulator/control/group.py
@@ -96,9 +96,9 @@
         if not node.up or node.frozen:
             return
         node.freeze()
-        life = node.life
+        generation = node.generation
         self._simulation.clock.call_later(
-            seconds, lambda: node.thaw() if node.life == life else None
+            seconds, lambda: node.thaw() if node.generation == generation else None
         )
 
     def stop_planned(self, name: str, seconds: float) -> None:
--- a/src/finchshed/emulator/control/hub_shell.py
+++ b/src/finchshed/emulator/control/hub_shell.py
@@ -33,7 +33,7 @@
         ...
 
     @property
-    def life(self) -> int:
+    def generation(self) -> int:
         """Life of the daemon that the connection belongs to."""
         ...
 
@@ -48,7 +48,7 @@
 
 
 class HubShell:
-    """Serves the daemons connected to one control node, in one life of it.
+    """Serves the daemons connected to one control node, in one generation of it.
 
     Parameters
     ----------
@@ -133,9 +133,11 @@
     def reset(self, link: Subscription, epoch: int) -> None:
         """Reset one connection; the operating system does it, whatever the process's state."""
         network = self._process.simulation.network
-        daemon, life = link.process, link.life
+        daemon, generation = link.process, link.generation
         network.send(
-            self._process.site, daemon.site, lambda: daemon.dispatch(life, link.on_reset, epoch)
+            self._process.site,
+            daemon.site,
+            lambda: daemon.dispatch(generation, link.on_reset, epoch),
         )
 
     def _configuration(self) -> Configuration:
@@ -165,7 +167,9 @@
         held = self._connections.get(number)
         if held is not None:
             link, epoch = held
-            self._process.send(link.process, link.on_message, epoch, message, life=link.life)
+            self._process.send(
+                link.process, link.on_message, epoch, message, generation=link.generation
+            )
 
     def _start_confirming(self) -> None:
         if self._confirming or self._ticket is None:
--- a/src/finchshed/emulator/control/log_host.py
+++ b/src/finchshed/emulator/control/log_host.py
@@ -1,4 +1,4 @@
-"""One life of a node of the replicated log in the emulator: disk, timers and messages.
+"""One generation of a node of the replicated log in the emulator: disk, timers and messages.
 
 Counterpart of :mod:`finchshed.control.raft.host`. The node, its runner, its storage and its state
 machine are the production classes; the disk forgets what was not synced.
@@ -66,12 +66,12 @@
 
 
 class LogHost:
-    """Runs a node of the replicated log for one life of its process.
+    """Runs a node of the replicated log for one generation of its process.
 
     Parameters
     ----------
     process
-        The control process; its callbacks end with its life.
+        The control process; its callbacks end with its generation.
     address
         Where others reach the node.
     voters
--- a/src/finchshed/emulator/control/node.py
+++ b/src/finchshed/emulator/control/node.py
@@ -56,10 +56,10 @@
         self.disk = SimulatedDisk(simulation.streams.python(f"disk/{site.node}"))
         self.stopping = False
         self._may_form = True
-        self._begin_life()
+        self._begin_generation()
 
-    def _begin_life(self) -> None:
-        rng = self.simulation.streams.python(f"control/{self.name}/{self.life}")
+    def _begin_generation(self) -> None:
+        rng = self.simulation.streams.python(f"control/{self.name}/{self.generation}")
         self.stopping = False
         self.machine = ControlStateMachine(self._on_committed, self._on_restored)
         self.host = LogHost(
@@ -96,11 +96,11 @@
         self.hub.reset_all()
 
     def restart(self, wipe_disk: bool = False) -> None:
-        """Begin a new life with what is on the disk."""
+        """Begin a new generation with what is on the disk."""
         if wipe_disk:
             self.disk.lose_data()
         self.start()
-        self._begin_life()
+        self._begin_generation()
         self.begin()
 
     def stop_planned(self, seconds: float) -> None:
@@ -142,15 +142,15 @@
     def forward(self, address: str, request: int, command: Command) -> None:
         """Send a command to the leader."""
         target = self._peers[address]
-        self.send(target, target.take_forwarded, self, self.life, request, command)
+        self.send(target, target.take_forwarded, self, self.generation, request, command)
 
     def take_forwarded(
-        self, sender: "SimulatedControlNode", life: int, request: int, command: Command
+        self, sender: "SimulatedControlNode", generation: int, request: int, command: Command
     ) -> None:
         """Take a command of another node, as the leader."""
 
         def answer(result: CommandResult | None) -> None:
-            self.send(sender, sender.take_reply, request, result, life=life)
+            self.send(sender, sender.take_reply, request, result, generation=generation)
 
         if self.host.is_leader:
             self.host.propose(command, answer)
@@ -212,7 +212,9 @@
     def _answer(
         self, link: Subscription, epoch: int, request: int, result: CommandResult | None
     ) -> None:
-        self.send(link.process, link.on_ledger_answer, epoch, request, result, life=link.life)
+        self.send(
+            link.process, link.on_ledger_answer, epoch, request, result, generation=link.generation
+        )
 
 
 def _ignore(_: CommandResult | None) -> None:
--- a/src/finchshed/emulator/control/operators.py
+++ b/src/finchshed/emulator/control/operators.py
@@ -81,7 +81,7 @@
             )
 
         if node.up:
-            self.send(node, take, life=node.life)
+            self.send(node, take, generation=node.generation)
         self.call_later(ANSWER_SECONDS, answered, None)
 
     def _answered(self, submission: _Submission, result: CommandResult | None) -> None:
--- a/src/finchshed/emulator/control/planes.py
+++ b/src/finchshed/emulator/control/planes.py
@@ -11,7 +11,7 @@
 from finchshed.emulator.control.group import PLATFORM_LAG_SECONDS, ControlGroup
 from finchshed.emulator.daemons.control_connection import ControlConnection
 from finchshed.emulator.daemons.daemon import SimulatedDaemon
-from finchshed.emulator.daemons.follower_shell import FollowerDisk, FollowerShell
+from finchshed.emulator.daemons.follower_runner import FollowerDisk, SimulatedFollowerRunner
 from finchshed.emulator.plain_control import COMMIT_SECONDS, PlainControl
 from finchshed.emulator.simulation import Simulation
 from finchshed.proof.history import ControlReachable
@@ -49,12 +49,12 @@
         back_end = daemon.back_end
         identity = ClientIdentity(
             node=daemon.name,
-            incarnation=str(daemon.life),
+            incarnation=str(daemon.generation),
             service=back_end.service if back_end is not None else "",
             zone=daemon.site.zone,
             endpoint=daemon.name if back_end is not None else "",
         )
-        shell = FollowerShell(
+        runner = SimulatedFollowerRunner(
             daemon,
             identity,
             self._group.by_address,
@@ -62,7 +62,7 @@
             disk=disk,
             rng=daemon.random,
         )
-        return ControlConnection(shell.client, shell)
+        return ControlConnection(runner.client, runner)
 
     def start(
         self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[SimulatedDaemon]
@@ -71,7 +71,7 @@
         self._daemons = daemons
         self._group.start(endpoints, policy)
         for daemon in daemons:
-            daemon.begin()
+            daemon.start_follower()
         self._watch()
 
     def node_name(self, node: str) -> str:
--- a/src/finchshed/emulator/control/proposals.py
+++ b/src/finchshed/emulator/control/proposals.py
@@ -39,7 +39,7 @@
 
 
 class Proposals:
-    """Proposals that came in at one control node, in one life of it."""
+    """Proposals that came in at one control node, in one generation of it."""
 
     def __init__(
         self, process: Process, host: LogHost, forwarding: SimulatedForwarding, rng: random.Random
--- a/src/finchshed/emulator/daemons/__init__.py
+++ b/src/finchshed/emulator/daemons/__init__.py
@@ -1,5 +1,5 @@
-"""Emulated daemons: the production decision modules, with links and timers of the emulator.
+"""Emulated daemons, which run the production decision logic over simulated input and output.
 
-What is modelled here is only what :mod:`finchshed.daemon` does as input and output: links,
-heartbeats, timers and HTTP to the back end. Every decision is taken by the production classes.
+Only the input and output of :mod:`finchshed.daemon` is modelled: links, heartbeats, timers and HTTP
+to the back end. Decisions are made by the production classes.
 """
--- a/src/finchshed/emulator/daemons/accepted_link.py
+++ b/src/finchshed/emulator/daemons/accepted_link.py
@@ -1,4 +1,4 @@
-"""The serving end of an emulated link. Mirrors :mod:`finchshed.link.listener`."""
+"""Serving end of an emulated link. Counterpart of :mod:`finchshed.link.listener`."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
     Reply,
 )
 
-ACCEPTED_SILENCE_SECONDS: Final = 2.0
-"""The serving end waits longer: the calling end's heartbeats may be late."""
+ACCEPTED_IDLE_TIMEOUT_SECONDS: Final = 2.0
+"""Idle timeout of the serving end, longer than the caller's since heartbeats may be late."""
 
 
 @dataclass(slots=True)
 class CallMessage:
-    """A call on a link; the emulator's counterpart of :class:`finchshed.link.messages.Call`."""
+    """A call sent over a link. Counterpart of :class:`finchshed.link.messages.Call`."""
 
     epoch: str
     call: int
@@ -28,7 +28,7 @@
 
 
 class CallingEnd(Protocol):
-    """What the serving end sends to the calling end."""
+    """Messages from the serving end to the calling end."""
 
     @property
     def process(self) -> Process:
@@ -36,50 +36,50 @@
         ...
 
     @property
-    def life(self) -> int:
-        """Life of the calling daemon that the link belongs to."""
+    def generation(self) -> int:
+        """Generation of the calling daemon that opened the link."""
         ...
 
     def on_reply(self, reply: Reply) -> None:
-        """Take a reply."""
+        """Handle a reply."""
 
     def on_pong(self, epoch: str, load: LoadReport, revision: int) -> None:
-        """Take the answer to a heartbeat."""
+        """Handle the answer to a heartbeat."""
 
     def on_draining(self, epoch: str) -> None:
-        """Take the word that no new calls are taken."""
+        """Handle the notice that no new calls are accepted."""
 
     def on_reset(self, epoch: str) -> None:
-        """Take the news that the connection is gone."""
+        """Handle a connection reset."""
 
 
 class ServingDaemon(Protocol):
-    """What the serving end of a link needs of its daemon."""
+    """Callbacks from the serving end of a link to its daemon."""
 
-    def take_call(self, link: "SimulatedAcceptedLink", message: CallMessage) -> None:
-        """Take a call."""
+    def handle_call(self, link: "SimulatedAcceptedLink", message: CallMessage) -> None:
+        """Handle an incoming call."""
 
-    def give_up_call(self, link: "SimulatedAcceptedLink", call: int) -> None:
-        """Drop a call whose caller has given up or is gone."""
+    def cancel_call(self, link: "SimulatedAcceptedLink", call: int) -> None:
+        """Cancel a call whose caller cancelled it or disconnected."""
 
     def load_report(self) -> LoadReport:
-        """Return the load as callers are told."""
+        """Return the load report for callers."""
         ...
 
     def revision_seen(self, node: str, revision: int) -> None:
-        """Take note that a peer holds this revision."""
+        """Handle the revision received from a peer."""
 
     def revision(self) -> int:
         """Return the revision in force."""
         ...
 
     def incarnation(self) -> str:
-        """Return the identity of the process's present life."""
+        """Return the identity of the current incarnation."""
         ...
 
 
 class SimulatedAcceptedLink:
-    """The serving end of a link."""
+    """Serving end of a link, for one connection."""
 
     def __init__(
         self, process: Process, daemon: ServingDaemon, calling_end: CallingEnd, epoch: str
@@ -89,9 +89,9 @@
         self._process = process
         self._daemon = daemon
         self._calling_end = calling_end
-        self._heard_at = process.now
+        self._last_received_at = process.now
         self._calls: set[int] = set()
-        process.call_later(ACCEPTED_SILENCE_SECONDS, self._watch)
+        process.call_later(ACCEPTED_IDLE_TIMEOUT_SECONDS, self._check_idle)
 
     @property
     def caller(self) -> str:
@@ -99,25 +99,25 @@
         return self._calling_end.process.name
 
     def on_call(self, message: CallMessage) -> None:
-        """Take a call from the network. A call seen before is dropped."""
+        """Handle a call; a duplicate is dropped."""
         if not self.open or message.call in self._calls:
             return
-        self._heard_at = self._process.now
+        self._last_received_at = self._process.now
         self._calls.add(message.call)
         self._daemon.revision_seen(self.caller, message.revision)
-        self._daemon.take_call(self, message)
+        self._daemon.handle_call(self, message)
 
     def on_cancel(self, call: int) -> None:
-        """Take the caller's giving up."""
-        self._heard_at = self._process.now
+        """Handle the cancellation of a call by its caller."""
+        self._last_received_at = self._process.now
         if self.open:
-            self._daemon.give_up_call(self, call)
+            self._daemon.cancel_call(self, call)
 
     def on_ping(self, revision: int) -> None:
         """Answer a heartbeat."""
         if not self.open:
             return
-        self._heard_at = self._process.now
+        self._last_received_at = self._process.now
         self._daemon.revision_seen(self.caller, revision)
         self._send(
             self._calling_end.on_pong,
@@ -127,43 +127,45 @@
         )
 
     def reply(self, reply: Reply) -> None:
-        """Answer a call."""
+        """Send the reply to a call."""
         if self.open:
             self._send(self._calling_end.on_reply, reply)
 
-    def tell_draining(self) -> None:
-        """Tell the caller that no new calls are taken."""
+    def send_draining(self) -> None:
+        """Notify the caller that no new calls are accepted."""
         if self.open:
             self._send(self._calling_end.on_draining, self.epoch)
 
     def close(self) -> None:
-        """Close, and give up the calls that came on the link."""
+        """Close the link and cancel the calls received on it."""
         if not self.open:
             return
         self.open = False
         for call in sorted(self._calls):
-            self._daemon.give_up_call(self, call)
+            self._daemon.cancel_call(self, call)
         self._calls.clear()
 
-    def caller_reset(self) -> None:
-        """Tell the caller that this process is gone (its operating system resets)."""
+    def send_reset(self) -> None:
+        """Reset the connection, as the operating system does when a process dies."""
         network = self._process.simulation.network
-        link, epoch, life = self._calling_end, self.epoch, self._calling_end.life
+        link, epoch, generation = self._calling_end, self.epoch, self._calling_end.generation
         network.send(
             self._process.site,
             link.process.site,
-            lambda: link.process.dispatch(life, link.on_reset, epoch),
+            lambda: link.process.dispatch(generation, link.on_reset, epoch),
         )
 
     def _send(self, function: Callable[..., None], *arguments: object) -> None:
         caller = self._calling_end.process
-        self._process.send(caller, function, *arguments, life=self._calling_end.life)
+        self._process.send(caller, function, *arguments, generation=self._calling_end.generation)
 
-    def _watch(self) -> None:
+    def _check_idle(self) -> None:
         if not self.open:
             return
-        silent = self._process.now - self._heard_at
-        if silent >= ACCEPTED_SILENCE_SECONDS:
+        idle_seconds = self._process.now - self._last_received_at
+        if idle_seconds >= ACCEPTED_IDLE_TIMEOUT_SECONDS:
             self.close()
             return
-        self._process.call_later(ACCEPTED_SILENCE_SECONDS - silent + 1e-6, self._watch)
+        self._process.call_later(
+            ACCEPTED_IDLE_TIMEOUT_SECONDS - idle_seconds + 1e-6, self._check_idle
+        )
--- a/src/finchshed/emulator/daemons/configuration_digest.py
+++ b/src/finchshed/emulator/daemons/configuration_digest.py
@@ -1,4 +1,4 @@
-"""Digest of a configuration, by which histories tell whether two daemons hold the same."""
+"""Digest that identifies a configuration's content in a history."""
 
 import msgspec
 import xxhash
@@ -7,6 +7,6 @@
 
 
 def digest_of_configuration(configuration: Configuration) -> str:
-    """Return xxh3-64 (hexadecimal) over all resources, in order of their keys."""
+    """Return the hexadecimal xxh3-64 of all resources, ordered by key."""
     resources = [configuration.resources[key] for key in sorted(configuration.resources)]
     return xxhash.xxh3_64_hexdigest(msgspec.json.encode(resources))
--- a/src/finchshed/emulator/daemons/control_client.py
+++ b/src/finchshed/emulator/daemons/control_client.py
@@ -1,7 +1,7 @@
-"""An emulated daemon's connection to control: one at a time, to whichever control node serves.
+"""An emulated daemon's client of the control group, connected to one control node at a time.
 
-Counterpart of :mod:`finchshed.distribution.client`; which node is tried when is decided by the
-production :class:`~finchshed.distribution.addresses.AddressBook`.
+Counterpart of :mod:`finchshed.distribution.client`. The production
+:class:`~finchshed.distribution.addresses.AddressBook` chooses the node and the retry delay.
 """
 
 import random
@@ -18,35 +18,35 @@
 from finchshed.emulator.daemons.ledger_client import OnLedgerResult
 from finchshed.emulator.daemons.process import Process
 
-CONNECT_SECONDS: Final = 1.0
-"""Longest wait for a connection, seconds; chosen, not measured."""
-SILENCE_SECONDS: Final = 2.0
-"""Seconds without a sign after which a control node is left; chosen, production has 1.5."""
+CONNECT_TIMEOUT_SECONDS: Final = 1.0
+"""Timeout of a connection attempt."""
+IDLE_TIMEOUT_SECONDS: Final = 2.0
+"""The client reconnects after this time without a message."""
 HEARTBEAT_SECONDS: Final = 1.0
-"""Seconds between heartbeats; as in production."""
-CHECK_SECONDS: Final = 0.5
-"""Seconds between looks for silence; chosen, production has 0.25."""
-ABANDON_SECONDS: Final = 30.0
-"""How long the cancel of an attempt whose grant did not come in time is tried."""
+"""Interval between heartbeats; same as in production."""
+CHECK_INTERVAL_SECONDS: Final = 0.5
+"""Interval between checks for the idle timeout and due heartbeats."""
+CANCEL_TIMEOUT_SECONDS: Final = 30.0
+"""How long a cancellation is kept for delivery."""
 
 
-class ClientOwner(Protocol):
-    """What the client tells and asks its daemon."""
+class ControlClientListener(Protocol):
+    """Callbacks from the client to its daemon."""
 
     def control_delta(self, delta: Delta) -> None:
-        """Take configuration."""
+        """Handle a configuration change."""
 
     def control_connected(self) -> None:
-        """Note that a control node took the subscription."""
+        """Handle an accepted subscription."""
 
     def control_lost(self) -> None:
-        """Note that no control node is in reach."""
+        """Handle the loss of the subscription."""
 
     def hints(self, hints: Hints) -> None:
-        """Take the platform's list."""
+        """Handle the platform's list of leaving machines."""
 
     def revision_held(self) -> int:
-        """Return the revision that the next subscription starts from."""
+        """Return the revision to subscribe from."""
         ...
 
     def revision_in_force(self) -> int:
@@ -62,52 +62,52 @@
 
 
 class SimulatedControlClient:
-    """Keeps a connection to one control node, in one life of a daemon."""
+    """Maintains a connection to one control node, for one generation of a daemon."""
 
     def __init__(
         self,
         process: Process,
         identity: ClientIdentity,
         nodes: Mapping[str, SimulatedControlNode],
-        owner: ClientOwner,
+        listener: ControlClientListener,
         rng: random.Random,
     ) -> None:
         self.process = process
-        self.life = process.life
+        self.generation = process.generation
         self._identity = identity
         self._nodes = nodes
-        self._owner = owner
+        self._listener = listener
         addresses = [ControlAddress(address, node.site.zone) for address, node in nodes.items()]
-        self._book = AddressBook(addresses, identity.zone, rng)
+        self._addresses = AddressBook(addresses, identity.zone, rng)
         self._epoch = 0
         self._address: ControlAddress | None = None
         self._node: SimulatedControlNode | None = None
-        self._node_life = 0
+        self._node_generation = 0
         self._is_connected = False
         self._is_subscribed = False
         self._opened_at = 0.0
-        self._heard_at = 0.0
+        self._last_received_at = 0.0
         self._heartbeat_due = 0.0
         self._pending: dict[int, _Pending] = {}
         self._last_request = 0
 
     def start(self) -> None:
-        """Stay connected from now on."""
+        """Connect, and reconnect whenever the connection is lost."""
         self._connect()
 
     def report_in_force(self, revision: int) -> None:
-        """Tell the control node which revision is in force here."""
+        """Report the revision in force to the control node."""
         if self._is_subscribed and self._node is not None:
             self._heartbeat_due = self.process.now + HEARTBEAT_SECONDS
             self._send(self._node.take_in_force, self, self._epoch, revision)
 
     def fetch(self, revision: int) -> None:
-        """Ask the control node for what follows ``revision``."""
+        """Request the changes after ``revision``."""
         if self._is_connected and self._node is not None:
             self._send(self._node.take_fetch, self, self._epoch, revision)
 
     def begin(self, key: str, attempt: str, timeout: float, done: OnLedgerResult) -> None:
-        """Ask leave to run the request under ``key``."""
+        """Request a grant to run the request with this key."""
 
         def send(node: SimulatedControlNode, epoch: int, request: int) -> None:
             self._send(node.ledger_begin, self, epoch, request, key, attempt)
@@ -122,17 +122,17 @@
         self._request(pending, timeout, timed_out)
 
     def cancel(self, key: str, attempt: str) -> None:
-        """Say that a granted attempt was never sent."""
+        """Release the grant of an attempt that was never sent."""
 
         def send(node: SimulatedControlNode, epoch: int, request: int) -> None:
             self._send(node.ledger_cancel, self, epoch, request, key, attempt)
 
-        self._request(_Pending(send, _ignore), ABANDON_SECONDS, _nothing)
+        self._request(_Pending(send, _ignore_result), CANCEL_TIMEOUT_SECONDS, _ignore_timeout)
 
     def complete(
         self, key: str, attempt: str, answer: Answered, timeout: float, done: Callable[[], None]
     ) -> None:
-        """Record the whole answer; ``done`` is called when it is committed, or in time anyway."""
+        """Record the complete answer; calls ``done`` on commit or after ``timeout`` seconds."""
 
         def send(node: SimulatedControlNode, epoch: int, request: int) -> None:
             command = CompleteRequest(key, attempt, answer)
@@ -140,60 +140,60 @@
 
         self._request(_Pending(send, lambda _: done()), timeout, done)
 
-    # What the control node sends.
+    # Messages from the control node.
 
     def on_connected(self, epoch: int) -> None:
-        """Take the word of the other machine's operating system that the connection is open."""
+        """Handle an established connection: subscribe and send pending requests."""
         if epoch != self._epoch or self._node is None or self._is_connected:
             return
         self._is_connected = True
-        self._opened_at = self._heard_at = self.process.now
+        self._opened_at = self._last_received_at = self.process.now
         identity = self._identity
         subscribe = Subscribe(
             node=identity.node,
             incarnation=identity.incarnation,
             service=identity.service,
             zone=identity.zone,
-            revision=self._owner.revision_held(),
+            revision=self._listener.revision_held(),
             endpoint=identity.endpoint,
         )
         self._send(self._node.take_subscribe, self, epoch, subscribe)
         for request, pending in list(self._pending.items()):
             self._send_pending(request, pending)
-        self.process.call_later(CHECK_SECONDS, self._watch, epoch)
+        self.process.call_later(CHECK_INTERVAL_SECONDS, self._check_connection, epoch)
 
     def on_message(self, epoch: int, message: ControlToDaemon) -> None:
-        """Take a message of the control node."""
+        """Handle a message from the control node."""
         if epoch != self._epoch or not self._is_connected:
             return
-        self._heard_at = self.process.now
+        self._last_received_at = self.process.now
         if isinstance(message, Delta):
             if not self._is_subscribed:
                 self._is_subscribed = True
-                self._owner.control_connected()
-            self._owner.control_delta(message)
+                self._listener.control_connected()
+            self._listener.control_delta(message)
         elif isinstance(message, Redirect):
-            self._book.add(message.addresses)
-            self._leave()
+            self._addresses.add(message.addresses)
+            self._reconnect()
         elif isinstance(message, Hints):
-            self._owner.hints(message)
+            self._listener.hints(message)
 
     def on_ledger_answer(self, epoch: int, request: int, result: CommandResult | None) -> None:
-        """Take the ledger's answer; None and a refusal mean that nothing was granted."""
+        """Handle the ledger's result; None or a refusal means that nothing was granted."""
         if epoch != self._epoch:
             return
-        self._heard_at = self.process.now
+        self._last_received_at = self.process.now
         pending = self._pending.pop(request, None)
         if pending is not None:
             pending.done(result)
 
     def on_reset(self, epoch: int) -> None:
-        """Take the news that the connection is gone or was refused."""
+        """Handle a reset or refused connection."""
         if epoch == self._epoch and self._address is not None:
-            self._leave()
+            self._reconnect()
 
     def _connect(self) -> None:
-        attempt = self._book.next_attempt(self.process.now)
+        attempt = self._addresses.next_attempt(self.process.now)
         if attempt.wait_seconds > 0.0:
             self.process.call_later(attempt.wait_seconds + 1e-6, self._connect)
             return
@@ -202,46 +202,46 @@
         self._node = self._nodes[attempt.address.address]
         node, epoch = self._node, self._epoch
         network = self.process.simulation.network
-        network.send(self.process.site, node.site, lambda: self._reach(node, epoch))
-        self.process.call_later(CONNECT_SECONDS, self._connect_timed_out, epoch)
+        network.send(self.process.site, node.site, lambda: self._deliver_connect(node, epoch))
+        self.process.call_later(CONNECT_TIMEOUT_SECONDS, self._connect_timed_out, epoch)
 
-    def _reach(self, node: SimulatedControlNode, epoch: int) -> None:
-        """Arrive at the control machine, whose operating system answers."""
-        self._node_life = node.life
+    def _deliver_connect(self, node: SimulatedControlNode, epoch: int) -> None:
+        """Deliver the connection request; a node that is down refuses it."""
+        self._node_generation = node.generation
         function = self.on_connected if node.up else self.on_reset
-        daemon, life = self.process, self.life
+        daemon, generation = self.process, self.generation
         network = self.process.simulation.network
-        network.send(node.site, daemon.site, lambda: daemon.dispatch(life, function, epoch))
+        network.send(node.site, daemon.site, lambda: daemon.dispatch(generation, function, epoch))
 
     def _connect_timed_out(self, epoch: int) -> None:
         if epoch == self._epoch and not self._is_connected and self._address is not None:
-            self._leave()
+            self._reconnect()
 
-    def _watch(self, epoch: int) -> None:
+    def _check_connection(self, epoch: int) -> None:
         if epoch != self._epoch or not self._is_connected:
             return
         now = self.process.now
-        if now - self._heard_at > SILENCE_SECONDS:
-            self._leave()
+        if now - self._last_received_at > IDLE_TIMEOUT_SECONDS:
+            self._reconnect()
             return
         if self._is_subscribed and now >= self._heartbeat_due:
-            self.report_in_force(self._owner.revision_in_force())
-        self.process.call_later(CHECK_SECONDS, self._watch, epoch)
+            self.report_in_force(self._listener.revision_in_force())
+        self.process.call_later(CHECK_INTERVAL_SECONDS, self._check_connection, epoch)
 
-    def _leave(self) -> None:
-        """Close the connection and go to another control node."""
+    def _reconnect(self) -> None:
+        """Close the connection and connect to the next control node."""
         assert self._address is not None
-        lived = self.process.now - self._opened_at if self._is_connected else 0.0
+        connected_seconds = self.process.now - self._opened_at if self._is_connected else 0.0
         if self._is_connected and self._node is not None:
             self._send(self._node.take_closed, self, self._epoch)
-        self._book.on_connection_ended(self._address, lived, self.process.now)
+        self._addresses.on_connection_ended(self._address, connected_seconds, self.process.now)
         was_subscribed = self._is_subscribed
         self._is_connected = False
         self._is_subscribed = False
         self._address = None
         self._epoch += 1
         if was_subscribed:
-            self._owner.control_lost()
+            self._listener.control_lost()
         self._connect()
 
     def _request(self, pending: _Pending, timeout: float, timed_out: Callable[[], None]) -> None:
@@ -263,12 +263,12 @@
 
     def _send(self, function: Callable[..., None], *arguments: object) -> None:
         assert self._node is not None
-        self.process.send(self._node, function, *arguments, life=self._node_life)
+        self.process.send(self._node, function, *arguments, generation=self._node_generation)
 
 
-def _ignore(_: CommandResult | None) -> None:
-    """Take a result that nobody waits for."""
+def _ignore_result(_: CommandResult | None) -> None:
+    """Ignore the result of a cancellation."""
 
 
-def _nothing() -> None:
-    """Do nothing when a cancel can't be delivered in time."""
+def _ignore_timeout() -> None:
+    """Ignore the timeout of a cancellation."""
--- a/src/finchshed/emulator/daemons/control_connection.py
+++ b/src/finchshed/emulator/daemons/control_connection.py
@@ -1,14 +1,14 @@
-"""An emulated daemon's way to control."""
+"""Connection of an emulated daemon to the control plane."""
 
 from dataclasses import dataclass
 
-from finchshed.emulator.daemons.follower_shell import FollowerShell
+from finchshed.emulator.daemons.follower_runner import SimulatedFollowerRunner
 from finchshed.emulator.daemons.ledger_client import LedgerClient
 
 
 @dataclass(slots=True)
 class ControlConnection:
-    """A daemon's way to control in one life; without a follower it is configured from outside."""
+    """Ledger client and follower of one generation; without a follower, others configure it."""
 
     ledger: LedgerClient
-    follower: FollowerShell | None = None
+    follower: SimulatedFollowerRunner | None = None
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -1,7 +1,6 @@
-"""One emulated daemon: beside a back end, or an edge in front of outside callers.
+"""An emulated daemon: local to a back end, or an edge for external callers.
 
-Owns the links, the routing table and the configuration of one life of the process. Counterpart of
-:mod:`finchshed.daemon.daemon`, for declared endpoints alone.
+Counterpart of :mod:`finchshed.daemon.daemon`, limited to endpoints declared in the configuration.
 """
 
 import random
@@ -20,7 +19,7 @@
 from finchshed.emulator.daemons.callee import SimulatedCallee
 from finchshed.emulator.daemons.configuration_digest import digest_of_configuration
 from finchshed.emulator.daemons.control_connection import ControlConnection
-from finchshed.emulator.daemons.incoming import IncomingRequests, nothing
+from finchshed.emulator.daemons.incoming import IncomingRequests, cancel_nothing
 from finchshed.emulator.daemons.link import DaemonLink
 from finchshed.emulator.daemons.outgoing import CallingProcess
 from finchshed.emulator.network import Site
@@ -34,37 +33,37 @@
 
 REGION: Final = "region-1"
 LOCAL_DELAY_SECONDS: Final = 0.0002
-"""Seconds to the daemon or back over the loopback; chosen, not measured."""
+"""One-way delay over the loopback interface."""
 
 
-class DaemonsByName(Protocol):
-    """Where a daemon finds the processes of other daemons."""
+class DaemonDirectory(Protocol):
+    """Lookup of the daemons of a run by name."""
 
     def daemon_of(self, endpoint: str) -> "SimulatedDaemon":
-        """Return the daemon beside an endpoint."""
+        """Return the daemon local to the back end of an endpoint."""
         ...
 
-    def node_called(self, name: str) -> "SimulatedDaemon | None":
-        """Return the daemon of this name: an endpoint's or an edge."""
+    def find_daemon(self, name: str) -> "SimulatedDaemon | None":
+        """Return the back end's or edge daemon with this name, or None."""
         ...
 
 
 class SimulatedDaemon(CallingProcess):
-    """One daemon process.
+    """An emulated daemon process.
 
     Parameters
     ----------
     back_end
-        The back end beside it, or None for an edge.
+        The back end that the daemon serves, or None for an edge.
     connect
-        Returns the way to control for the present life of the daemon.
+        Returns the connection to the control plane for the current generation.
     """
 
     def __init__(
         self,
         simulation: Simulation,
         site: Site,
-        directory: DaemonsByName,
+        directory: DaemonDirectory,
         connect: Callable[["SimulatedDaemon"], ControlConnection],
         back_end: BackEnd | None,
     ) -> None:
@@ -74,18 +73,18 @@
         self.back_end = back_end
         self.stopping = False
         self._endpoints: tuple[Endpoint, ...] = ()
-        self._begin_life()
+        self._begin_generation()
 
-    def _begin_life(self) -> None:
+    def _begin_generation(self) -> None:
         streams = self.simulation.streams
-        self.random: random.Random = streams.python(f"daemon/{self.name}/{self.life}")
+        self.random: random.Random = streams.python(f"daemon/{self.name}/{self.generation}")
         self.table = RoutingTable(self.site.zone, REGION, self.random, owner=self.name)
         self.accounts = RetryAccounts()
         self._links: dict[str, DaemonLink] = {}
         self._accepted: list[SimulatedAcceptedLink] = []
-        self._linked_at: dict[str, float] = {}
-        self._listed: set[str] = set()
-        self._began_at = self.now
+        self._link_opened_at: dict[str, float] = {}
+        self._hinted_endpoints: set[str] = set()
+        self._started_at = self.now
         self.stopping = False
         self.is_serving = False
         self.held_revision = 0
@@ -104,13 +103,13 @@
             )
         self._incoming = IncomingRequests(self, self.table, self.accounts, self.callee)
 
-    def begin(self) -> None:
-        """Follow the configuration, where this daemon does so itself."""
+    def start_follower(self) -> None:
+        """Start the configuration follower, if there is one."""
         if self._connection.follower is not None:
             self._connection.follower.start()
 
     def take_effect(self, current: Configuration) -> None:
-        """Act on a configuration that the follower holds."""
+        """Put a configuration from the follower into force."""
         policy = current.resources.get(POLICY_KEY)
         self._digest = digest_of_configuration(current)
         self.configure(
@@ -120,56 +119,58 @@
         )
 
     def start_serving(self) -> None:
-        """Take calls from now on."""
+        """Start accepting calls."""
         self.is_serving = True
         if self.callee is not None:
             self.callee.may_serve = True
-        self._note_in_force()
+        self._record_in_force()
 
-    def _note_in_force(self) -> None:
+    def _record_in_force(self) -> None:
         if self.is_serving:
             self.simulation.recorder.note(
                 RevisionInForce(self.now, self.name, self.held_revision, self._digest)
             )
 
     def configure(self, endpoints: Iterable[Endpoint], policy: Policy, revision: int) -> None:
-        """Act on a configuration."""
+        """Put a configuration into force."""
         self._endpoints = tuple(endpoints)
         self._incoming.set_policy(policy)
         self.held_revision = revision
-        self._note_in_force()
+        self._record_in_force()
         self.table.replace(self._endpoints, self.now)
 
     def call(self, request: SimulatedRequest, done: Done) -> Cancel:
-        """Take a request over HTTP from an outside caller or the back end beside it."""
+        """Handle an HTTP request from an external caller or the local back end."""
         if not self.up:
             done(Refused(RefusalReason.CONNECT_FAILED, 0.1, "connection refused"))
-            return nothing
-        holder: list[Cancel] = []
+            return cancel_nothing
+        cancels: list[Cancel] = []
 
-        def take() -> None:
-            holder.append(self._take(request, done))
+        def forward() -> None:
+            cancels.append(self._forward(request, done))
 
-        self.call_later(LOCAL_DELAY_SECONDS, take)
-        return lambda: self.dispatch(self.life, holder[0]) if holder else None
+        self.call_later(LOCAL_DELAY_SECONDS, forward)
+        return lambda: self.dispatch(self.generation, cancels[0]) if cancels else None
 
-    def _take(self, request: SimulatedRequest, done: Done) -> Cancel:
-        life = self.life
+    def _forward(self, request: SimulatedRequest, done: Done) -> Cancel:
+        generation = self.generation
 
         def answer(outcome: Outcome) -> None:
-            self.simulation.clock.call_later(LOCAL_DELAY_SECONDS, self._answer, life, done, outcome)
+            self.simulation.clock.call_later(
+                LOCAL_DELAY_SECONDS, self._answer, generation, done, outcome
+            )
 
         if not self.is_serving:
             answer(Refused(RefusalReason.NO_CONFIGURATION, retry_after(0.0, self.random)))
-            return nothing
-        return self._incoming.take(request, answer)
+            return cancel_nothing
+        return self._incoming.handle(request, answer)
 
-    def _answer(self, life: int, done: Done, outcome: Outcome) -> None:
-        if life == self.life:
+    def _answer(self, generation: int, done: Done, outcome: Outcome) -> None:
+        if generation == self.generation:
             done(outcome)
 
     def link_to(self, endpoint: str) -> DaemonLink:
-        """Return the link to an endpoint, made if there is none."""
+        """Return the link to an endpoint, creating it if needed."""
         link = self._links.get(endpoint)
         if link is None:
             target = self._directory.daemon_of(endpoint)
@@ -178,116 +179,116 @@
         return link
 
     def link_opened(self, endpoint: str, incarnation: str) -> None:
-        """Take note that a link is open."""
-        self._linked_at[endpoint] = self.now
+        """Handle an opened link."""
+        self._link_opened_at[endpoint] = self.now
         self.table.on_link_up(endpoint, incarnation, self.now)
 
     def link_broken(self, endpoint: str) -> None:
-        """Take note that a link broke or can't be opened."""
+        """Handle a link that broke or couldn't be opened."""
         self.table.on_link_down(endpoint, self.now)
 
     def load_reported(self, endpoint: str, load: LoadReport) -> None:
-        """Take a load report that came with a heartbeat."""
+        """Handle a load report received with a heartbeat."""
         self.table.on_report(endpoint, load, self.now)
 
     def accept(self, link: DaemonLink, epoch: str) -> None:
-        """Take a connection of another daemon."""
+        """Accept a connection from another daemon."""
         accepted = SimulatedAcceptedLink(self, self, link, epoch)
         self._accepted = [held for held in self._accepted if held.open]
         self._accepted.append(accepted)
         self.send(link.process, link.on_accepted, epoch, accepted, self.incarnation())
 
-    def take_call(self, link: SimulatedAcceptedLink, message: CallMessage) -> None:
-        """Take a call."""
+    def handle_call(self, link: SimulatedAcceptedLink, message: CallMessage) -> None:
+        """Handle an incoming call."""
         if self.callee is not None:
-            self.callee.take(link, message)
+            self.callee.handle_call(link, message)
 
-    def give_up_call(self, link: SimulatedAcceptedLink, call: int) -> None:
-        """Drop a call whose caller has given up."""
+    def cancel_call(self, link: SimulatedAcceptedLink, call: int) -> None:
+        """Cancel a call whose caller cancelled it or disconnected."""
         if self.callee is not None:
-            self.callee.give_up(link, call)
+            self.callee.cancel_call(link, call)
 
     def load_report(self) -> LoadReport:
-        """Return the load as callers are told."""
+        """Return the load report for callers."""
         return LoadReport() if self.callee is None else self.callee.load_report()
 
     def incarnation(self) -> str:
-        """Return the identity of the back end's and the process's present life."""
+        """Return the identity of the current incarnation of this daemon and its back end."""
         started = 0.0 if self.back_end is None else self.back_end.started_at
-        return f"{self.life}/{started}"
+        return f"{self.generation}/{started}"
 
     def revision(self) -> int:
         """Return the revision in force."""
         return self.held_revision
 
     def revision_seen(self, node: str, revision: int) -> None:
-        """Take note that a peer holds this revision."""
+        """Handle the revision received from a peer."""
         if self._connection.follower is not None:
             self._connection.follower.on_peer_revision(node, revision)
 
     def fetch_from_peer(self, peer: str, revision: int, done: Callable[[Delta], None]) -> None:
-        """Ask a peer for what follows ``revision``."""
-        target = self._directory.node_called(peer)
+        """Request the changes after ``revision`` from a peer."""
+        target = self._directory.find_daemon(peer)
         if target is not None:
-            self.send(target, target.answer_fetch, self, self.life, revision, done)
+            self.send(target, target.answer_fetch, self, self.generation, revision, done)
 
     def answer_fetch(
-        self, peer: "SimulatedDaemon", life: int, revision: int, done: Callable[[Delta], None]
+        self, peer: "SimulatedDaemon", generation: int, revision: int, done: Callable[[Delta], None]
     ) -> None:
-        """Send a peer what follows ``revision``."""
+        """Send the changes after ``revision`` to a peer."""
         if self._connection.follower is not None:
             delta = self._connection.follower.follower.answer_fetch(revision)
-            self.send(peer, done, delta, life=life)
+            self.send(peer, done, delta, generation=generation)
 
     def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Open links to peers, to learn their revisions."""
+        """Open links to peers to learn their revisions."""
         for endpoint in endpoints:
             self.link_to(endpoint.name).open()
 
     def hints(self, hints: Hints) -> None:
-        """Take the platform's list of leaving machines."""
-        listed = {hint.endpoint for hint in hints.leaving}
-        for name in self._listed - listed:
+        """Handle the platform's list of leaving machines."""
+        hinted = {hint.endpoint for hint in hints.leaving}
+        for name in self._hinted_endpoints - hinted:
             self.table.set_drain_source(name, DrainSource.PLATFORM, False, self.now)
-        self._listed = listed
+        self._hinted_endpoints = hinted
         for hint in hints.leaving:
             if hint.endpoint == self.name:
-                if hints.applies_to(hint, self.now - self._began_at) and self.callee is not None:
+                if hints.applies_to(hint, self.now - self._started_at) and self.callee is not None:
                     self.callee.drain()
                 continue
-            linked_at = self._linked_at.get(hint.endpoint)
-            if linked_at is not None and hints.applies_to(hint, self.now - linked_at):
+            link_opened_at = self._link_opened_at.get(hint.endpoint)
+            if link_opened_at is not None and hints.applies_to(hint, self.now - link_opened_at):
                 self.table.set_drain_source(hint.endpoint, DrainSource.PLATFORM, True, self.now)
 
     @property
     def in_progress(self) -> int:
-        """Calls on their way through this daemon."""
+        """Number of calls in progress, incoming and outgoing."""
         serving = 0 if self.callee is None else self.callee.in_progress
         return serving + self._incoming.in_progress
 
     def announce_draining(self) -> None:
-        """Tell every caller that no new calls are taken."""
+        """Notify every caller that no new calls are accepted."""
         for link in self._accepted:
-            link.tell_draining()
+            link.send_draining()
 
     def draining_seen(self, endpoint: str) -> None:
-        """Take note that an endpoint takes no new calls."""
+        """Handle an endpoint's notice that it accepts no new calls."""
         self.table.mark_draining(endpoint, self.now)
 
     def crash(self) -> None:
-        """Die at once: connections are reset, the back end sees its connections close."""
+        """Crash: reset all links and close the connections to the back end."""
         links = list(self._links.values())
         accepted = [link for link in self._accepted if link.open]
         callee = self.callee
         self.stop()
         for link in links:
-            link.peer_reset()
+            link.send_reset()
         for accepted_link in accepted:
-            accepted_link.caller_reset()
+            accepted_link.send_reset()
         if callee is not None:
             callee.abort()
 
     def restart(self) -> None:
-        """Begin a new life, with nothing but what is on disk."""
+        """Begin a new generation with only the state on disk."""
         self.start()
-        self._begin_life()
+        self._begin_generation()
--- a/src/finchshed/emulator/daemons/follower_shell.py
+++ b/src/finchshed/emulator/daemons/follower_runner.py
@@ -1,7 +1,6 @@
-"""Joins an emulated daemon, its follower of the configuration and its connection to control.
+"""Runs the production configuration follower of an emulated daemon.
 
-Counterpart of :mod:`finchshed.distribution.follower_runner`. Every decision is the production
-:class:`~finchshed.distribution.follower.Follower`'s.
+Counterpart of :mod:`finchshed.distribution.follower_runner`.
 """
 
 import random
@@ -30,40 +29,40 @@
 from finchshed.emulator.daemons.process import Process
 
 TICK_SECONDS: Final = 0.5
-"""Seconds between ticks of the follower; chosen, not measured."""
+"""Interval between ticks of the follower."""
 SYNC_SECONDS: Final = 0.002
-"""Seconds that a write of the record takes; chosen, not measured."""
+"""Time to write the record to disk."""
 
 
 @dataclass(slots=True)
 class FollowerDisk:
-    """What a daemon's data folder keeps over its lives; ``has_disk`` False keeps nothing."""
+    """Record that survives a restart of the daemon, unless ``has_disk`` is False."""
 
     has_disk: bool
     record: FollowerRecord | None = None
 
 
 class SimulatedFollowerListener(Protocol):
-    """What a daemon does when its follower asks for it."""
+    """Effects of the follower that the daemon carries out."""
 
     def take_effect(self, current: Configuration) -> None:
-        """Act on ``current`` from now on."""
+        """Put ``current`` into force."""
 
     def start_serving(self) -> None:
-        """Take calls from now on."""
+        """Start accepting calls."""
 
     def fetch_from_peer(self, peer: str, revision: int, done: Callable[[Delta], None]) -> None:
-        """Ask a peer for what follows ``revision``."""
+        """Request the changes after ``revision`` from a peer."""
 
     def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Open links to these endpoints."""
+        """Open links to these endpoints to learn their revisions."""
 
     def hints(self, hints: Hints) -> None:
-        """Take the platform's list."""
+        """Handle the platform's list of leaving machines."""
 
 
-class FollowerShell:
-    """Runs a follower for one life of a daemon."""
+class SimulatedFollowerRunner:
+    """Runs a follower for one generation of a daemon."""
 
     def __init__(
         self,
@@ -86,37 +85,37 @@
         self.client = SimulatedControlClient(process, identity, nodes, self, rng)
 
     def start(self) -> None:
-        """Follow from now on."""
+        """Start the follower and its control client."""
         self._perform(self.follower.start(self._process.now))
         self.client.start()
         self._process.call_later(TICK_SECONDS, self._tick)
 
     def on_peer_revision(self, peer: str, revision: int) -> None:
-        """Note the revision on a message of ``peer``."""
+        """Handle the revision received from ``peer``."""
         effects = self.follower.on_peer_revision(peer, revision, self._process.now)
         if effects:
             self._perform(effects)
 
-    # What the connection to control tells and asks.
+    # Callbacks of the control client.
 
     def control_delta(self, delta: Delta) -> None:
-        """Take configuration from the control node."""
+        """Handle a configuration change from the control node."""
         self._perform(self.follower.on_control_delta(delta, self._process.now))
 
     def control_connected(self) -> None:
-        """Note that a control node took the subscription."""
+        """Handle an accepted subscription."""
         self._perform(self.follower.on_control_connected(self._process.now))
 
     def control_lost(self) -> None:
-        """Note that no control node is in reach."""
+        """Handle the loss of the subscription."""
         self._perform(self.follower.on_control_lost(self._process.now))
 
     def hints(self, hints: Hints) -> None:
-        """Take the platform's list."""
+        """Handle the platform's list of leaving machines."""
         self._listener.hints(hints)
 
     def revision_held(self) -> int:
-        """Return the revision that the next subscription starts from."""
+        """Return the revision to subscribe from."""
         return self.follower.held_revision
 
     def revision_in_force(self) -> int:
--- a/src/finchshed/emulator/daemons/work.py
+++ b/src/finchshed/emulator/daemons/inbound_call.py
@@ -1,4 +1,4 @@
-"""One call being served by an emulated daemon."""
+"""State of a call that an emulated daemon serves."""
 
 from dataclasses import dataclass
 
@@ -11,19 +11,19 @@
 
 
 @dataclass(slots=True, eq=False)
-class SimulatedWork:
-    """One call being served."""
+class SimulatedInboundCall:
+    """A call from its arrival until its reply."""
 
     token: int
     link: SimulatedAcceptedLink
     message: CallMessage
     deadline: float
     state: InboundCallState = InboundCallState.QUEUED
-    abandoned: bool = False
+    is_cancelled: bool = False
     account: str = ""
     opens_session: bool = False
     ledger_attempt: str = ""
-    asked_at: float = 0.0
+    ledger_requested_at: float = 0.0
     cancel_back_end: Cancel | None = None
 
     @property
@@ -33,11 +33,11 @@
 
     @property
     def session(self) -> str:
-        """Session that is pinned to this back end; calls further down only carry its name."""
+        """Session pinned to this back end, or empty for nested calls, which only carry its name."""
         request = self.message.request
         return "" if request.parent else request.session
 
     def rank_context(self) -> CallContext:
-        """Return the context the call is ranked by: a session it opens is not running yet."""
+        """Return the context used for ranking, without the session if this call opens it."""
         context = self.message.context
         return msgspec.structs.replace(context, session="") if self.opens_session else context
--- a/src/finchshed/emulator/daemons/incoming.py
+++ b/src/finchshed/emulator/daemons/incoming.py
@@ -1,7 +1,6 @@
-"""Requests that reach an emulated daemon: of outside callers, and of the back end beside it.
+"""HTTP requests to an emulated daemon, from external callers and from the local back end.
 
-Owns the root requests in progress with the repeats that joined them, the session pins and the
-retry buckets of one life of the daemon. Every decision is a production class's; counterpart of
+Repeats of a root request in progress share its outcome. Counterpart of
 :mod:`finchshed.daemon.ingress`.
 """
 
@@ -26,20 +25,20 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Joined:
-    """A root request in progress, and the repeats that joined it."""
+class _RootRequest:
+    """A root request in progress and the callers that wait for its outcome."""
 
     outgoing: SimulatedOutgoingCall
-    waiting: dict[str, Done] = field(default_factory=dict)
+    waiters: dict[str, Done] = field(default_factory=dict)
 
 
 class IncomingRequests:
-    """Sends on the requests that come in, in one life of a daemon.
+    """Forwards incoming requests, for one generation of a daemon.
 
     Attributes
     ----------
     in_progress
-        Number of requests sent on and not ended yet.
+        Number of forwarded requests that have not finished.
     """
 
     def __init__(
@@ -55,30 +54,30 @@
         self._callee = callee
         self._policy = Policy()
         self._buckets: dict[str, RetryBucket] = {}
-        self._joined: dict[str, _Joined] = {}
+        self._root_requests: dict[str, _RootRequest] = {}
         self._pins = SessionPins()
-        self._fair = FairPositions(process.now)
+        self._fair_positions = FairPositions(process.now)
         self.in_progress = 0
 
     def set_policy(self, policy: Policy) -> None:
-        """Act on a policy; another ratio of retries begins with new buckets."""
+        """Apply a policy; a changed retry ratio resets the retry buckets."""
         if policy.retry_ratio != self._policy.retry_ratio:
             self._buckets.clear()
         self._policy = policy
 
-    def take(self, request: SimulatedRequest, answer: Done) -> Cancel:
-        """Send a request on; one of a root request in progress joins it."""
+    def handle(self, request: SimulatedRequest, answer: Done) -> Cancel:
+        """Forward a request; a repeat of a root request in progress waits for its outcome."""
         if request.parent:
-            return self._call_on(request, answer)
-        held = self._joined.get(request.root)
-        if held is not None:
-            held.waiting[request.call] = answer
+            return self._forward_nested(request, answer)
+        existing = self._root_requests.get(request.root)
+        if existing is not None:
+            existing.waiters[request.call] = answer
         else:
-            held = self._start_root(request, answer)
-        joined = held
-        return lambda: self._leave(joined, request.call)
+            existing = self._start_root(request, answer)
+        root_request = existing
+        return lambda: self._remove_waiter(root_request, request.call)
 
-    def _start_root(self, request: SimulatedRequest, answer: Done) -> _Joined:
+    def _start_root(self, request: SimulatedRequest, answer: Done) -> _RootRequest:
         context = CallContext(
             request.root,
             request.importance,
@@ -88,50 +87,52 @@
             request.caller,
             request.session,
             request.key,
-            self._fair.assign_position(
+            self._fair_positions.assign_position(
                 request.caller, request.importance, request.root, self._process.now
             ),
         )
 
         def finished(outcome: Outcome, _spare: int) -> None:
             self.in_progress -= 1
-            self._joined.pop(request.root, None)
+            self._root_requests.pop(request.root, None)
             self._pins.on_request_ended(
-                pinned, joined.outgoing.endpoint, outcome, self._process.now
+                session_request, root_request.outgoing.endpoint, outcome, self._process.now
             )
-            waiting = list(joined.waiting.values())
-            joined.waiting.clear()
-            for waiter in waiting:
+            waiters = list(root_request.waiters.values())
+            root_request.waiters.clear()
+            for waiter in waiters:
                 waiter(outcome)
 
-        pinned = _as_pinned(request, context)
-        endpoint = self._pins.pinned_endpoint(pinned, self._table, self._process.now)
-        joined = _Joined(self._outgoing(request, context, endpoint, finished))
-        joined.waiting[request.call] = answer
-        self._joined[request.root] = joined
+        session_request = _to_daemon_request(request, context)
+        endpoint = self._pins.pinned_endpoint(session_request, self._table, self._process.now)
+        root_request = _RootRequest(
+            self._create_outgoing_call(request, context, endpoint, finished)
+        )
+        root_request.waiters[request.call] = answer
+        self._root_requests[request.root] = root_request
         self.in_progress += 1
-        joined.outgoing.begin()
+        root_request.outgoing.begin()
         self._pins.on_request_sent(
-            pinned, joined.outgoing.endpoint, SESSION_IDLE_SECONDS, self._process.now
+            session_request, root_request.outgoing.endpoint, SESSION_IDLE_SECONDS, self._process.now
         )
-        return joined
+        return root_request
 
-    def _leave(self, joined: _Joined, call: str) -> None:
-        if joined.waiting.pop(call, None) is not None and not joined.waiting:
-            joined.outgoing.cancel()
+    def _remove_waiter(self, root_request: _RootRequest, call: str) -> None:
+        if root_request.waiters.pop(call, None) is not None and not root_request.waiters:
+            root_request.outgoing.cancel()
 
-    def _call_on(self, request: SimulatedRequest, answer: Done) -> Cancel:
+    def _forward_nested(self, request: SimulatedRequest, answer: Done) -> Cancel:
         served = None if self._callee is None else self._callee.served(request.account)
         if self._callee is None or served is None:
             answer(Refused(RefusalReason.CANCELLED, retry_after(0.0, self._process.random)))
-            return nothing
-        self._callee.call_on_began(request.account, request)
-        lent = self._accounts.allocate(request.account)
+            return cancel_nothing
+        self._callee.on_nested_call(request.account, request)
+        allocated = self._accounts.allocate(request.account)
         context = CallContext(
             request.root,
             request.importance,
             served.deadline - self._process.now,
-            lent,
+            allocated,
             1,
             request.caller,
             served.context.session,
@@ -141,17 +142,17 @@
 
         def finished(outcome: Outcome, spare: int) -> None:
             self.in_progress -= 1
-            self._accounts.refund(request.account, lent, spare)
+            self._accounts.refund(request.account, allocated, spare)
             if result_of(outcome) is not CallResult.OK:
                 self._accounts.on_call_failed(request.account, request.call)
             answer(outcome)
 
-        outgoing = self._outgoing(request, context, "", finished)
+        outgoing = self._create_outgoing_call(request, context, "", finished)
         self.in_progress += 1
         outgoing.begin()
         return outgoing.cancel
 
-    def _outgoing(
+    def _create_outgoing_call(
         self, request: SimulatedRequest, context: CallContext, pinned: str, finished: OnFinish
     ) -> SimulatedOutgoingCall:
         service = request.hop.service
@@ -173,8 +174,8 @@
         return SimulatedOutgoingCall(self._process, logic, request, context, finished)
 
 
-def _as_pinned(request: SimulatedRequest, context: CallContext) -> DaemonRequest:
-    """Return the request as session pins see it."""
+def _to_daemon_request(request: SimulatedRequest, context: CallContext) -> DaemonRequest:
+    """Return the request in the form that session pins expect."""
     return DaemonRequest(
         service=request.hop.service,
         method="GET",
@@ -186,5 +187,5 @@
     )
 
 
-def nothing() -> None:
-    """Cancel a call that has ended already."""
+def cancel_nothing() -> None:
+    """Cancel function of a call that has already ended."""
--- a/src/finchshed/emulator/daemons/ledger_client.py
+++ b/src/finchshed/emulator/daemons/ledger_client.py
@@ -1,4 +1,4 @@
-"""How an emulated daemon reaches the ledger."""
+"""Interface between an emulated daemon and the ledger."""
 
 from collections.abc import Callable
 from typing import Protocol, TypeAlias
@@ -7,19 +7,19 @@
 from finchshed.ledger.results import LedgerResult
 
 OnLedgerResult: TypeAlias = Callable[[LedgerResult | None], None]
-"""Gets the committed result, or None when none came in time."""
+"""Callback that receives the committed result, or None on timeout."""
 
 
 class LedgerClient(Protocol):
-    """The ledger as seen by one daemon."""
+    """Client of the ledger."""
 
     def begin(self, key: str, attempt: str, timeout: float, done: OnLedgerResult) -> None:
-        """Ask leave to run the request under ``key``."""
+        """Request a grant to run the request with this key."""
 
     def cancel(self, key: str, attempt: str) -> None:
-        """Say that a granted attempt was never sent."""
+        """Release the grant of an attempt that was never sent."""
 
     def complete(
         self, key: str, attempt: str, answer: Answered, timeout: float, done: Callable[[], None]
     ) -> None:
-        """Record the whole answer; ``done`` is called when it is committed, or in time anyway."""
+        """Record the complete answer; calls ``done`` on commit or after ``timeout`` seconds."""
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -1,4 +1,4 @@
-"""The calling side of a daemon: one state machine a call, and what it asks for.
+"""Calling side of an emulated daemon: carries out the effects of the call state machines.
 
 Counterpart of :mod:`finchshed.daemon.calling.caller` and
 :mod:`finchshed.daemon.calling.outgoing_call`.
@@ -40,7 +40,7 @@
 SHED_REASONS: Final = frozenset(
     {RefusalReason.OVERLOAD, RefusalReason.QUEUE_FULL, RefusalReason.DEADLINE}
 )
-"""Refusals that say a request was shed for overload."""
+"""Refusal reasons that indicate load shedding."""
 
 OnFinish = Callable[[Outcome, int], None]
 
@@ -56,12 +56,12 @@
 
 
 class SimulatedOutgoingCall:
-    """Carries out the effects of one call's state machine.
+    """An outgoing call, which carries out the effects of its state machine.
 
     Attributes
     ----------
     endpoint
-        The endpoint the call was sent to last, or empty.
+        The endpoint of the latest attempt, or empty.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._apply(self._logic.begin(self._process.now))
 
     def cancel(self) -> None:
-        """Give up on behalf of the caller."""
+        """Cancel the call on behalf of the caller."""
         self._apply(self._logic.cancel(self._process.now))
 
     def _apply(self, effects: list[CallerEffect]) -> None:
@@ -127,7 +127,7 @@
 
     def _withdraw(self, effect: CancelAttempt) -> None:
         held = self._attempts.pop(effect.attempt, None)
-        # An attempt that was not sent is told to the state machine a moment later.
+        # A missing entry is an unsent attempt, whose outcome is already scheduled.
         if held is not None:
             attempt, link = held
             link.withdraw(attempt)
@@ -145,14 +145,14 @@
                 outcome = Failed(FailureReason.ANSWER_CORRUPT, self._retry_after())
         self._apply(self._logic.on_outcome(number, outcome, spare, load, self._process.now))
 
-    def _unsent(self, number: int, share: int, reason: RefusalReason) -> None:
+    def _unsent(self, number: int, allocated_attempts: int, reason: RefusalReason) -> None:
         self._attempts.pop(number, None)
         refused = Refused(reason, self._retry_after())
-        # The effects that made this attempt may still be being carried out.
+        # Deferred, because _apply may still be processing the effects that started this attempt.
         self._process.call_later(
             0.0,
             lambda: self._apply(
-                self._logic.on_outcome(number, refused, share, None, self._process.now)
+                self._logic.on_outcome(number, refused, allocated_attempts, None, self._process.now)
             ),
         )
 
@@ -170,11 +170,11 @@
             self._timer.cancel()
             self._timer = None
         if not self._was_sent:
-            self._note_shed(effect.outcome)
+            self._record_shed(effect.outcome)
         self._on_finish(effect.outcome, effect.spare_returned)
 
-    def _note_shed(self, outcome: Outcome) -> None:
-        """Record that this daemon refused the call early, on behalf of an overloaded service."""
+    def _record_shed(self, outcome: Outcome) -> None:
+        """Record a call that this daemon refused early because the service is overloaded."""
         if not isinstance(outcome, Refused) or outcome.reason not in SHED_REASONS:
             return
         context = self._context
--- a/src/finchshed/emulator/daemons/process.py
+++ b/src/finchshed/emulator/daemons/process.py
@@ -1,4 +1,4 @@
-"""A process that can crash, start again, freeze and thaw."""
+"""Base of emulated processes, which can crash, restart, freeze and thaw."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,10 +9,10 @@
 
 
 class Process:
-    """Base of emulated processes.
+    """A process of the emulator.
 
-    Callbacks belong to one life of the process: those of an earlier life never happen, and those
-    that fall due while the process is frozen happen when it thaws, in order.
+    Each start begins a new generation. Callbacks of an earlier generation are dropped; those due
+    while the process is frozen run in order when it thaws.
     """
 
     def __init__(self, simulation: Simulation, site: Site) -> None:
@@ -20,12 +20,12 @@
         self.site = site
         self.up = True
         self.frozen = False
-        self.life = 1
-        self._postponed: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
+        self.generation = 1
+        self._deferred: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
 
     @property
     def now(self) -> float:
-        """Present simulated time."""
+        """Current simulated time, seconds."""
         return self.simulation.clock.now
 
     @property
@@ -33,54 +33,54 @@
         """Name of the node."""
         return self.site.node
 
-    def dispatch(self, life: int, function: Callable[..., None], *arguments: Any) -> None:
-        """Call ``function`` if the process still lives that life, once it isn't frozen."""
-        if life != self.life or not self.up:
+    def dispatch(self, generation: int, function: Callable[..., None], *arguments: Any) -> None:
+        """Call ``function`` unless generation ``generation`` has ended; defer it while frozen."""
+        if generation != self.generation or not self.up:
             return
         if self.frozen:
-            self._postponed.append((life, function, arguments))
+            self._deferred.append((generation, function, arguments))
             return
         function(*arguments)
 
     def call_later(self, delay: float, function: Callable[..., None], *arguments: Any) -> Timer:
-        """Call ``function`` in this life of the process after ``delay`` seconds."""
+        """Call ``function`` after ``delay`` seconds unless this generation has ended."""
         return self.simulation.clock.call_later(
-            delay, self.dispatch, self.life, function, *arguments
+            delay, self.dispatch, self.generation, function, *arguments
         )
 
     def send(
-        self, target: "Process", function: Callable[..., None], *arguments: Any, life: int = 0
+        self, target: "Process", function: Callable[..., None], *arguments: Any, generation: int = 0
     ) -> None:
-        """Call ``function`` at ``target`` after the network's delay.
+        """Call ``function`` at ``target`` after the network delay.
 
-        ``life`` is the target's life that the message is for; 0 is its life at arrival.
+        ``generation`` is the generation of the target to deliver to, or 0 for the one at arrival.
         """
 
         def deliver() -> None:
-            target.dispatch(life or target.life, function, *arguments)
+            target.dispatch(generation or target.generation, function, *arguments)
 
         self.simulation.network.send(self.site, target.site, deliver)
 
     def stop(self) -> None:
-        """End this life; nothing of it happens any more."""
+        """End this generation and drop its callbacks."""
         self.up = False
         self.frozen = False
-        self.life += 1
-        self._postponed.clear()
+        self.generation += 1
+        self._deferred.clear()
 
     def start(self) -> None:
-        """Begin a new life."""
+        """Begin a new generation."""
         self.up = True
 
     def freeze(self) -> None:
-        """Stop making progress, in silence."""
+        """Suspend the process; its callbacks are deferred."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on, with everything that fell due meanwhile."""
+        """Resume the process and run the deferred callbacks."""
         if not self.frozen:
             return
         self.frozen = False
-        postponed, self._postponed = self._postponed, []
-        for life, function, arguments in postponed:
-            self.dispatch(life, function, *arguments)
+        deferred, self._deferred = self._deferred, []
+        for generation, function, arguments in deferred:
+            self.dispatch(generation, function, *arguments)
--- a/src/finchshed/emulator/daemons/serving_sessions.py
+++ b/src/finchshed/emulator/daemons/serving_sessions.py
@@ -1,35 +1,32 @@
-"""Sessions at the serving side of an emulated daemon: which requests open one, and which may.
-
-Owns the production ``SessionTable`` of one life of the daemon.
-"""
+"""Sessions at the serving side of an emulated daemon, over the production ``SessionTable``."""
 
 from typing import Final
 
 from finchshed.common.outcomes import RefusalReason
 from finchshed.emulator.backend import BackEnd
+from finchshed.emulator.daemons.inbound_call import SimulatedInboundCall
 from finchshed.emulator.daemons.process import Process
-from finchshed.emulator.daemons.work import SimulatedWork
 from finchshed.session.table import NotOpened, SessionTable
 
 SESSION_IDLE_SECONDS: Final = 60.0
-"""A session unused for this long has ended; the default of a declared service."""
+"""Idle timeout of a session; the default of a declared service."""
 
 
 class ServingSessions:
-    """Sessions admitted at one back end."""
+    """Sessions of one back end, for one generation of its daemon."""
 
     def __init__(self, process: Process, back_end: BackEnd) -> None:
         self._process = process
         self._back_end = back_end
         self._table = SessionTable()
 
-    def is_running(self, work: SimulatedWork) -> bool:
-        """Whether the call belongs to a session that was opened here."""
-        return bool(work.session and self._table.get(work.session))
+    def is_running(self, inbound: SimulatedInboundCall) -> bool:
+        """Whether the call belongs to a session opened at this back end."""
+        return bool(inbound.session and self._table.get(inbound.session))
 
-    def open_for(self, work: SimulatedWork) -> RefusalReason | None:
-        """Open the call's session, if it has one; return why that can't be."""
-        session = work.session
+    def open_for(self, inbound: SimulatedInboundCall) -> RefusalReason | None:
+        """Open the call's session if it has one; return the reason if it is refused."""
+        session = inbound.session
         if not session:
             return None
         opened = self._table.open(
@@ -42,25 +39,25 @@
         )
         if isinstance(opened, NotOpened):
             return opened.reason
-        work.opens_session = opened.is_new
+        inbound.opens_session = opened.is_new
         self._table.on_request(session, self._process.now)
         return None
 
-    def admitted(self, work: SimulatedWork) -> None:
-        """Take note that the gate let the call in."""
-        if work.session:
-            self._table.admit(work.session)
+    def admitted(self, inbound: SimulatedInboundCall) -> None:
+        """Handle the admission of the call."""
+        if inbound.session:
+            self._table.admit(inbound.session)
 
-    def refused(self, work: SimulatedWork) -> None:
-        """Take note that the gate refused the call: a session it would have opened is none."""
-        if work.opens_session:
-            self._table.refuse(work.session)
+    def refused(self, inbound: SimulatedInboundCall) -> None:
+        """Handle the refusal of the call, which discards a session that it opened."""
+        if inbound.opens_session:
+            self._table.refuse(inbound.session)
 
-    def answered(self, work: SimulatedWork) -> None:
-        """Take note of the end of the call."""
-        if work.session:
-            self._table.on_answer(work.session, self._process.now)
+    def answered(self, inbound: SimulatedInboundCall) -> None:
+        """Handle the end of the call."""
+        if inbound.session:
+            self._table.on_answer(inbound.session, self._process.now)
 
     def end_all(self) -> None:
-        """Send the sessions away: their requests are refused as draining from now on."""
+        """End all sessions; their requests are refused as draining from now on."""
         self._table = SessionTable()
--- a/src/finchshed/emulator/processes.py
+++ b/src/finchshed/emulator/processes.py
@@ -67,7 +67,7 @@
         """Return the daemon beside an endpoint."""
         return self._daemons[endpoint]
 
-    def node_called(self, name: str) -> SimulatedDaemon | None:
+    def find_daemon(self, name: str) -> SimulatedDaemon | None:
         """Return the daemon of this name: an endpoint's or an edge."""
         for daemon in self._every_daemon():
             if daemon.name == name:
@@ -94,7 +94,7 @@
             return
         daemon.freeze()
         self._recorder.note(NodeStopped(self._clock.now, node))
-        self._clock.call_later(seconds, self._thaw, daemon, daemon.life)
+        self._clock.call_later(seconds, self._thaw, daemon, daemon.generation)
 
     def crash_control(self, node: str, seconds: float, wipe_disk: bool) -> None:
         """Kill a control node."""
@@ -140,7 +140,7 @@
         daemon.announce_draining()
         stop_after = now + STOP_LINGER_SECONDS
         self._clock.call_later(
-            STOP_POLL_SECONDS, self._stop_when_idle, daemon, daemon.life, stop_after, seconds
+            STOP_POLL_SECONDS, self._stop_when_idle, daemon, daemon.generation, stop_after, seconds
         )
 
     def back_end_started(self, endpoint: str) -> None:
@@ -181,7 +181,7 @@
         return [*self._daemons.values(), *self._edges.values()]
 
     def _node(self, node: str) -> SimulatedDaemon:
-        daemon = self.node_called(node)
+        daemon = self.find_daemon(node)
         if daemon is None:
             raise UnknownTargetError(f"no daemon {node!r}")
         return daemon
@@ -191,24 +191,24 @@
             return
         daemon.restart()
         self._recorder.note(NodeStarted(self._clock.now, daemon.name))
-        daemon.begin()
+        daemon.start_follower()
 
-    def _thaw(self, daemon: SimulatedDaemon, life: int) -> None:
-        if daemon.life == life:
+    def _thaw(self, daemon: SimulatedDaemon, generation: int) -> None:
+        if daemon.generation == generation:
             daemon.thaw()
             self._recorder.note(NodeStarted(self._clock.now, daemon.name))
 
     def _stop_when_idle(
-        self, daemon: SimulatedDaemon, life: int, stop_after: float, seconds: float
+        self, daemon: SimulatedDaemon, generation: int, stop_after: float, seconds: float
     ) -> None:
-        if daemon.life != life:
+        if daemon.generation != generation:
             return
         back_end = self._back_ends[daemon.name]
         if daemon.callee is not None and self._clock.now >= stop_after:
             daemon.callee.end_sessions()
         if daemon.in_progress or back_end.in_flight or self._clock.now < stop_after:
             self._clock.call_later(
-                STOP_POLL_SECONDS, self._stop_when_idle, daemon, life, stop_after, seconds
+                STOP_POLL_SECONDS, self._stop_when_idle, daemon, generation, stop_after, seconds
             )
             return
         back_end.crash()
