--- a/src/finchshed/emulator/control/__init__.py
+++ b/src/finchshed/emulator/control/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated control nodes: the production log, state machine and hub over the emulator's network."""
+"""Emulated control nodes, which run the production log, state machine and hub."""
--- a/src/finchshed/emulator/control/control_plane.py
+++ b/src/finchshed/emulator/control/control_plane.py
@@ -1,4 +1,4 @@
-"""What the daemons and operators of a run need of control, however it is emulated."""
+"""Interface of the control plane, independent of how it is emulated."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -10,41 +10,41 @@
 
 
 class ControlPlane(Protocol):
-    """The control nodes of a run."""
+    """Control plane of a run."""
 
     def connect(self, daemon: SimulatedDaemon) -> ControlConnection:
-        """Return the way to control for the present generation of ``daemon``."""
+        """Return a connection for the current generation of ``daemon``."""
         ...
 
     def start(
         self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[SimulatedDaemon]
     ) -> None:
-        """Begin, with the first configuration."""
+        """Start with the initial configuration."""
 
     def crash(self, node: str, seconds: float, wipe_disk: bool) -> None:
-        """Kill a control node for ``seconds``."""
+        """Crash a control node and restart it after ``seconds``."""
 
     def freeze(self, node: str, seconds: float) -> None:
-        """Stop a control node for ``seconds``."""
+        """Freeze a control node for ``seconds``."""
 
     def stop_planned(self, node: str, seconds: float) -> None:
-        """Restart a control node as an operator would."""
+        """Gracefully stop a control node and restart it after ``seconds``."""
 
     def submit(self, act: acts.Submit) -> None:
-        """Let operators change the configuration."""
+        """Submit configuration changes by operators."""
 
     def declare_draining(self, endpoint: str, accepted: Callable[[], None]) -> None:
-        """Let an operator declare that an endpoint leaves."""
+        """Declare by an operator that an endpoint is draining; calls ``accepted`` on success."""
 
     def list_leaving(self, endpoint: str) -> None:
-        """Let the platform's list name an endpoint as leaving."""
+        """List an endpoint as leaving in the platform's list."""
 
     def list_live(self, endpoint: str) -> None:
-        """Let the platform's list name an endpoint as live."""
+        """List an endpoint as live in the platform's list."""
 
     def node_name(self, node: str) -> str:
-        """Return the node meant by a name, ``leader`` or ``follower``, or the name itself."""
+        """Resolve ``leader`` and ``follower`` to a node's name; return other names unchanged."""
         ...
 
-    def note_reachability(self) -> None:
-        """Record which daemons can reach a majority, where that changed."""
+    def record_reachability(self) -> None:
+        """Record each daemon whose ability to reach a majority has changed."""
--- a/src/finchshed/emulator/control/group.py
+++ b/src/finchshed/emulator/control/group.py
@@ -1,4 +1,4 @@
-"""The emulated control group, its operators, and who can reach it."""
+"""The emulated control group and its operators."""
 
 import hashlib
 import itertools
@@ -19,20 +19,20 @@
 from finchshed.emulator.simulation import Simulation
 
 CONTROL_PORT: Final = 7100
-"""Port in the addresses of control nodes; nothing listens there."""
-OPERATORS: Final = 16
-"""Operators that may change things at once; as many as a trace may name."""
+"""Port in the addresses of control nodes, for identification only."""
+OPERATOR_COUNT: Final = 16
+"""Number of operators, which is the maximum of ``acts.Submit.operators``."""
 PLATFORM_LAG_SECONDS: Final = 1.0
-"""How late the platform's list of live and leaving machines is."""
+"""Delay of the platform's list of live and leaving machines."""
 
-HINT_SECONDS: Final = 0.5
-"""Seconds between readings of the platform's list; the default of a control node's settings."""
-RETRY_SECONDS: Final = 0.1
-"""Wait before a declaration is tried again, seconds; chosen, not measured."""
+HINT_INTERVAL_SECONDS: Final = 0.5
+"""Interval between reads of the platform's list; the default in a control node's settings."""
+RETRY_DELAY_SECONDS: Final = 0.1
+"""Delay before an operator retries a drain declaration."""
 
 
 class ControlGroup:
-    """Control nodes, one in each zone in turn, and operators.
+    """Control nodes and operators, distributed over the zones round-robin.
 
     Parameters
     ----------
@@ -61,13 +61,13 @@
                 self.nodes,
                 number,
             )
-            for number in range(OPERATORS)
+            for number in range(OPERATOR_COUNT)
         ]
-        self._listed: dict[str, float] = {}
-        self._drains = 0
+        self._leaving_since: dict[str, float] = {}
+        self._drain_count = 0
 
     def start(self, endpoints: Iterable[Endpoint], policy: Policy) -> None:
-        """Let the group form and the first configuration be declared."""
+        """Start the nodes and submit the initial configuration."""
         for node in self.nodes:
             node.begin()
         endpoints = tuple(endpoints)
@@ -76,14 +76,14 @@
             policy,
             *(Service(name=name) for name in services),
             *endpoints,
-            *(_operator_resource(number) for number in range(OPERATORS)),
+            *(_operator_resource(number) for number in range(OPERATOR_COUNT)),
         )
         change = Change("bootstrap", BOOTSTRAP_OPERATOR, 0, resources)
         self._operators[0].submit(change, _ignore)
-        self._simulation.clock.call_later(HINT_SECONDS, self._send_hints)
+        self._simulation.clock.call_later(HINT_INTERVAL_SECONDS, self._send_hints)
 
     def crash(self, name: str, seconds: float, wipe_disk: bool) -> None:
-        """Kill a control node; start it again after ``seconds``."""
+        """Crash a control node and restart it after ``seconds``."""
         node = self.node(name)
         if not node.up:
             return
@@ -91,7 +91,7 @@
         self._simulation.clock.call_later(seconds, self._restart, node, wipe_disk)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Stop a control node in silence for ``seconds``."""
+        """Freeze a control node for ``seconds``."""
         node = self.node(name)
         if not node.up or node.frozen:
             return
@@ -102,16 +102,16 @@
         )
 
     def stop_planned(self, name: str, seconds: float) -> None:
-        """Restart a control node as an operator would."""
+        """Gracefully stop a control node and restart it after ``seconds``."""
         node = self.node(name)
         if node.up and not node.frozen:
             node.stop_planned(seconds)
 
     def node(self, name: str) -> SimulatedControlNode:
-        """Return the control node called ``name``, or the leader's or a follower's.
+        """Return the control node with this name, or the current ``leader`` or a ``follower``.
 
-        ``leader`` is the node that leads at this moment, or the first if none does; ``follower``
-        is the first node that doesn't lead.
+        ``leader`` is the first node if there is none; ``follower`` is the first node that isn't the
+        leader.
         """
         leading = [node for node in self.nodes if node.up and node.host.is_leader]
         if name == "leader":
@@ -121,7 +121,7 @@
         return next(node for node in self.nodes if node.name == name)
 
     def submit(self, act: acts.Submit) -> None:
-        """Let operators change the retry ratio at once, all against the same revision."""
+        """Submit concurrent changes of the retry ratio, all based on the same revision."""
         expected = self._revision()
         for number in range(act.operators):
             policy = self._policy()
@@ -133,23 +133,23 @@
                 (Policy(retry_budget=policy.retry_budget, retry_ratio=ratio),),
             )
             operator = self._operators[number]
-            done = self._resending(operator, change) if act.resend else _ignore
+            done = self._resend_callback(operator, change) if act.resend else _ignore
             operator.submit(change, done)
 
     def declare_draining(self, endpoint: str, accepted: Callable[[], None]) -> None:
-        """Let an operator declare that an endpoint leaves; repeated until it is accepted."""
-        self._drains += 1
-        operator = self._operators[self._drains % OPERATORS]
-        number = self._drains % OPERATORS
-        tries = itertools.count(1)
+        """Declare an endpoint as leaving, retrying on conflict until the change is accepted."""
+        self._drain_count += 1
+        operator = self._operators[self._drain_count % OPERATOR_COUNT]
+        number = self._drain_count % OPERATOR_COUNT
+        attempts = itertools.count(1)
 
         def attempt() -> None:
             held = self._endpoint(endpoint)
             if held is None:
-                self._simulation.clock.call_later(RETRY_SECONDS, attempt)
+                self._simulation.clock.call_later(RETRY_DELAY_SECONDS, attempt)
                 return
             change = Change(
-                f"drain.{self._drains}.{endpoint}.{next(tries)}",
+                f"drain.{self._drain_count}.{endpoint}.{next(attempts)}",
                 _operator_name(number),
                 self._revision(),
                 (_leaving(held),),
@@ -160,34 +160,34 @@
             if isinstance(result, Accepted):
                 accepted()
             elif isinstance(result, Conflict):
-                self._simulation.clock.call_later(RETRY_SECONDS, attempt)
+                self._simulation.clock.call_later(RETRY_DELAY_SECONDS, attempt)
 
         attempt()
 
     def list_leaving(self, endpoint: str) -> None:
-        """Let the platform's list name an endpoint as leaving from now on."""
-        self._listed.setdefault(endpoint, self._simulation.now)
+        """List an endpoint as leaving in the platform's list."""
+        self._leaving_since.setdefault(endpoint, self._simulation.now)
 
     def list_live(self, endpoint: str) -> None:
-        """Let the platform's list name an endpoint as live again."""
-        self._listed.pop(endpoint, None)
+        """List an endpoint as live in the platform's list."""
+        self._leaving_since.pop(endpoint, None)
 
-    def in_reach_of(self, process: Process) -> bool:
-        """Whether ``process`` can reach a majority that can reach each other."""
+    def can_reach_majority(self, process: Process) -> bool:
+        """Whether ``process`` can reach a majority of voters that can all reach each other."""
         usable = [node for node in self.nodes if self._is_usable(node, process)]
         needed = quorum_size(len(self.nodes))
         return any(
-            all(self._joined(a, b) for a, b in itertools.combinations(chosen, 2))
+            all(self._are_connected(a, b) for a, b in itertools.combinations(chosen, 2))
             for chosen in itertools.combinations(usable, needed)
         )
 
     def _is_usable(self, node: SimulatedControlNode, process: Process) -> bool:
-        if not node.up or node.frozen or not self._joined(node, process):
+        if not node.up or node.frozen or not self._are_connected(node, process):
             return False
         member = node.host.node.membership.find(node.host.node.identity)
         return member is not None and member.identity in node.host.node.membership.voters
 
-    def _joined(self, one: Process, other: Process) -> bool:
+    def _are_connected(self, one: Process, other: Process) -> bool:
         network = self._simulation.network
         return network.reachable(one.site, other.site) and network.reachable(other.site, one.site)
 
@@ -210,7 +210,7 @@
                 return resource
         return None
 
-    def _resending(self, operator: SimulatedOperator, change: Change) -> Callable[..., None]:
+    def _resend_callback(self, operator: SimulatedOperator, change: Change) -> Callable[..., None]:
         def resend(_: ChangeResult | None) -> None:
             operator.submit(change, _ignore)
 
@@ -218,14 +218,15 @@
 
     def _send_hints(self) -> None:
         now = self._simulation.now
-        if self._listed:
+        if self._leaving_since:
             leaving = tuple(
-                LeavingHint(endpoint, now - since) for endpoint, since in self._listed.items()
+                LeavingHint(endpoint, now - since)
+                for endpoint, since in self._leaving_since.items()
             )
             for node in self.nodes:
                 if node.up and not node.frozen:
                     node.hub.broadcast(Hints(leaving, PLATFORM_LAG_SECONDS))
-        self._simulation.clock.call_later(HINT_SECONDS, self._send_hints)
+        self._simulation.clock.call_later(HINT_INTERVAL_SECONDS, self._send_hints)
 
 
 def _operator_name(number: int) -> str:
@@ -250,4 +251,4 @@
 
 
 def _ignore(_: ChangeResult | None) -> None:
-    """Take an answer that nobody acts on."""
+    """Ignore the result of a change."""
--- a/src/finchshed/emulator/control/hub_shell.py
+++ b/src/finchshed/emulator/control/hub_runner.py
@@ -1,4 +1,4 @@
-"""Carries out what the hub of a control node asks for.
+"""Runs the production distribution hub of an emulated control node.
 
 Counterpart of :mod:`finchshed.distribution.server` and
 :mod:`finchshed.control.daemons.distribution_service`.
@@ -17,45 +17,45 @@
 from finchshed.emulator.daemons.process import Process
 
 TICK_SECONDS: Final = 0.25
-"""Seconds between ticks of the hub; chosen, not measured."""
-CONTACT_SECONDS: Final = 0.4
-"""Seconds between looks whether the node is in contact with a majority; chosen, not measured."""
+"""Interval between ticks of the hub."""
+CONTACT_CHECK_SECONDS: Final = 0.4
+"""Interval between checks of the node's contact with a majority."""
 
 Confirm = Callable[[Callable[[bool], None]], None]
 
 
 class Subscription(Protocol):
-    """A daemon's end of its connection to a control node."""
+    """The daemon's end of a connection to a control node."""
 
     @property
     def process(self) -> Process:
-        """The daemon."""
+        """The daemon's process."""
         ...
 
     @property
     def generation(self) -> int:
-        """Life of the daemon that the connection belongs to."""
+        """Generation of the daemon that opened the connection."""
         ...
 
     def on_message(self, epoch: int, message: ControlToDaemon) -> None:
-        """Take a message of the control node."""
+        """Handle a message from the control node."""
 
     def on_ledger_answer(self, epoch: int, request: int, result: CommandResult | None) -> None:
-        """Take the ledger's answer, or None where there was no quorum."""
+        """Handle the ledger's result, or None if there was no quorum."""
 
     def on_reset(self, epoch: int) -> None:
-        """Take the news that the connection is gone."""
+        """Handle a connection reset."""
 
 
-class HubShell:
-    """Serves the daemons connected to one control node, in one generation of it.
+class HubRunner:
+    """Serves the daemons connected to one control node, for one generation of the node.
 
     Parameters
     ----------
     confirm
-        Reads the latest revision from a quorum; its callback gets whether that succeeded.
+        Confirms with a quorum that the applied state is current; calls back with the result.
     in_contact
-        Whether this node knows of a leader.
+        Returns whether this node knows a leader.
     """
 
     def __init__(
@@ -71,67 +71,67 @@
         self._in_contact = in_contact
         self._hub = Hub(process.name)
         self._connections: dict[int, tuple[Subscription, int]] = {}
-        self._last_number = 0
+        self._last_subscriber = 0
         self._ticket: int | None = None
         self._confirming = False
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Load the current configuration and start the timers."""
         self._perform(self._hub.restore(self._configuration(), self._process.now))
         self._process.call_later(TICK_SECONDS, self._tick)
-        self._process.call_later(CONTACT_SECONDS, self._watch_contact)
+        self._process.call_later(CONTACT_CHECK_SECONDS, self._check_contact)
 
     def set_alternatives(self, addresses: tuple[str, ...]) -> None:
-        """Name other control nodes for daemons that have to move."""
+        """Set the addresses that redirected daemons are given."""
         self._hub.set_alternatives(addresses)
 
     def on_committed(self, committed: CommittedRevision) -> None:
-        """SendLine an accepted change on."""
+        """Send a committed change to the subscribers."""
         delta = Delta(committed.revision - 1, committed.revision, committed.puts, committed.deletes)
         self._perform(self._hub.on_committed(delta, self._process.now))
 
     def on_restored(self) -> None:
-        """SendLine the whole configuration on."""
+        """Send the whole configuration to the subscribers."""
         self._perform(self._hub.restore(self._configuration(), self._process.now))
 
     def subscribe(self, link: Subscription, epoch: int, message: Subscribe) -> None:
-        """Take a daemon's first message."""
-        self._last_number += 1
-        number = self._last_number
-        self._connections[number] = (link, epoch)
-        self._perform(self._hub.subscribe(number, message, self._process.now))
+        """Handle a daemon's subscription."""
+        self._last_subscriber += 1
+        subscriber = self._last_subscriber
+        self._connections[subscriber] = (link, epoch)
+        self._perform(self._hub.subscribe(subscriber, message, self._process.now))
 
     def in_force(self, link: Subscription, epoch: int, revision: int) -> None:
-        """Take a daemon's report or heartbeat."""
-        number = self._number_of(link, epoch)
-        if number:
-            self._hub.on_in_force(number, revision, self._process.now)
+        """Handle a daemon's report of its revision in force, which is also its heartbeat."""
+        subscriber = self._find_subscriber(link, epoch)
+        if subscriber:
+            self._hub.on_in_force(subscriber, revision, self._process.now)
 
     def fetch(self, link: Subscription, epoch: int, revision: int) -> None:
-        """Answer a daemon that asks for what follows ``revision``."""
-        number = self._number_of(link, epoch)
-        if number:
-            self._perform(self._hub.on_fetch(number, revision, self._process.now))
+        """Send a daemon the changes after ``revision``."""
+        subscriber = self._find_subscriber(link, epoch)
+        if subscriber:
+            self._perform(self._hub.on_fetch(subscriber, revision, self._process.now))
 
     def closed(self, link: Subscription, epoch: int) -> None:
-        """Take the news that a daemon closed its connection."""
-        number = self._number_of(link, epoch)
-        if number:
-            del self._connections[number]
-            self._hub.unsubscribe(number)
+        """Handle a connection closed by its daemon."""
+        subscriber = self._find_subscriber(link, epoch)
+        if subscriber:
+            del self._connections[subscriber]
+            self._hub.unsubscribe(subscriber)
 
     def broadcast(self, message: ControlToDaemon) -> None:
-        """SendLine to every daemon connected here."""
-        for number in list(self._connections):
-            self._send(number, message)
+        """Send a message to every connected daemon."""
+        for subscriber in list(self._connections):
+            self._send(subscriber, message)
 
     def reset_all(self) -> None:
-        """Reset every connection, because the process is gone."""
+        """Reset all connections after a crash of this process."""
         for link, epoch in self._connections.values():
             self.reset(link, epoch)
 
     def reset(self, link: Subscription, epoch: int) -> None:
-        """Reset one connection; the operating system does it, whatever the process's state."""
+        """Reset one connection, as the operating system does whatever the process's state."""
         network = self._process.simulation.network
         daemon, generation = link.process, link.generation
         network.send(
@@ -144,17 +144,17 @@
         store = self._machine.store
         return Configuration(store.revision, dict(store.resources))
 
-    def _number_of(self, link: Subscription, epoch: int) -> int:
-        for number, held in self._connections.items():
+    def _find_subscriber(self, link: Subscription, epoch: int) -> int:
+        for subscriber, held in self._connections.items():
             if held == (link, epoch):
-                return number
+                return subscriber
         return 0
 
     def _perform(self, effects: Sequence[HubEffect]) -> None:
         for effect in effects:
             if isinstance(effect, SendLine):
-                for number in effect.subscribers:
-                    self._send(number, effect.line.message)  # type: ignore[arg-type]
+                for subscriber in effect.subscribers:
+                    self._send(subscriber, effect.line.message)  # type: ignore[arg-type]
             elif isinstance(effect, RequestConfirmation):
                 self._ticket = effect.ticket
                 self._start_confirming()
@@ -163,8 +163,8 @@
                 if held is not None:
                     self.reset(*held)
 
-    def _send(self, number: int, message: ControlToDaemon) -> None:
-        held = self._connections.get(number)
+    def _send(self, subscriber: int, message: ControlToDaemon) -> None:
+        held = self._connections.get(subscriber)
         if held is not None:
             link, epoch = held
             self._process.send(
@@ -189,6 +189,6 @@
         self._perform(self._hub.tick(self._process.now))
         self._process.call_later(TICK_SECONDS, self._tick)
 
-    def _watch_contact(self) -> None:
+    def _check_contact(self) -> None:
         self._hub.on_quorum_contact(self._in_contact(), self._process.now)
-        self._process.call_later(CONTACT_SECONDS, self._watch_contact)
+        self._process.call_later(CONTACT_CHECK_SECONDS, self._check_contact)
--- a/src/finchshed/emulator/control/log_host.py
+++ b/src/finchshed/emulator/control/log_host.py
@@ -1,7 +1,7 @@
-"""One generation of a node of the replicated log in the emulator: disk, timers and messages.
+"""Host of a node of the replicated log: simulated disk, timers and messages.
 
 Counterpart of :mod:`finchshed.control.raft.host`. The node, its runner, its storage and its state
-machine are the production classes; the disk forgets what was not synced.
+machine are the production classes; a crash loses writes that were not synced.
 """
 
 import math
@@ -45,37 +45,37 @@
 from finchshed.storage.simulated_disk import SimulatedDisk
 
 SYNC_SECONDS: Final = 0.002
-"""Mean time of a write with its sync."""
+"""Mean duration of a synced write."""
 
 DISK_RETRY_SECONDS: Final = 0.5
-"""Wait before a full disk is tried again, seconds; chosen, not measured."""
-CHANCE_OF_WRITE_BEFORE_CRASH: Final = 0.5
-"""How often a write on its way at a crash still reaches the disk; chosen, not measured."""
+"""Delay before retrying a write to a full disk."""
+WRITE_SURVIVAL_PROBABILITY: Final = 0.5
+"""Probability that a write in progress at a crash reaches the disk."""
 
 OnResult: TypeAlias = Callable[[CommandResult | None], None]
-"""Gets the committed result, or None if the proposal was refused or lost."""
+"""Callback that receives the committed result, or None if the proposal failed."""
 
 OnRead: TypeAlias = Callable[[bool], None]
 
 
-class Post(Protocol):
-    """Carries messages between the nodes of the group."""
+class MessageTransport(Protocol):
+    """Transport of messages between the nodes of the group."""
 
     def send_envelope(self, source: Process, address: str, envelope: Envelope) -> None:
         """Send a message to the node at ``address``."""
 
 
 class LogHost:
-    """Runs a node of the replicated log for one generation of its process.
+    """Runs a node of the replicated log, for one generation of its process.
 
     Parameters
     ----------
     process
-        The control process; its callbacks end with its generation.
+        The control process, whose callbacks end with its generation.
     address
-        Where others reach the node.
+        Address of this node in the group.
     voters
-        The voters the group is formed of.
+        The initial voters of the group.
     """
 
     def __init__(
@@ -86,15 +86,15 @@
         *,
         disk: SimulatedDisk,
         machine: ControlStateMachine,
-        post: Post,
+        transport: MessageTransport,
         rng: random.Random,
         may_form: bool,
     ) -> None:
         self._process = process
         self._machine = machine
-        self._post = post
+        self._transport = transport
         self._rng = rng
-        opened = _open(disk, rng)
+        opened = _open_or_reset_store(disk, rng)
         self._store = opened.store
         self.node = RaftNode(
             process.name,
@@ -116,60 +116,60 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads."""
+        """Whether this node is the leader."""
         return self.node.role is RaftRole.LEADER
 
     def start(self) -> None:
-        """Bring the state machine to what the disk holds, and take part in the group."""
+        """Replay the stored log into the state machine and join the group."""
         self._runner.start(self._process.now)
         self._after_step()
 
     def propose(self, command: Command, done: OnResult) -> None:
-        """Propose as the leader."""
+        """Propose a command; this node must be the leader for it to succeed."""
         self._last_token += 1
         self._proposals[self._last_token] = done
         entry = LogEntry(EPOCH_UNIX_SECONDS + self._process.now, command)
-        self._take(Propose(self._last_token, encode_entry(entry)))
+        self._enqueue(Propose(self._last_token, encode_entry(entry)))
 
     def read(self, done: OnRead) -> None:
-        """Ask a quorum whether the state here is the latest."""
+        """Confirm with a quorum that the applied state is current."""
         self._last_token += 1
         self._reads[self._last_token] = done
-        self._take(Read(self._last_token))
+        self._enqueue(Read(self._last_token))
 
     def receive(self, envelope: Envelope) -> None:
-        """Take a message of another node."""
-        self._take(MessageReceived(envelope))
+        """Handle a message from another node."""
+        self._enqueue(MessageReceived(envelope))
 
     def transfer_leadership(self) -> None:
-        """Hand leadership over to the best voter."""
-        self._take(TransferLeadership())
+        """Transfer leadership to the most up-to-date voter."""
+        self._enqueue(TransferLeadership())
 
     def crash(self) -> None:
-        """End: a write on its way reaches the disk or not."""
-        if self._writing and self._rng.random() < CHANCE_OF_WRITE_BEFORE_CRASH:
+        """Complete or lose a write in progress, at random."""
+        if self._writing and self._rng.random() < WRITE_SURVIVAL_PROBABILITY:
             self._store.write(self._writing)
 
-    # What the runner asks of its host.
+    # Callbacks of the effect runner.
 
     def send(self, address: str, envelope: Envelope) -> None:
         """Send a message to another node."""
-        self._post.send_envelope(self._process, address, envelope)
+        self._transport.send_envelope(self._process, address, envelope)
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply a committed entry."""
         self._last_applied = (index, self._machine.apply(index, data))
 
     def restore(self, index: int, data: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Restore the state from a snapshot."""
         self._machine.restore(data)
 
     def snapshot(self) -> bytes:
-        """Return the state."""
+        """Return a snapshot of the state."""
         return self._machine.snapshot()
 
     def report(self, effect: Effect) -> None:
-        """Take the outcome of a proposal or read."""
+        """Complete a proposal or read with its outcome."""
         match effect:
             case Committed():
                 index, result = self._last_applied
@@ -192,8 +192,8 @@
         if done is not None:
             done(confirmed)
 
-    def _take(self, event: Event) -> None:
-        """Gather the events of this instant; they are handled together."""
+    def _enqueue(self, event: Event) -> None:
+        """Queue an event; all events at the same simulated time are handled in one batch."""
         self._events.append(event)
         if len(self._events) == 1:
             self._process.call_later(0.0, self._flush)
@@ -217,7 +217,7 @@
             self._process.call_later(due - self._process.now, self._tick, due)
 
     def _tick(self, due: float) -> None:
-        """Let time pass, unless an earlier tick took the place of this one."""
+        """Handle a due tick, unless an earlier one has superseded it."""
         if due == self._tick_due:
             self._tick_due = math.inf
             self._step([Tick()])
@@ -235,7 +235,7 @@
         self._after_step()
 
 
-def _open(disk: SimulatedDisk, rng: random.Random) -> OpenedStore:
+def _open_or_reset_store(disk: SimulatedDisk, rng: random.Random) -> OpenedStore:
     try:
         return open_store(disk, rng)
     except CorruptRecordError:
--- a/src/finchshed/emulator/control/node.py
+++ b/src/finchshed/emulator/control/node.py
@@ -1,4 +1,4 @@
-"""One emulated control machine: log, state machine, hub and the ledger's service."""
+"""An emulated control node: replicated log, state machine, hub and ledger service."""
 
 from typing import Final
 
@@ -14,7 +14,7 @@
 )
 from finchshed.control.state.machine import ControlStateMachine
 from finchshed.distribution.messages import Subscribe
-from finchshed.emulator.control.hub_shell import HubShell, Subscription
+from finchshed.emulator.control.hub_runner import HubRunner, Subscription
 from finchshed.emulator.control.log_host import LogHost, OnResult
 from finchshed.emulator.control.proposals import Proposals
 from finchshed.emulator.daemons.process import Process
@@ -22,24 +22,24 @@
 from finchshed.emulator.simulation import Simulation
 from finchshed.storage.simulated_disk import SimulatedDisk
 
-REQUEST_SECONDS: Final = 5.0
-"""Longest time for one request over all its tries, as in the settings of a control node."""
+REQUEST_TIMEOUT_SECONDS: Final = 5.0
+"""Timeout of a request including retries; the default in a control node's settings."""
 
-TRANSFER_SECONDS: Final = 2.0
-"""Longest time a stopping leader waits for its successor, seconds; chosen, not measured."""
+TRANSFER_TIMEOUT_SECONDS: Final = 2.0
+"""How long a stopping leader waits for its successor."""
 TRANSFER_POLL_SECONDS: Final = 0.05
-"""Seconds between looks for the successor; chosen, not measured."""
+"""Interval between checks for the successor."""
 
 
 class SimulatedControlNode(Process):
-    """A control node over its lives.
+    """A control node, over its successive generations.
 
     Parameters
     ----------
     voters
-        The voters the group is formed of.
+        The initial voters of the group.
     peers
-        Nodes of the group by address; filled once all are made.
+        Nodes of the group by address; complete once all nodes have been created.
     """
 
     def __init__(
@@ -68,35 +68,35 @@
             self._voters,
             disk=self.disk,
             machine=self.machine,
-            post=self,
+            transport=self,
             rng=rng,
             may_form=self._may_form,
         )
-        # As an operator does it: only the first start may form the group.
+        # Only the first start may form the group; a later one on an empty disk must join it.
         self._may_form = False
         self.proposals = Proposals(self, self.host, self, rng)
-        self.hub = HubShell(
+        self.hub = HubRunner(
             self,
             self.machine,
-            lambda done: self.proposals.read_barrier(REQUEST_SECONDS, done),
+            lambda done: self.proposals.read_barrier(REQUEST_TIMEOUT_SECONDS, done),
             lambda: self.host.node.leader is not None,
         )
         self.hub.set_alternatives(tuple(member.address for member in self._voters))
 
     def begin(self) -> None:
-        """Take part in the group and serve daemons."""
+        """Join the group and serve daemons."""
         self.host.start()
         self.hub.start()
 
     def crash(self) -> None:
-        """Die at once; the disk forgets what was not synced."""
+        """Crash, losing writes that were not synced."""
         self.host.crash()
         self.stop()
         self.disk.lose_power()
         self.hub.reset_all()
 
     def restart(self, wipe_disk: bool = False) -> None:
-        """Begin a new generation with what is on the disk."""
+        """Begin a new generation from the disk, which ``wipe_disk`` empties first."""
         if wipe_disk:
             self.disk.lose_data()
         self.start()
@@ -104,12 +104,12 @@
         self.begin()
 
     def stop_planned(self, seconds: float) -> None:
-        """Hand leadership over, end, and start again ``seconds`` later."""
+        """Transfer leadership, stop, and restart after ``seconds``."""
         if self.stopping:
             return
         self.stopping = True
         self.host.transfer_leadership()
-        self.call_later(TRANSFER_POLL_SECONDS, self._stop_once_follower, self.now, seconds)
+        self.call_later(TRANSFER_POLL_SECONDS, self._stop_after_transfer, self.now, seconds)
 
     def _on_committed(self, committed: CommittedRevision) -> None:
         self.hub.on_committed(committed)
@@ -117,96 +117,100 @@
     def _on_restored(self) -> None:
         self.hub.on_restored()
 
-    def _stop_once_follower(self, since: float, seconds: float) -> None:
-        if self.host.is_leader and self.now - since < TRANSFER_SECONDS:
-            self.call_later(TRANSFER_POLL_SECONDS, self._stop_once_follower, since, seconds)
+    def _stop_after_transfer(self, since: float, seconds: float) -> None:
+        if self.host.is_leader and self.now - since < TRANSFER_TIMEOUT_SECONDS:
+            self.call_later(TRANSFER_POLL_SECONDS, self._stop_after_transfer, since, seconds)
             return
         self.crash()
-        self.simulation.clock.call_later(seconds, self._start_again)
+        self.simulation.clock.call_later(seconds, self._restart_if_down)
 
-    def _start_again(self) -> None:
+    def _restart_if_down(self) -> None:
         if not self.up:
             self.restart()
 
-    # Messages of other control nodes.
+    # Messages between control nodes.
 
     def send_envelope(self, source: Process, address: str, envelope: Envelope) -> None:
-        """Send a message of the replicated log."""
+        """Send a message of the replicated log to the node at ``address``."""
         target = self._peers[address]
-        source.send(target, target.take_envelope, envelope)
+        source.send(target, target.on_envelope, envelope)
 
-    def take_envelope(self, envelope: Envelope) -> None:
-        """Take a message of the replicated log."""
+    def on_envelope(self, envelope: Envelope) -> None:
+        """Handle a message of the replicated log."""
         self.host.receive(envelope)
 
     def forward(self, address: str, request: int, command: Command) -> None:
-        """Send a command to the leader."""
+        """Forward a command to the leader at ``address``."""
         target = self._peers[address]
-        self.send(target, target.take_forwarded, self, self.generation, request, command)
+        self.send(target, target.on_forwarded, self, self.generation, request, command)
 
-    def take_forwarded(
+    def on_forwarded(
         self, sender: "SimulatedControlNode", generation: int, request: int, command: Command
     ) -> None:
-        """Take a command of another node, as the leader."""
+        """Propose a command forwarded by another node, or reply None if not the leader."""
 
         def answer(result: CommandResult | None) -> None:
-            self.send(sender, sender.take_reply, request, result, generation=generation)
+            self.send(sender, sender.on_reply, request, result, generation=generation)
 
         if self.host.is_leader:
             self.host.propose(command, answer)
         else:
             answer(None)
 
-    def take_reply(self, request: int, result: CommandResult | None) -> None:
-        """Take the leader's answer."""
-        self.proposals.take_reply(request, result)
+    def on_reply(self, request: int, result: CommandResult | None) -> None:
+        """Handle the leader's reply to a forwarded command."""
+        self.proposals.on_reply(request, result)
 
-    # Requests of daemons.
+    # Requests from daemons.
 
-    def take_subscribe(self, link: Subscription, epoch: int, message: Subscribe) -> None:
-        """Take a daemon's first message."""
+    def on_subscribe(self, link: Subscription, epoch: int, message: Subscribe) -> None:
+        """Handle a daemon's subscription."""
         self.hub.subscribe(link, epoch, message)
 
-    def take_in_force(self, link: Subscription, epoch: int, revision: int) -> None:
-        """Take a daemon's report."""
+    def on_in_force(self, link: Subscription, epoch: int, revision: int) -> None:
+        """Handle a daemon's report of its revision in force."""
         self.hub.in_force(link, epoch, revision)
 
-    def take_fetch(self, link: Subscription, epoch: int, revision: int) -> None:
-        """Take a daemon's fetch."""
+    def on_fetch(self, link: Subscription, epoch: int, revision: int) -> None:
+        """Handle a daemon's request for the changes after ``revision``."""
         self.hub.fetch(link, epoch, revision)
 
-    def take_closed(self, link: Subscription, epoch: int) -> None:
-        """Take the end of a daemon's connection."""
+    def on_closed(self, link: Subscription, epoch: int) -> None:
+        """Handle a connection closed by its daemon."""
         self.hub.closed(link, epoch)
 
     def ledger_begin(
         self, link: Subscription, epoch: int, request: int, key: str, attempt: str
     ) -> None:
-        """Ask the ledger's leave to run a request."""
+        """Request a ledger grant; cancels it if the outcome is unknown."""
 
         def answered(result: CommandResult | None) -> None:
             if result is None:
                 cancel = CancelRequest(key, attempt)
-                self.proposals.propose(cancel, REQUEST_SECONDS, _ignore)
+                self.proposals.propose(cancel, REQUEST_TIMEOUT_SECONDS, _ignore)
             self._answer(link, epoch, request, result)
 
-        self.proposals.propose(BeginRequest(key, attempt), REQUEST_SECONDS, answered)
+        self.proposals.propose(BeginRequest(key, attempt), REQUEST_TIMEOUT_SECONDS, answered)
 
     def ledger_cancel(
         self, link: Subscription, epoch: int, request: int, key: str, attempt: str
     ) -> None:
-        """Free the key of an attempt that was never sent."""
+        """Release the grant of an attempt that was never sent."""
         self.proposals.propose(
-            CancelRequest(key, attempt), REQUEST_SECONDS, self._answering(link, epoch, request)
+            CancelRequest(key, attempt),
+            REQUEST_TIMEOUT_SECONDS,
+            self._answer_callback(link, epoch, request),
         )
 
     def ledger_complete(
         self, link: Subscription, epoch: int, request: int, command: CompleteRequest
     ) -> None:
-        """Record an attempt's whole answer."""
-        self.proposals.propose(command, REQUEST_SECONDS, self._answering(link, epoch, request))
+        """Record the complete answer of an attempt."""
+        self.proposals.propose(
+            command, REQUEST_TIMEOUT_SECONDS, self._answer_callback(link, epoch, request)
+        )
 
-    def _answering(self, link: Subscription, epoch: int, request: int) -> OnResult:
+    def _answer_callback(self, link: Subscription, epoch: int, request: int) -> OnResult:
         return lambda result: self._answer(link, epoch, request, result)
 
     def _answer(
@@ -218,4 +222,4 @@
 
 
 def _ignore(_: CommandResult | None) -> None:
-    """Take a result that nobody waits for."""
+    """Ignore the result of a cancellation."""
--- a/src/finchshed/emulator/control/operators.py
+++ b/src/finchshed/emulator/control/operators.py
@@ -1,7 +1,7 @@
-"""Emulated operators: they change the configuration through any control node.
+"""Emulated operators, which change the configuration through any control node.
 
-Like ``finchshed ctl``, an operator that gets no answer in time sends the same change again, under
-the same identity, to another control node.
+Like ``finchshed ctl``, an operator retries a change that timed out, with the same identity, on
+another control node.
 """
 
 from collections.abc import Callable
@@ -10,18 +10,18 @@
 
 from finchshed.configuration.changes import Accepted, Change, ChangeResult, Conflict, Invalid
 from finchshed.control.state.commands import ApplyChange, CommandResult
-from finchshed.emulator.control.node import REQUEST_SECONDS, SimulatedControlNode
+from finchshed.emulator.control.node import REQUEST_TIMEOUT_SECONDS, SimulatedControlNode
 from finchshed.emulator.daemons.process import Process
 from finchshed.emulator.network import Site
 from finchshed.emulator.simulation import Simulation
 from finchshed.proof.history import ChangeAnswered, ChangeSubmitted
 
-ANSWER_SECONDS: Final = 6.0
-"""Longest wait for an answer, seconds; chosen, not measured."""
-PAUSE_SECONDS: Final = 0.2
-"""Wait before a change is sent again, seconds; chosen, not measured."""
-MAX_TRIES: Final = 8
-"""Times a change is sent at most; chosen, not measured."""
+ANSWER_TIMEOUT_SECONDS: Final = 6.0
+"""Timeout of one attempt."""
+RETRY_DELAY_SECONDS: Final = 0.2
+"""Delay before a change is retried."""
+MAX_ATTEMPTS: Final = 8
+"""Limit of ``_Submission.attempts``, which each retry advances by two."""
 
 OnChange = Callable[[ChangeResult | None], None]
 
@@ -30,17 +30,17 @@
 class _Submission:
     change: Change
     done: OnChange
-    tries: int = 0
+    attempts: int = 0
     ended: bool = False
 
 
 class SimulatedOperator(Process):
-    """One operator's client.
+    """The client of one operator.
 
     Parameters
     ----------
     first_node
-        Index of the control node it asks first.
+        Index of the control node for the first attempt.
     """
 
     def __init__(
@@ -55,13 +55,13 @@
         self._next_node = first_node
 
     def submit(self, change: Change, done: OnChange) -> None:
-        """Send a change until it is answered; ``done`` gets None if it never is."""
+        """Submit a change with retries; ``done`` receives None if every attempt fails."""
         submission = _Submission(change, done)
-        self._try(submission)
+        self._attempt(submission)
 
-    def _try(self, submission: _Submission) -> None:
-        submission.tries += 1
-        number = submission.tries
+    def _attempt(self, submission: _Submission) -> None:
+        submission.attempts += 1
+        attempt_number = submission.attempts
         change = submission.change
         self.simulation.recorder.note(
             ChangeSubmitted(self.now, change.change_id, change.operator, change.expected_revision)
@@ -70,19 +70,19 @@
         self._next_node += 1
 
         def answered(result: CommandResult | None) -> None:
-            if not submission.ended and submission.tries == number:
+            if not submission.ended and submission.attempts == attempt_number:
                 self._answered(submission, result)
 
-        def take() -> None:
+        def propose() -> None:
             node.proposals.propose(
                 ApplyChange(change),
-                REQUEST_SECONDS,
+                REQUEST_TIMEOUT_SECONDS,
                 lambda result: node.send(self, answered, result),
             )
 
         if node.up:
-            self.send(node, take, generation=node.generation)
-        self.call_later(ANSWER_SECONDS, answered, None)
+            self.send(node, propose, generation=node.generation)
+        self.call_later(ANSWER_TIMEOUT_SECONDS, answered, None)
 
     def _answered(self, submission: _Submission, result: CommandResult | None) -> None:
         change_id = submission.change.change_id
@@ -93,12 +93,12 @@
             submission.done(result)
             return
         note(ChangeAnswered(self.now, change_id, "unknown"))
-        if submission.tries >= MAX_TRIES:
+        if submission.attempts >= MAX_ATTEMPTS:
             submission.ended = True
             submission.done(None)
             return
-        submission.tries += 1
-        self.call_later(PAUSE_SECONDS, self._try, submission)
+        submission.attempts += 1
+        self.call_later(RETRY_DELAY_SECONDS, self._attempt, submission)
 
 
 def _answer_of(time: float, change_id: str, result: ChangeResult) -> ChangeAnswered:
--- a/src/finchshed/emulator/control/planes.py
+++ b/src/finchshed/emulator/control/planes.py
@@ -1,4 +1,4 @@
-"""The two ways control is emulated: a whole group of nodes, or one process that never fails."""
+"""Control planes of the emulator: a replicated group, or a single simplified process."""
 
 from collections.abc import Callable, Iterable
 from typing import Final
@@ -16,14 +16,14 @@
 from finchshed.emulator.simulation import Simulation
 from finchshed.proof.history import ControlReachable
 
-REACHABILITY_SECONDS: Final = 0.5
-"""Time between looks at which daemons can reach a majority."""
+REACHABILITY_POLL_SECONDS: Final = 0.5
+"""Interval between checks of which daemons can reach a majority."""
 
 
-class GroupPlane:
-    """A group of control nodes; daemons follow it as in production.
+class ReplicatedControlPlane:
+    """A replicated group of control nodes, which daemons follow as in production.
 
-    Every second daemon has a disk for the highest revision.
+    Every second daemon has a disk on which its follower's record persists.
     """
 
     def __init__(self, simulation: Simulation, zones: tuple[str, ...], count: int) -> None:
@@ -41,7 +41,7 @@
         self.list_leaving = self._group.list_leaving
 
     def connect(self, daemon: SimulatedDaemon) -> ControlConnection:
-        """Return the daemon's follower and its connection to control."""
+        """Return a follower and its control client for the daemon."""
         disk = self._disks.get(daemon.name)
         if disk is None:
             disk = FollowerDisk(has_disk=len(self._disks) % 2 == 0)
@@ -67,36 +67,36 @@
     def start(
         self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[SimulatedDaemon]
     ) -> None:
-        """Form the group, declare the first configuration and let daemons follow."""
+        """Form the group, submit the initial configuration and start the daemons' followers."""
         self._daemons = daemons
         self._group.start(endpoints, policy)
         for daemon in daemons:
             daemon.start_follower()
-        self._watch()
+        self._poll_reachability()
 
     def node_name(self, node: str) -> str:
-        """Return the node meant by a name, ``leader`` or ``follower``."""
+        """Resolve ``leader`` and ``follower`` to a node's name; return other names unchanged."""
         if node in ("leader", "follower"):
             return self._group.node(node).name
         return node
 
-    def note_reachability(self) -> None:
-        """Record which daemons can reach a majority, where that changed."""
+    def record_reachability(self) -> None:
+        """Record each daemon whose ability to reach a majority has changed."""
         for daemon in self._daemons:
-            reachable = self._group.in_reach_of(daemon)
+            reachable = self._group.can_reach_majority(daemon)
             if self._reachable.get(daemon.name) != reachable:
                 self._reachable[daemon.name] = reachable
                 self._simulation.recorder.note(
                     ControlReachable(self._simulation.now, daemon.name, reachable)
                 )
 
-    def _watch(self) -> None:
-        self.note_reachability()
-        self._simulation.clock.call_later(REACHABILITY_SECONDS, self._watch)
+    def _poll_reachability(self) -> None:
+        self.record_reachability()
+        self._simulation.clock.call_later(REACHABILITY_POLL_SECONDS, self._poll_reachability)
 
 
-class PlainPlane:
-    """Control without its failures; daemons are configured at once."""
+class SimplifiedControlPlane:
+    """A single control process that distributes configuration without followers."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._clock = simulation.clock
@@ -107,7 +107,7 @@
         self._revision = 1
 
     def connect(self, daemon: SimulatedDaemon) -> ControlConnection:
-        """Return the one control process; a daemon that starts anew is configured soon."""
+        """Return the ledger client; a restarted daemon is configured after a commit delay."""
         if self._daemons:
             daemon.call_later(2 * COMMIT_SECONDS, self._configure, daemon)
         return ControlConnection(self._control)
@@ -115,7 +115,7 @@
     def start(
         self, endpoints: Iterable[Endpoint], policy: Policy, daemons: list[SimulatedDaemon]
     ) -> None:
-        """Configure every daemon."""
+        """Configure all daemons immediately."""
         self._endpoints = {endpoint.name: endpoint for endpoint in endpoints}
         self._policy = policy
         self._daemons = daemons
@@ -123,42 +123,42 @@
             self._configure(daemon)
 
     def crash(self, node: str, seconds: float, wipe_disk: bool) -> None:
-        """Be away for ``seconds``."""
+        """Make control unavailable for ``seconds``."""
         self._control.crash(node, seconds)
 
     def freeze(self, node: str, seconds: float) -> None:
-        """Be away for ``seconds``."""
+        """Make control unavailable for ``seconds``."""
         self._control.crash(node, seconds)
 
     def stop_planned(self, node: str, seconds: float) -> None:
-        """Be away for ``seconds``."""
+        """Make control unavailable for ``seconds``."""
         self._control.crash(node, seconds)
 
     def submit(self, act: acts.Submit) -> None:
-        """Change the retry ratio."""
+        """Set the retry ratio to 0.1."""
         self._policy = msgspec.structs.replace(self._policy, retry_ratio=0.1)
         self._distribute()
 
     def declare_draining(self, endpoint: str, accepted: Callable[[], None]) -> None:
-        """Declare that an endpoint leaves."""
+        """Declare an endpoint as leaving."""
         held = self._endpoints[endpoint]
         self._endpoints[endpoint] = msgspec.structs.replace(held, state=EndpointState.LEAVING)
         accepted()
         self._distribute()
 
     def list_leaving(self, endpoint: str) -> None:
-        """Let the platform's list say that an endpoint leaves."""
-        self._clock.call_later(PLATFORM_LAG_SECONDS, self._say_leaving, endpoint)
+        """Announce an endpoint as leaving after the platform's lag."""
+        self._clock.call_later(PLATFORM_LAG_SECONDS, self._announce_leaving, endpoint)
 
     def list_live(self, endpoint: str) -> None:
-        """Do nothing: what was said isn't repeated."""
+        """Do nothing, since announcements of leaving aren't repeated."""
 
     def node_name(self, node: str) -> str:
         """Return ``node``."""
         return node
 
-    def note_reachability(self) -> None:
-        """Do nothing: control is always in reach."""
+    def record_reachability(self) -> None:
+        """Do nothing, since control is always reachable."""
 
     def _configure(self, daemon: SimulatedDaemon) -> None:
         daemon.configure(self._endpoints.values(), self._policy, self._revision)
@@ -171,7 +171,7 @@
             if daemon.up:
                 daemon.call_later(2 * COMMIT_SECONDS, self._configure, daemon)
 
-    def _say_leaving(self, endpoint: str) -> None:
+    def _announce_leaving(self, endpoint: str) -> None:
         for daemon in self._daemons:
             if daemon.up:
                 daemon.table.mark_draining(endpoint, daemon.now)
--- a/src/finchshed/emulator/control/proposals.py
+++ b/src/finchshed/emulator/control/proposals.py
@@ -1,7 +1,7 @@
-"""Proposals from any control node: the leader is found, and asked again.
+"""Proposals from any control node, forwarded to the leader and retried.
 
-Counterpart of :mod:`finchshed.control.raft.group_log`. Commands name themselves, so sending one
-again after a lost answer or a change of leader has no second effect.
+Counterpart of :mod:`finchshed.control.raft.group_log`. Commands are idempotent, so one may be sent
+again after a lost answer or a change of leader.
 """
 
 import random
@@ -13,16 +13,16 @@
 from finchshed.emulator.control.log_host import LogHost, OnResult
 from finchshed.emulator.daemons.process import Process
 
-FIRST_PAUSE_SECONDS: Final = 0.02
-"""First wait before a proposal is sent again, seconds; chosen, not measured."""
-LONGEST_PAUSE_SECONDS: Final = 0.5
-"""Longest wait before a proposal is sent again, seconds; chosen, not measured."""
-FORWARD_SECONDS: Final = 1.5
-"""A forwarded request unanswered for this long is sent again, perhaps to another leader."""
+INITIAL_BACKOFF_SECONDS: Final = 0.02
+"""Initial delay before a proposal is retried."""
+MAX_BACKOFF_SECONDS: Final = 0.5
+"""Upper bound of the delay before a retry."""
+FORWARD_TIMEOUT_SECONDS: Final = 1.5
+"""Timeout of a forwarded request, after which it is retried with the current leader."""
 
 
 class SimulatedForwarding(Protocol):
-    """Carries a command to the leader and its result back."""
+    """Transport of commands to the leader."""
 
     def forward(self, address: str, request: int, command: Command) -> None:
         """Send a command to the node at ``address``."""
@@ -33,13 +33,13 @@
     command: Command
     deadline: float
     done: Callable[[CommandResult | None], None]
-    pause: float = FIRST_PAUSE_SECONDS
-    tries: int = 0
+    backoff: float = INITIAL_BACKOFF_SECONDS
+    attempts: int = 0
     ended: bool = False
 
 
 class Proposals:
-    """Proposals that came in at one control node, in one generation of it."""
+    """Proposals submitted to one control node, for one generation of the node."""
 
     def __init__(
         self, process: Process, host: LogHost, forwarding: SimulatedForwarding, rng: random.Random
@@ -52,43 +52,43 @@
         self._forwarded: dict[int, OnResult] = {}
 
     def propose(self, command: Command, timeout: float, done: OnResult) -> None:
-        """Commit ``command`` through the leader; ``done`` gets None if time ran out first."""
+        """Commit ``command`` through the leader; ``done`` receives None on timeout."""
         proposal = _Proposal(command, self._process.now + timeout, done)
         self._process.call_later(timeout, self._expire, proposal)
-        self._try(proposal)
+        self._attempt(proposal)
 
     def read_barrier(self, timeout: float, done: Callable[[bool], None]) -> None:
-        """Call ``done`` once all that was committed before is applied here, or time ran out."""
+        """Call ``done`` once all earlier commits are applied here, or with False on timeout."""
         deadline = self._process.now + timeout
 
         def answered(confirmed: bool) -> None:
             if confirmed or self._process.now >= deadline:
                 done(confirmed)
                 return
-            self._process.call_later(self._jittered(LONGEST_PAUSE_SECONDS), attempt)
+            self._process.call_later(self._jittered(MAX_BACKOFF_SECONDS), attempt)
 
         def attempt() -> None:
             self._host.read(answered)
 
         attempt()
 
-    def take_reply(self, request: int, result: CommandResult | None) -> None:
-        """Take the leader's answer to a forwarded command."""
+    def on_reply(self, request: int, result: CommandResult | None) -> None:
+        """Handle the leader's reply to a forwarded command."""
         done = self._forwarded.pop(request, None)
         if done is not None:
             done(result)
 
-    def _try(self, proposal: _Proposal) -> None:
+    def _attempt(self, proposal: _Proposal) -> None:
         if proposal.ended:
             return
-        proposal.tries += 1
-        number = proposal.tries
+        proposal.attempts += 1
+        attempt_number = proposal.attempts
 
         def answered(result: CommandResult | None) -> None:
-            if proposal.ended or proposal.tries != number:
+            if proposal.ended or proposal.attempts != attempt_number:
                 return
             if result is None:
-                self._pause(proposal)
+                self._retry_later(proposal)
                 return
             proposal.ended = True
             proposal.done(result)
@@ -98,19 +98,19 @@
             return
         address = self._host.node.leader_address
         if not address:
-            self._pause(proposal)
+            self._retry_later(proposal)
             return
         self._last_request += 1
         request = self._last_request
         self._forwarded[request] = answered
         self._forwarding.forward(address, request, proposal.command)
-        self._process.call_later(FORWARD_SECONDS, self.take_reply, request, None)
+        self._process.call_later(FORWARD_TIMEOUT_SECONDS, self.on_reply, request, None)
 
-    def _pause(self, proposal: _Proposal) -> None:
-        pause = self._jittered(proposal.pause)
-        proposal.pause = min(2 * proposal.pause, LONGEST_PAUSE_SECONDS)
-        proposal.tries += 1
-        self._process.call_later(pause, self._try, proposal)
+    def _retry_later(self, proposal: _Proposal) -> None:
+        backoff = self._jittered(proposal.backoff)
+        proposal.backoff = min(2 * proposal.backoff, MAX_BACKOFF_SECONDS)
+        proposal.attempts += 1
+        self._process.call_later(backoff, self._attempt, proposal)
 
     def _jittered(self, seconds: float) -> float:
         return seconds * (0.5 + self._rng.random())
--- a/src/finchshed/emulator/daemons/control_client.py
+++ b/src/finchshed/emulator/daemons/control_client.py
@@ -99,12 +99,12 @@
         """Report the revision in force to the control node."""
         if self._is_subscribed and self._node is not None:
             self._heartbeat_due = self.process.now + HEARTBEAT_SECONDS
-            self._send(self._node.take_in_force, self, self._epoch, revision)
+            self._send(self._node.on_in_force, self, self._epoch, revision)
 
     def fetch(self, revision: int) -> None:
         """Request the changes after ``revision``."""
         if self._is_connected and self._node is not None:
-            self._send(self._node.take_fetch, self, self._epoch, revision)
+            self._send(self._node.on_fetch, self, self._epoch, revision)
 
     def begin(self, key: str, attempt: str, timeout: float, done: OnLedgerResult) -> None:
         """Request a grant to run the request with this key."""
@@ -157,7 +157,7 @@
             revision=self._listener.revision_held(),
             endpoint=identity.endpoint,
         )
-        self._send(self._node.take_subscribe, self, epoch, subscribe)
+        self._send(self._node.on_subscribe, self, epoch, subscribe)
         for request, pending in list(self._pending.items()):
             self._send_pending(request, pending)
         self.process.call_later(CHECK_INTERVAL_SECONDS, self._check_connection, epoch)
@@ -233,7 +233,7 @@
         assert self._address is not None
         connected_seconds = self.process.now - self._opened_at if self._is_connected else 0.0
         if self._is_connected and self._node is not None:
-            self._send(self._node.take_closed, self, self._epoch)
+            self._send(self._node.on_closed, self, self._epoch)
         self._addresses.on_connection_ended(self._address, connected_seconds, self.process.now)
         was_subscribed = self._is_subscribed
         self._is_connected = False
--- a/src/finchshed/emulator/processes.py
+++ b/src/finchshed/emulator/processes.py
@@ -9,7 +9,7 @@
 from finchshed.emulator.clock import Clock
 from finchshed.emulator.control.control_plane import ControlPlane
 from finchshed.emulator.control.group import PLATFORM_LAG_SECONDS
-from finchshed.emulator.control.planes import GroupPlane, PlainPlane
+from finchshed.emulator.control.planes import ReplicatedControlPlane, SimplifiedControlPlane
 from finchshed.emulator.daemons.daemon import REGION, SimulatedDaemon
 from finchshed.emulator.faults import UnknownTargetError
 from finchshed.emulator.network import Site
@@ -99,12 +99,12 @@
     def crash_control(self, node: str, seconds: float, wipe_disk: bool) -> None:
         """Kill a control node."""
         self._control.crash(node, seconds, wipe_disk)
-        self._control.note_reachability()
+        self._control.record_reachability()
 
     def freeze_control(self, node: str, seconds: float) -> None:
         """Stop a control node in silence."""
         self._control.freeze(node, seconds)
-        self._control.note_reachability()
+        self._control.record_reachability()
 
     def stop_control(self, node: str, seconds: float) -> None:
         """Restart a control node as an operator would."""
@@ -158,7 +158,7 @@
 
     def network_changed(self) -> None:
         """Record what daemons can reach; links notice cuts by silence."""
-        self._control.note_reachability()
+        self._control.record_reachability()
 
     def _add_back_end(self, number: int, back_end: BackEnd) -> None:
         endpoint = Endpoint(
@@ -226,5 +226,5 @@
 def _make_control(simulation: Simulation, specification: RunSpecification) -> ControlPlane:
     if specification.control_nodes:
         zones = specification.deployment.zones
-        return GroupPlane(simulation, zones, specification.control_nodes)
-    return PlainPlane(simulation)
+        return ReplicatedControlPlane(simulation, zones, specification.control_nodes)
+    return SimplifiedControlPlane(simulation)
--- a/tests/emulator/test_control_group.py
+++ b/tests/emulator/test_control_group.py
@@ -1,4 +1,4 @@
-"""The emulated control group: it forms, survives a lost disk and tells who can reach it."""
+"""Control group of the emulator: formation, recovery of a lost disk, races and reachability."""
 
 from finchshed.configuration.resources import Endpoint, Policy
 from finchshed.emulator.acts import Submit
@@ -18,7 +18,7 @@
 )
 
 
-def started(seed: int = 1) -> tuple[Simulation, ControlGroup]:
+def start_group(seed: int = 1) -> tuple[Simulation, ControlGroup]:
     clock = Clock()
     streams = Streams(seed)
     network = Network(clock, streams, 0.001, 0.005)
@@ -30,7 +30,7 @@
     return simulation, group
 
 
-def accepted(simulation: Simulation) -> list[str]:
+def accepted_changes(simulation: Simulation) -> list[str]:
     return [
         event.change_id
         for event in simulation.recorder.history.events
@@ -38,15 +38,15 @@
     ]
 
 
-def test_a_group_forms_and_takes_the_first_configuration() -> None:
-    simulation, group = started()
-    assert accepted(simulation) == ["bootstrap"]
+def test_group_forms_and_accepts_the_initial_configuration() -> None:
+    simulation, group = start_group()
+    assert accepted_changes(simulation) == ["bootstrap"]
     assert [node.machine.store.revision for node in group.nodes] == [1, 1, 1]
     assert sum(node.host.is_leader for node in group.nodes) == 1
 
 
-def test_a_lost_disk_is_filled_again_and_the_node_votes() -> None:
-    simulation, group = started()
+def test_node_with_a_lost_disk_catches_up_and_votes_again() -> None:
+    simulation, group = start_group()
     follower = group.node("follower")
     before = follower.host.node.identity
     group.crash(follower.name, 0.5, wipe_disk=True)
@@ -58,23 +58,23 @@
     assert follower.machine.store.revision == 2
 
 
-def test_of_racing_operators_one_wins_and_a_resend_gets_the_first_answer() -> None:
-    simulation, group = started()
+def test_one_concurrent_change_wins_and_its_resend_gets_the_same_answer() -> None:
+    simulation, group = start_group()
     group.submit(Submit(time=2.5, change_id="race", operators=5, resend=True))
     simulation.clock.run_until(5.0)
-    won = [change for change in accepted(simulation) if change.startswith("race")]
+    won = [change for change in accepted_changes(simulation) if change.startswith("race")]
     assert len(won) == 2
     assert len(set(won)) == 1
 
 
-def test_reach_needs_a_majority_that_can_reach_each_other() -> None:
-    simulation, group = started()
+def test_majority_must_be_mutually_reachable() -> None:
+    simulation, group = start_group()
     process = Process(simulation, Site("d", "zone-1"))
-    assert group.in_reach_of(process)
+    assert group.can_reach_majority(process)
     simulation.network.cut("zone-1", "zone-2")
-    assert group.in_reach_of(process)
+    assert group.can_reach_majority(process)
     simulation.network.cut("zone-1", "zone-3")
-    assert not group.in_reach_of(process)
+    assert not group.can_reach_majority(process)
     simulation.network.heal("zone-1", "zone-3")
     group.freeze("control-1", 1.0)
-    assert not group.in_reach_of(process)
+    assert not group.can_reach_majority(process)
