--- a/src/finchshed/emulator/acts.py
+++ b/src/finchshed/emulator/acts.py
@@ -1,7 +1,7 @@
-"""Faults and operators' acts that a run is given, at stated times.
+"""Faults and operator actions of a run, each at a given time.
 
-The same types stand in traces (see :mod:`finchshed.replay.trace`) and in campaigns over seeds.
-All times are seconds. A fault with ``seconds`` ends by itself.
+Used in traces (see :mod:`finchshed.replay.trace`) and in campaigns. All times are in seconds.
+``seconds`` of a fault is its duration.
 """
 
 from typing import Annotated, TypeAlias
@@ -15,13 +15,13 @@
 class _Act(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, forbid_unknown_fields=True
 ):
-    """Base of all acts: when it happens."""
+    """Base of all acts, with the time of the act."""
 
     time: Seconds
 
 
 class SlowService(_Act, frozen=True, tag="slow_service"):
-    """All back ends of ``service`` take ``factor`` times as long."""
+    """Multiplies the service times of all back ends of ``service`` by ``factor``."""
 
     service: str
     factor: Annotated[float, msgspec.Meta(gt=0.0, le=1000.0)]
@@ -29,7 +29,7 @@
 
 
 class SlowEndpoint(_Act, frozen=True, tag="slow_endpoint"):
-    """One back end takes ``factor`` times as long."""
+    """Multiplies the service times of one back end by ``factor``."""
 
     endpoint: str
     factor: Annotated[float, msgspec.Meta(gt=0.0, le=1000.0)]
@@ -37,40 +37,40 @@
 
 
 class CrashBackEnd(_Act, frozen=True, tag="crash_back_end"):
-    """A back end is killed, and starts again, cold, after ``seconds``."""
+    """Crashes a back end and restarts it, cold, after ``seconds``."""
 
     endpoint: str
     seconds: Seconds
 
 
 class FreezeBackEnd(_Act, frozen=True, tag="freeze_back_end"):
-    """A back end makes no progress for ``seconds``."""
+    """Freezes a back end for ``seconds``."""
 
     endpoint: str
     seconds: Seconds
 
 
 class CrashDaemon(_Act, frozen=True, tag="crash_daemon"):
-    """A daemon is killed and started again after ``seconds``."""
+    """Crashes a daemon and restarts it after ``seconds``."""
 
     node: str
     seconds: Seconds
 
 
 class FreezeDaemon(_Act, frozen=True, tag="freeze_daemon"):
-    """A daemon is stopped (SIGSTOP) for ``seconds``."""
+    """Freezes a daemon, as by SIGSTOP, for ``seconds``."""
 
     node: str
     seconds: Seconds
 
 
 class CrashControl(_Act, frozen=True, tag="crash_control"):
-    """A control node is killed, loses what it had not synced, and starts after ``seconds``.
+    """Crashes a control node, which loses unsynced writes, and restarts it after ``seconds``.
 
-    ``node`` of this and other acts on control nodes may be ``leader`` or ``follower``: whoever
-    that is when the act happens.
+    ``node`` of this and other acts on control nodes may be ``leader`` or ``follower``, which is
+    resolved at the time of the act.
 
-    With ``wipe_disk`` it comes back with an empty disk.
+    With ``wipe_disk``, the node restarts with an empty disk.
     """
 
     node: str
@@ -79,21 +79,21 @@
 
 
 class FreezeControl(_Act, frozen=True, tag="freeze_control"):
-    """A control node is stopped for ``seconds``."""
+    """Freezes a control node for ``seconds``."""
 
     node: str
     seconds: Seconds
 
 
 class StopControl(_Act, frozen=True, tag="stop_control"):
-    """A control node is asked to stop: it hands leadership over; it starts after ``seconds``."""
+    """Stops a control node after a leadership transfer, and restarts it after ``seconds``."""
 
     node: str
     seconds: Seconds
 
 
 class CutNode(_Act, frozen=True, tag="cut_node"):
-    """No message reaches or leaves a node, in silence; with ``one_way`` it only can't be reached.
+    """Blocks all messages to and from a node; with ``one_way``, only those to it.
 
     ``node`` is a daemon, an endpoint, an edge or a control node.
     """
@@ -104,7 +104,7 @@
 
 
 class CutZones(_Act, frozen=True, tag="cut_zones"):
-    """No message passes from ``source`` to ``target``, nor back unless ``one_way``."""
+    """Blocks messages from ``source`` to ``target``, and back unless ``one_way``."""
 
     source: str
     target: str
@@ -113,7 +113,7 @@
 
 
 class SlowLink(_Act, frozen=True, tag="slow_link"):
-    """Messages between two zones or nodes take ``extra_seconds`` more, each way."""
+    """Adds ``extra_seconds`` to the one-way delay between two zones or nodes."""
 
     source: str
     target: str
@@ -122,35 +122,35 @@
 
 
 class Duplicate(_Act, frozen=True, tag="duplicate"):
-    """Each message is delivered twice with this probability."""
+    """Delivers each message twice with this probability."""
 
     probability: Probability
     seconds: Seconds
 
 
 class Reorder(_Act, frozen=True, tag="reorder"):
-    """Each message overtakes others with this probability."""
+    """Delivers each message late and out of order with this probability."""
 
     probability: Probability
     seconds: Seconds
 
 
 class Drain(_Act, frozen=True, tag="drain"):
-    """A back end begins to leave. ``sign`` is ``answer``, ``operator`` or ``platform``."""
+    """Drains a back end, announced by ``sign``: ``answer``, ``operator`` or ``platform``."""
 
     endpoint: str
     sign: str
 
 
 class StopPlanned(_Act, frozen=True, tag="stop_planned"):
-    """A back end and its daemon are asked to stop, and start again ``seconds`` after they have."""
+    """Gracefully stops a back end and its daemon, and restarts them after ``seconds``."""
 
     endpoint: str
     seconds: Seconds
 
 
 class Misreport(_Act, frozen=True, tag="misreport"):
-    """A back end reports no load, and fails every request at once if ``fails_fast``."""
+    """Makes a back end report no load, and fail every request at once if ``fails_fast``."""
 
     endpoint: str
     seconds: Seconds
@@ -158,11 +158,11 @@
 
 
 class Submit(_Act, frozen=True, tag="submit"):
-    """``operators`` operators submit a change at once, against the same revision.
+    """Submits concurrent changes by ``operators`` operators, based on the same revision.
 
-    Each changes the retry ratio of the policy. With ``resend`` each sends its change again under
-    the same identity, as if the first answer had been lost. With ``times`` this is done again and
-    again, each time against the revision of then, ``every_seconds`` apart.
+    Each changes the retry ratio of the policy. With ``resend``, each is sent again under the same
+    identity, as if the first answer had been lost. ``times`` repeats this every ``every_seconds``,
+    based on the latest revision each time.
     """
 
     change_id: str
--- a/src/finchshed/emulator/backend.py
+++ b/src/finchshed/emulator/backend.py
@@ -1,4 +1,4 @@
-"""Back ends: slots, a first-in first-out queue, service times, and how they misbehave."""
+"""Back ends with slots, a FIFO queue, random service times and injected faults."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -30,12 +30,12 @@
 
 HEADER_DRAINING: Final = "finchshed-draining"
 SERVICE_TIME_SHAPE: Final = 8.0
-"""Shape of the gamma distribution of service times: coefficient of variation 0.35."""
+"""Shape of the gamma distribution of service times; coefficient of variation 0.35."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One request at a back end, waiting or running."""
+    """A request at a back end, queued or running."""
 
     request: SimulatedRequest
     done: Done
@@ -43,20 +43,22 @@
     timer: Timer | None = None
     began: bool = False
     ended: bool = False
-    waiting_for: int = 0
+    pending_calls: int = 0
     cancels: list[Cancel] = field(default_factory=list)
 
 
 class BackEnd:
-    """One back end.
+    """An emulated back end.
 
     Parameters
     ----------
     endpoint
-        Name of the endpoint it is.
+        Name of its endpoint.
+
+    Attributes
+    ----------
     cold_seconds
-        After a start, service takes up to ``cold_factor`` times as long, falling to normal over
-        this time.
+        Time after a start in which service times fall from ``cold_factor`` times to normal.
     """
 
     cold_seconds = 2.0
@@ -85,29 +87,29 @@
         self._queue: deque[Run] = deque()
         self._running: dict[str, Run] = {}
         self._runs = 0
-        self._drain_told = False
+        self._drain_announced = False
 
     @property
     def in_flight(self) -> int:
-        """Requests held, running or waiting."""
+        """Number of requests, running or queued."""
         return len(self._running) + len(self._queue)
 
     @property
     def reported_in_flight(self) -> int:
-        """What the load endpoint says, which may be a lie."""
+        """Number of requests reported as load, which is 0 under ``Misreport``."""
         return 0 if self.misreports_idle else self.in_flight
 
     def serve(self, request: SimulatedRequest, done: Done) -> Cancel:
-        """Take a request; ``done`` is called once unless the process crashes or is cancelled."""
+        """Run or queue a request; calls ``done`` once unless the request is cancelled."""
         if not self.up:
             done(Refused(RefusalReason.CONNECT_FAILED, 0.1, "connection refused"))
-            return _nothing
+            return _cancel_nothing
         if self.fails_fast:
             done(self._answer(request, STATUS_SERVICE_UNAVAILABLE))
-            return _nothing
+            return _cancel_nothing
         if self.in_flight >= self.connections:
             done(Refused(RefusalReason.BACKEND_REFUSED, 0.1, "no free connection"))
-            return _nothing
+            return _cancel_nothing
         run = Run(request, done)
         if len(self._running) < self.slots and not self.frozen:
             self._begin(run)
@@ -116,7 +118,7 @@
         return lambda: self._cancel(run)
 
     def crash(self) -> None:
-        """Lose every request at once."""
+        """Crash: fail all requests at once."""
         self.up = False
         lost = [*self._running.values(), *self._queue]
         self._running.clear()
@@ -126,27 +128,27 @@
             run.done(Failed(FailureReason.BACKEND_BROKEN, 0.1, "connection reset"))
 
     def start(self) -> None:
-        """Come up again, cold."""
+        """Start with cold service times."""
         self.up = True
         self.frozen = False
         self.draining = False
-        self._drain_told = False
+        self._drain_announced = False
         self.started_at = self._clock.now
 
     def freeze(self) -> None:
-        """Stop making progress: nothing begins, nothing ends."""
+        """Suspend all requests: none starts and none finishes."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on after a freeze."""
+        """Resume after a freeze."""
         self.frozen = False
         for run in list(self._running.values()):
-            if run.timer is None and run.waiting_for == 0:
+            if run.timer is None and run.pending_calls == 0:
                 self._finish(run, STATUS_OK)
-        self._begin_waiting()
+        self._start_queued_runs()
 
     def drain(self) -> None:
-        """Begin to leave: answers carry the drain header from now on."""
+        """Start draining: answers carry the drain header from now on."""
         self.draining = True
 
     def _begin(self, run: Run) -> None:
@@ -155,7 +157,7 @@
         run.name = f"{self.endpoint}#{self._runs}"
         run.began = True
         self._running[run.name] = run
-        self._recorder.note(
+        self._recorder.record(
             RunBegan(
                 self._clock.now,
                 run.name,
@@ -168,7 +170,7 @@
             )
         )
         seconds = self._service_seconds(request.hop.seconds)
-        run.timer = self._clock.call_later(seconds, self._own_work_done, run)
+        run.timer = self._clock.call_later(seconds, self._on_service_time_elapsed, run)
 
     def _service_seconds(self, mean: float) -> float:
         scale = mean * self.slow_factor / SERVICE_TIME_SHAPE
@@ -178,7 +180,7 @@
             seconds *= 1.0 + (self.cold_factor - 1.0) * (1.0 - age / self.cold_seconds)
         return seconds
 
-    def _own_work_done(self, run: Run) -> None:
+    def _on_service_time_elapsed(self, run: Run) -> None:
         run.timer = None
         if run.ended:
             return
@@ -187,11 +189,11 @@
             if not self.frozen:
                 self._finish(run, STATUS_OK)
             return
-        run.waiting_for = len(calls)
+        run.pending_calls = len(calls)
         for index in range(len(calls)):
-            self._call_on(run, index)
+            self._start_nested_call(run, index)
 
-    def _call_on(self, run: Run, index: int) -> None:
+    def _start_nested_call(self, run: Run, index: int) -> None:
         if run.ended or self.path is None:
             return
         request = run.request
@@ -219,8 +221,8 @@
         if not isinstance(outcome, Answered) or outcome.status != STATUS_OK:
             self._finish(run, STATUS_SERVICE_UNAVAILABLE)
             return
-        run.waiting_for -= 1
-        if run.waiting_for == 0 and not self.frozen:
+        run.pending_calls -= 1
+        if run.pending_calls == 0 and not self.frozen:
             self._finish(run, STATUS_OK)
 
     def _answer(self, request: SimulatedRequest, status: int) -> Answered:
@@ -239,11 +241,11 @@
         self._running.pop(run.name, None)
         answer = self._answer(run.request, status)
         self._stop(run, RunResult.FINISHED)
-        if self.draining and not self._drain_told:
-            self._drain_told = True
-            self._recorder.note(EndpointLeaving(self._clock.now, self.endpoint, "answer"))
+        if self.draining and not self._drain_announced:
+            self._drain_announced = True
+            self._recorder.record(EndpointLeaving(self._clock.now, self.endpoint, "answer"))
         run.done(answer)
-        self._begin_waiting()
+        self._start_queued_runs()
 
     def _cancel(self, run: Run) -> None:
         if run.ended:
@@ -251,7 +253,7 @@
         if run.began:
             self._running.pop(run.name, None)
             self._stop(run, RunResult.CANCELLED)
-            self._begin_waiting()
+            self._start_queued_runs()
             return
         run.ended = True
         if run in self._queue:
@@ -263,16 +265,16 @@
             run.timer.cancel()
             run.timer = None
         if run.began:
-            self._recorder.note(RunEnded(self._clock.now, run.name, result))
+            self._recorder.record(RunEnded(self._clock.now, run.name, result))
         cancels, run.cancels = run.cancels, []
         for cancel in cancels:
             cancel()
 
-    def _begin_waiting(self) -> None:
+    def _start_queued_runs(self) -> None:
         while self._queue and len(self._running) < self.slots and self.up and not self.frozen:
             run = self._queue.popleft()
             self._begin(run)
 
 
-def _nothing() -> None:
-    """Cancel a call that has ended already."""
+def _cancel_nothing() -> None:
+    """Cancel function of a call that has already ended."""
--- a/src/finchshed/emulator/callers.py
+++ b/src/finchshed/emulator/callers.py
@@ -1,6 +1,6 @@
-"""Outside callers: an open loop of arrivals, and clients that repeat what failed.
+"""External callers: open-loop arrivals, and clients that retry failed requests.
 
-Arrivals don't wait for answers (an open loop): a slow system gets no relief from its callers.
+Arrivals don't wait for answers, so a slow system isn't relieved by its callers.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,7 +13,7 @@
 from finchshed.common.outcomes import Answered, Outcome
 from finchshed.emulator.clock import Timer
 from finchshed.emulator.deployment import Deployment, RequestKind
-from finchshed.emulator.network import OUTSIDE, Site
+from finchshed.emulator.network import EXTERNAL_ZONE, Site
 from finchshed.emulator.plain_control import EPOCH_UNIX_SECONDS
 from finchshed.emulator.request import Cancel, Path, SimulatedRequest
 from finchshed.emulator.simulation import Simulation
@@ -21,25 +21,25 @@
 from finchshed.ledger.keys import new_key
 
 CALLERS: Final = 200
-"""Callers without a session; chosen, not measured."""
+"""Number of callers without a session."""
 SESSION_CALLERS: Final = 30
-"""Callers with a session on an ordinary day; each always comes to the edge of one zone.
+"""Number of callers with a session without a surge; each uses the edge of one zone.
 
-A surge brings more of them: a running session keeps its pace.
+A surge adds callers, since a running session keeps its rate.
 """
 
 
 class ClientPolicy(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How outside clients repeat a request that was refused, failed or not answered in time.
+    """How external clients retry a request that was refused, failed or timed out.
 
     Attributes
     ----------
     attempts
-        Attempts in all; each has the whole deadline.
+        Maximum number of attempts, each with the full deadline.
     backoff_seconds
-        Mean wait before a repeat, drawn evenly from half to one and a half of it.
+        Mean delay before a retry, uniform between 0.5 and 1.5 times this.
     heed_retry_after
-        Whether the client waits at least as long as it was told to.
+        Whether the client waits at least for the ``retry_after`` it received.
     """
 
     attempts: int = 4
@@ -48,7 +48,7 @@
 
 
 class Surge(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Demand is ``factor`` times the ordinary from ``start`` for ``seconds``."""
+    """Multiplies the arrival rate by ``factor`` from ``start`` for ``seconds``."""
 
     start: float
     seconds: float
@@ -56,7 +56,7 @@
 
 
 class Arrival(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One root request arriving from outside."""
+    """Arrival of a root request from an external caller."""
 
     time: float
     root: str
@@ -78,30 +78,29 @@
 ) -> Iterable[Arrival]:
     """Yield arrivals of a Poisson process from ``begin`` until ``end``, in order of time.
 
-    ``name`` tells several processes of one run apart: in their numbers and in the roots' names.
-
-    Drawn at the highest rate and thinned (Lewis and Shedler, 1979).
+    ``name`` distinguishes several processes of one run, in random streams and root names. Rates
+    that vary with surges are sampled by thinning (Lewis and Shedler, 1979).
     """
     random = streams.python(f"arrivals{name}")
-    highest = max((surge.factor for surge in surges), default=1.0)
-    highest = max(highest, 1.0)
+    peak_factor = max((surge.factor for surge in surges), default=1.0)
+    peak_factor = max(peak_factor, 1.0)
     time = begin
     number = 0
     while True:
-        time += random.expovariate(deployment.arrivals_per_second * highest)
+        time += random.expovariate(deployment.arrivals_per_second * peak_factor)
         if time >= end:
             return
         factor = _factor_at(time, surges)
-        if random.random() * highest > factor:
+        if random.random() * peak_factor > factor:
             continue
         number += 1
-        yield _draw_arrival(deployment, random, time, f"r{name}{number}", factor)
+        yield _sample_arrival(deployment, random, time, f"r{name}{number}", factor)
 
 
-def _draw_arrival(
+def _sample_arrival(
     deployment: Deployment, random: Random, time: float, root: str, factor: float
 ) -> Arrival:
-    """Draw kind, caller and zone of a root request; ``factor`` is the demand at that time."""
+    """Sample kind, caller and zone of a root request; ``factor`` is the rate's current factor."""
     kinds = deployment.kinds
     kind = random.choices(kinds, [kind.share for kind in kinds])[0]
     callers = int(SESSION_CALLERS * factor) if kind.session else CALLERS
@@ -130,42 +129,42 @@
 
 
 @dataclass(slots=True)
-class _Sending:
-    """One copy of an attempt: the attempt itself, or the same request delivered once more."""
+class _Delivery:
+    """A delivery of an attempt to the edge; duplicates are separate deliveries."""
 
     call: str
-    is_over: bool = False
+    is_ended: bool = False
     cancel: Cancel | None = None
 
 
 @dataclass(slots=True)
 class _Root:
-    """A root request at its client, over the client's attempts."""
+    """A root request at its client, with the state of its attempts."""
 
     arrival: Arrival
     kind: RequestKind
     attempts: int = 0
-    waits: bool = False
-    """Whether an attempt was sent and neither answered nor given up yet."""
+    is_pending: bool = False
+    """Whether the latest attempt has neither ended nor timed out."""
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """One attempt of a client, with every copy of it that reached the edge."""
+    """One attempt of a client, with its deliveries to the edge."""
 
     root: _Root
     number: int
-    sendings: list[_Sending]
+    deliveries: list[_Delivery]
     timer: Timer | None = None
 
     @property
     def is_awaited(self) -> bool:
-        """Whether the client still waits for this attempt's answer."""
-        return self.root.waits and self.root.attempts == self.number
+        """Whether the client still waits for the answer to this attempt."""
+        return self.root.is_pending and self.root.attempts == self.number
 
 
-class OutsideCallers:
-    """Sends arrivals through the edges and repeats what failed."""
+class ExternalCallers:
+    """Sends root requests through the edges and retries failed ones."""
 
     def __init__(
         self,
@@ -185,24 +184,24 @@
         self.roots = 0
 
     def play(self, arrivals: Iterable[Arrival]) -> None:
-        """Let ``arrivals`` happen at their times."""
-        self._next(iter(arrivals))
+        """Schedule ``arrivals``, which are in order of time."""
+        self._schedule_next(iter(arrivals))
 
-    def _next(self, arrivals: "Iterable[Arrival]") -> None:
+    def _schedule_next(self, arrivals: "Iterable[Arrival]") -> None:
         arrival = next(iter(arrivals), None)
         if arrival is not None:
             self._clock.call_at(arrival.time, self._arrive, arrival, arrivals)
 
     def _arrive(self, arrival: Arrival, rest: Iterable[Arrival]) -> None:
-        self._next(rest)
+        self._schedule_next(rest)
         self.roots += 1
         self._attempt(_Root(arrival, self._kinds[arrival.kind]))
 
     def _attempt(self, root: _Root) -> None:
         root.attempts += 1
-        root.waits = True
+        root.is_pending = True
         arrival = root.arrival
-        site = Site(f"client-{arrival.zone}", OUTSIDE)
+        site = Site(f"client-{arrival.zone}", EXTERNAL_ZONE)
         edge_site, path = self._edge_of(arrival.zone)
         deadline = self._clock.now + self._deployment.deadline_seconds
         request = SimulatedRequest(
@@ -218,67 +217,69 @@
             repeatable=root.kind.repeatable,
         )
         self._recorder.call_began(request)
-        attempt = _Attempt(root, root.attempts, [_Sending(request.call)])
+        attempt = _Attempt(root, root.attempts, [_Delivery(request.call)])
         attempt.timer = self._clock.call_at(deadline, self._timed_out, attempt)
 
         def arrive() -> None:
             if not attempt.is_awaited:
                 return
-            sending = attempt.sendings[0]
-            if sending.cancel is not None:
-                sending = self._begin_copy(request, attempt)
+            delivery = attempt.deliveries[0]
+            if delivery.cancel is not None:
+                delivery = self._record_duplicate(request, attempt)
 
             def answered(outcome: Outcome) -> None:
-                self._network.send(edge_site, site, lambda: self._ended(attempt, sending, outcome))
+                self._network.send(edge_site, site, lambda: self._ended(attempt, delivery, outcome))
 
-            sending.cancel = path.call(replace(request, call=sending.call), answered)
+            delivery.cancel = path.call(replace(request, call=delivery.call), answered)
 
         self._network.send(site, edge_site, arrive)
 
-    def _begin_copy(self, request: SimulatedRequest, attempt: _Attempt) -> _Sending:
-        """Take note that the edge gets a request again.
+    def _record_duplicate(self, request: SimulatedRequest, attempt: _Attempt) -> _Delivery:
+        """Record a duplicate delivery as a call of its own.
 
-        No transport delivers a request twice: the edge sees another request of the same root, as
-        from a client that sends again on a second connection. Its outcome speaks of this copy.
+        The edge sees another request of the same root, as from a client that sends it again on a
+        second connection. The outcome is recorded for this copy.
         """
-        copy = replace(request, call=f"{request.call}+{len(attempt.sendings)}")
+        copy = replace(request, call=f"{request.call}+{len(attempt.deliveries)}")
         self._recorder.call_began(copy)
-        sending = _Sending(copy.call)
-        attempt.sendings.append(sending)
-        return sending
+        delivery = _Delivery(copy.call)
+        attempt.deliveries.append(delivery)
+        return delivery
 
     def _timed_out(self, attempt: _Attempt) -> None:
         zone = attempt.root.arrival.zone
         edge_site, _ = self._edge_of(zone)
-        for sending in attempt.sendings:
-            if sending.is_over:
+        for delivery in attempt.deliveries:
+            if delivery.is_ended:
                 continue
-            sending.is_over = True
-            self._recorder.call_abandoned(sending.call)
-            if sending.cancel is not None:
-                self._network.send(Site(f"client-{zone}", OUTSIDE), edge_site, sending.cancel)
+            delivery.is_ended = True
+            self._recorder.call_abandoned(delivery.call)
+            if delivery.cancel is not None:
+                self._network.send(
+                    Site(f"client-{zone}", EXTERNAL_ZONE), edge_site, delivery.cancel
+                )
         if attempt.is_awaited:
-            attempt.root.waits = False
-            self._repeat(attempt.root, 0.0)
+            attempt.root.is_pending = False
+            self._retry(attempt.root, 0.0)
 
-    def _ended(self, attempt: _Attempt, sending: _Sending, outcome: Outcome) -> None:
-        if sending.is_over:
+    def _ended(self, attempt: _Attempt, delivery: _Delivery, outcome: Outcome) -> None:
+        if delivery.is_ended:
             return
-        sending.is_over = True
-        self._recorder.call_ended(sending.call, outcome)
-        if attempt.timer is not None and all(copy.is_over for copy in attempt.sendings):
+        delivery.is_ended = True
+        self._recorder.call_ended(delivery.call, outcome)
+        if attempt.timer is not None and all(copy.is_ended for copy in attempt.deliveries):
             attempt.timer.cancel()
         if not attempt.is_awaited:
             return
         root = attempt.root
-        root.waits = False
+        root.is_pending = False
         if isinstance(outcome, Answered):
             if outcome.status != 200:
-                self._repeat(root, 0.0)
+                self._retry(root, 0.0)
             return
-        self._repeat(root, outcome.retry_after)
+        self._retry(root, outcome.retry_after)
 
-    def _repeat(self, root: _Root, retry_after: float) -> None:
+    def _retry(self, root: _Root, retry_after: float) -> None:
         if root.attempts >= self._policy.attempts:
             return
         wait = self._policy.backoff_seconds * (0.5 + self._random.random())
--- a/src/finchshed/emulator/clock.py
+++ b/src/finchshed/emulator/clock.py
@@ -1,7 +1,6 @@
-"""The emulator's clock: timed callbacks over simpy.
+"""The emulator's clock, which schedules callbacks as simpy events.
 
-Processes written as simpy generators cost several events per step; callbacks cost one, which
-matters at tens of thousands of requests a run.
+A callback needs one simpy event, where a generator process would need several per step.
 """
 
 from collections.abc import Callable
@@ -11,7 +10,7 @@
 
 
 class Timer(simpy.Event):  # type: ignore[misc]
-    """A callback due at a time, that may be cancelled."""
+    """A scheduled callback that can be cancelled."""
 
     def __init__(
         self,
@@ -30,7 +29,7 @@
         environment.schedule(self, delay=delay)
 
     def cancel(self) -> None:
-        """Make the callback not happen. Harmless once it has happened."""
+        """Cancel the callback; no effect if it has already run."""
         self._function = None
 
     def _fire(self, _: simpy.Event) -> None:
@@ -41,18 +40,18 @@
 
 
 class Clock:
-    """Simulated time, seconds since the start of the run."""
+    """Simulated time in seconds since the start of the run, and its callbacks."""
 
     def __init__(self) -> None:
         self._environment = simpy.Environment()
 
     @property
     def now(self) -> float:
-        """Present simulated time."""
+        """Current simulated time."""
         return float(self._environment._now)
 
     def call_later(self, delay: float, function: Callable[..., object], *arguments: Any) -> Timer:
-        """Call ``function`` after ``delay`` seconds (at once in this instant if negative)."""
+        """Call ``function`` after ``delay`` seconds; a negative delay counts as zero."""
         return Timer(self._environment, max(delay, 0.0), function, arguments)
 
     def call_at(self, time: float, function: Callable[..., object], *arguments: Any) -> Timer:
--- a/src/finchshed/emulator/collector.py
+++ b/src/finchshed/emulator/collector.py
@@ -1,15 +1,12 @@
-"""The garbage collector's settings for runs of the emulator."""
+"""Garbage collector settings for runs of the emulator."""
 
 import gc
 from typing import Final
 
 COLLECTOR_THRESHOLD: Final = 200_000
-"""Objects made before the garbage collector runs."""
+"""Allocations that trigger a collection of the youngest generation."""
 
 
 def tune_collector() -> None:
-    """Let the garbage collector run seldom: a run makes much that lives to its end.
-
-    Measured on the scenario ``partition``: 0.63 s of processor time a seed before, 0.48 s after.
-    """
+    """Make garbage collections rare, since most objects of a run live until its end."""
     gc.set_threshold(COLLECTOR_THRESHOLD, 20, 20)
--- a/src/finchshed/emulator/control/operators.py
+++ b/src/finchshed/emulator/control/operators.py
@@ -63,7 +63,7 @@
         submission.attempts += 1
         attempt_number = submission.attempts
         change = submission.change
-        self.simulation.recorder.note(
+        self.simulation.recorder.record(
             ChangeSubmitted(self.now, change.change_id, change.operator, change.expected_revision)
         )
         node = self._nodes[self._next_node % len(self._nodes)]
@@ -86,7 +86,7 @@
 
     def _answered(self, submission: _Submission, result: CommandResult | None) -> None:
         change_id = submission.change.change_id
-        note = self.simulation.recorder.note
+        note = self.simulation.recorder.record
         if isinstance(result, Accepted | Conflict | Invalid):
             submission.ended = True
             note(_answer_of(self.now, change_id, result))
--- a/src/finchshed/emulator/control/planes.py
+++ b/src/finchshed/emulator/control/planes.py
@@ -12,7 +12,7 @@
 from finchshed.emulator.daemons.control_connection import ControlConnection
 from finchshed.emulator.daemons.daemon import SimulatedDaemon
 from finchshed.emulator.daemons.follower_runner import FollowerDisk, SimulatedFollowerRunner
-from finchshed.emulator.plain_control import COMMIT_SECONDS, PlainControl
+from finchshed.emulator.plain_control import COMMIT_SECONDS, SimplifiedControl
 from finchshed.emulator.simulation import Simulation
 from finchshed.proof.history import ControlReachable
 
@@ -86,7 +86,7 @@
             reachable = self._group.can_reach_majority(daemon)
             if self._reachable.get(daemon.name) != reachable:
                 self._reachable[daemon.name] = reachable
-                self._simulation.recorder.note(
+                self._simulation.recorder.record(
                     ControlReachable(self._simulation.now, daemon.name, reachable)
                 )
 
@@ -100,7 +100,7 @@
 
     def __init__(self, simulation: Simulation) -> None:
         self._clock = simulation.clock
-        self._control = PlainControl(simulation)
+        self._control = SimplifiedControl(simulation)
         self._daemons: list[SimulatedDaemon] = []
         self._endpoints: dict[str, Endpoint] = {}
         self._policy = Policy()
--- a/src/finchshed/emulator/daemons/callee.py
+++ b/src/finchshed/emulator/daemons/callee.py
@@ -188,7 +188,7 @@
 
     def _record_admission(self, inbound: SimulatedInboundCall, admitted: bool) -> None:
         context = inbound.message.context
-        self._recorder.note(
+        self._recorder.record(
             Admission(
                 self._process.now,
                 self._back_end.endpoint,
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -127,7 +127,7 @@
 
     def _record_in_force(self) -> None:
         if self.is_serving:
-            self.simulation.recorder.note(
+            self.simulation.recorder.record(
                 RevisionInForce(self.now, self.name, self.held_revision, self._digest)
             )
 
--- a/src/finchshed/emulator/daemons/outgoing.py
+++ b/src/finchshed/emulator/daemons/outgoing.py
@@ -116,7 +116,7 @@
             lambda reply: self._replied(number, reply),
             lambda reason: self._unsent(number, effect.allocated_attempts, reason),
         )
-        self._recorder.note(
+        self._recorder.record(
             AttemptSent(
                 self._process.now, self._request.call, self._request.root, effect.endpoint.name
             )
@@ -180,7 +180,7 @@
         context = self._context
         service = self._request.hop.service
         session = bool(context.session)
-        self._recorder.note(
+        self._recorder.record(
             Admission(
                 self._process.now, "", service, context.root, context.importance, False, session
             )
--- a/src/finchshed/emulator/deployment.py
+++ b/src/finchshed/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""Descriptions of the deployments that are emulated."""
+"""Models of the deployments to emulate."""
 
 from collections.abc import Iterator
 
@@ -8,16 +8,16 @@
 
 
 class ServiceModel(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A service's back ends.
+    """Model of a service and its back ends.
 
     Attributes
     ----------
     slots
-        Requests one back end runs at a time. A request holds its slot while it calls on.
+        Requests that one back end runs at a time, including those waiting for nested calls.
     connections
-        Requests one back end holds, running or waiting.
+        Requests that one back end holds, running or queued.
     max_sessions
-        Sessions one back end admits at a time.
+        Sessions that one back end admits at a time.
     """
 
     name: str
@@ -28,9 +28,9 @@
 
 
 class Hop(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One call of a call graph: the service, its own work, and the calls it makes, all at once.
+    """A call of a call graph: the service, and its nested calls, which run in parallel.
 
-    ``seconds`` is the mean of the back end's own work, without the calls on.
+    ``seconds`` is the mean service time without the nested calls.
     """
 
     service: str
@@ -39,7 +39,7 @@
 
 
 class RequestKind(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A kind of root request. ``share`` is its part of all arrivals."""
+    """A kind of root request. ``share`` is its fraction of all arrivals."""
 
     name: str
     importance: Importance
@@ -50,14 +50,14 @@
 
 
 class Deployment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A deployment: zones, services and the requests they serve.
+    """Model of a deployment.
 
     Attributes
     ----------
     zone_delay_seconds, client_delay_seconds
-        One-way delays between zones, and between outside callers and an edge.
+        One-way delays between zones, and between external callers and an edge.
     arrivals_per_second
-        Demand on an ordinary day.
+        Arrival rate of root requests without a surge.
     deep_service
         The service at the bottom of the call graphs, which disturbances slow down.
     """
@@ -74,7 +74,7 @@
     connect_seconds: float = 0.001
 
     def kind(self, name: str) -> RequestKind:
-        """Return the kind called ``name``; KeyError if there is none."""
+        """Return the kind called ``name``, or raise KeyError."""
         for kind in self.kinds:
             if kind.name == name:
                 return kind
@@ -89,6 +89,6 @@
 
 
 def hold_seconds(hop: Hop) -> float:
-    """Return how long a request holds its slot at ``hop``, without any queueing below."""
-    below = max((hold_seconds(call) for call in hop.calls), default=0.0)
-    return hop.seconds + below
+    """Return the mean time a request holds its slot at ``hop`` if no nested call queues."""
+    nested = max((hold_seconds(call) for call in hop.calls), default=0.0)
+    return hop.seconds + nested
--- a/src/finchshed/emulator/faults.py
+++ b/src/finchshed/emulator/faults.py
@@ -1,8 +1,4 @@
-"""Carries out acts on a running world.
-
-Owns when an act begins and ends, and records both. Relies on back ends, network and processes to
-do what it says.
-"""
+"""Applies acts to a running world, and records their start and end."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -17,45 +13,45 @@
 
 
 class UnknownTargetError(FinchshedError):
-    """An act names something the deployment doesn't have."""
+    """An act refers to a target that the deployment doesn't have."""
 
 
 class Processes(Protocol):
-    """What acts on daemons, control nodes and operators need of the run's processes."""
+    """Operations on daemons, control nodes and operators that acts need."""
 
     def crash_daemon(self, node: str, seconds: float) -> None:
-        """Kill a daemon for ``seconds``."""
+        """Crash a daemon and restart it after ``seconds``."""
 
     def freeze_daemon(self, node: str, seconds: float) -> None:
-        """Stop a daemon for ``seconds``."""
+        """Freeze a daemon for ``seconds``."""
 
     def crash_control(self, node: str, seconds: float, wipe_disk: bool) -> None:
-        """Kill a control node for ``seconds``."""
+        """Crash a control node and restart it after ``seconds``."""
 
     def freeze_control(self, node: str, seconds: float) -> None:
-        """Stop a control node for ``seconds``."""
+        """Freeze a control node for ``seconds``."""
 
     def stop_control(self, node: str, seconds: float) -> None:
-        """Restart a control node as an operator would."""
+        """Gracefully stop a control node and restart it after ``seconds``."""
 
     def node_name(self, node: str) -> str:
-        """Return the node meant by ``leader`` or ``follower``, or the name itself."""
+        """Resolve ``leader`` and ``follower`` to a node's name; return other names unchanged."""
         ...
 
     def drain(self, endpoint: str, sign: str) -> None:
-        """Let ``endpoint`` begin to leave, known by ``sign``."""
+        """Drain ``endpoint``, announced by ``sign``."""
 
     def stop_planned(self, endpoint: str, seconds: float) -> None:
-        """Stop a back end and its daemon without cutting anything; start them again."""
+        """Gracefully stop a back end and its daemon, and restart them after ``seconds``."""
 
     def back_end_started(self, endpoint: str) -> None:
-        """Take note that a back end is up again after a crash."""
+        """Handle the restart of a back end after a crash."""
 
     def submit(self, act: acts.Submit) -> None:
-        """Let operators change the configuration."""
+        """Submit configuration changes by operators."""
 
     def network_changed(self) -> None:
-        """Take note that links were cut or healed."""
+        """Handle a change of the network's cuts."""
 
 
 class FaultInjector:
@@ -71,31 +67,31 @@
         self._processes = processes
 
     def schedule(self, act: acts.Act) -> None:
-        """Let ``act`` happen at its time."""
+        """Schedule ``act`` at its time."""
         self._clock.call_at(act.time, self.apply, act)
 
     def apply(self, act: acts.Act) -> None:
-        """Carry out ``act`` now, and arrange its end."""
+        """Apply ``act`` now and schedule its end."""
         match act:
             case acts.SlowService():
-                self._slow(act, self._of_service(act.service), act.factor, act.service)
+                self._slow(act, self._back_ends_of(act.service), act.factor, act.service)
             case acts.SlowEndpoint():
                 self._slow(act, [self._back_end(act.endpoint)], act.factor, act.endpoint)
             case acts.CrashBackEnd():
                 self._crash_back_end(act)
             case acts.FreezeBackEnd():
                 back_end = self._back_end(act.endpoint)
-                self._during(act, act.seconds, back_end.freeze, back_end.thaw, act.endpoint)
+                self._apply_for(act, act.seconds, back_end.freeze, back_end.thaw, act.endpoint)
             case acts.Misreport():
                 self._misreport(act)
             case acts.Drain():
-                self._note(act, act.endpoint)
+                self._record_start(act, act.endpoint)
                 self._processes.drain(act.endpoint, act.sign)
             case acts.StopPlanned():
-                self._note(act, act.endpoint)
+                self._record_start(act, act.endpoint)
                 self._processes.stop_planned(act.endpoint, act.seconds)
             case acts.Submit():
-                self._note(act, act.change_id)
+                self._record_start(act, act.change_id)
                 self._submit(act)
             case acts.CrashDaemon() | acts.FreezeDaemon():
                 self._apply_to_daemon(act)
@@ -109,11 +105,13 @@
             self._processes.submit(act)
             return
         for number in range(act.times):
-            once = msgspec.structs.replace(act, change_id=f"{act.change_id}.{number}", times=1)
-            self._clock.call_later(number * act.every_seconds, self._processes.submit, once)
+            submission = msgspec.structs.replace(
+                act, change_id=f"{act.change_id}.{number}", times=1
+            )
+            self._clock.call_later(number * act.every_seconds, self._processes.submit, submission)
 
     def _apply_to_daemon(self, act: acts.CrashDaemon | acts.FreezeDaemon) -> None:
-        self._note(act, act.node)
+        self._record_start(act, act.node)
         if isinstance(act, acts.CrashDaemon):
             self._processes.crash_daemon(act.node, act.seconds)
         else:
@@ -123,7 +121,7 @@
         self, act: acts.CrashControl | acts.FreezeControl | acts.StopControl
     ) -> None:
         node = self._processes.node_name(act.node)
-        self._note(act, node)
+        self._record_start(act, node)
         if isinstance(act, acts.CrashControl):
             self._processes.crash_control(node, act.seconds, act.wipe_disk)
         elif isinstance(act, acts.FreezeControl):
@@ -144,7 +142,7 @@
                     pairs.append((act.target, act.source))
                 self._cut(act, act.seconds, pairs, act.source, act.target)
             case acts.SlowLink():
-                self._during(
+                self._apply_for(
                     act,
                     act.seconds,
                     lambda: self._slow_link(act, act.extra_seconds),
@@ -153,14 +151,14 @@
                     act.target,
                 )
             case acts.Duplicate():
-                self._during(
+                self._apply_for(
                     act,
                     act.seconds,
                     lambda: setattr(network, "duplicate_probability", act.probability),
                     lambda: setattr(network, "duplicate_probability", 0.0),
                 )
             case acts.Reorder():
-                self._during(
+                self._apply_for(
                     act,
                     act.seconds,
                     lambda: setattr(network, "reorder_probability", act.probability),
@@ -175,11 +173,13 @@
         except KeyError:
             raise UnknownTargetError(f"no back end {endpoint!r}") from None
 
-    def _of_service(self, service: str) -> list[BackEnd]:
-        found = [back_end for back_end in self._back_ends.values() if back_end.service == service]
-        if not found:
+    def _back_ends_of(self, service: str) -> list[BackEnd]:
+        back_ends = [
+            back_end for back_end in self._back_ends.values() if back_end.service == service
+        ]
+        if not back_ends:
             raise UnknownTargetError(f"no service {service!r}")
-        return found
+        return back_ends
 
     def _slow(self, act: acts.Act, back_ends: list[BackEnd], factor: float, target: str) -> None:
         def scale(by: float) -> None:
@@ -187,7 +187,7 @@
                 back_end.slow_factor *= by
 
         seconds = getattr(act, "seconds", 0.0)
-        self._during(act, seconds, lambda: scale(factor), lambda: scale(1.0 / factor), target)
+        self._apply_for(act, seconds, lambda: scale(factor), lambda: scale(1.0 / factor), target)
 
     def _crash_back_end(self, act: acts.CrashBackEnd) -> None:
         back_end = self._back_end(act.endpoint)
@@ -195,10 +195,10 @@
         def restart() -> None:
             if not back_end.up:
                 back_end.start()
-                self._recorder.note(EndpointReturned(self._clock.now, act.endpoint))
+                self._recorder.record(EndpointReturned(self._clock.now, act.endpoint))
                 self._processes.back_end_started(act.endpoint)
 
-        self._during(act, act.seconds, back_end.crash, restart, act.endpoint)
+        self._apply_for(act, act.seconds, back_end.crash, restart, act.endpoint)
 
     def _misreport(self, act: acts.Misreport) -> None:
         back_end = self._back_end(act.endpoint)
@@ -207,7 +207,7 @@
             back_end.misreports_idle = begins
             back_end.fails_fast = begins and act.fails_fast
 
-        self._during(
+        self._apply_for(
             act, act.seconds, lambda: misreport(True), lambda: misreport(False), act.endpoint
         )
 
@@ -224,13 +224,13 @@
                 self._network.heal(source, target)
             self._processes.network_changed()
 
-        self._during(act, seconds, begin, end, *targets)
+        self._apply_for(act, seconds, begin, end, *targets)
 
     def _slow_link(self, act: acts.SlowLink, extra: float) -> None:
         self._network.slow(act.source, act.target, extra)
         self._network.slow(act.target, act.source, extra)
 
-    def _during(
+    def _apply_for(
         self,
         act: acts.Act,
         seconds: float,
@@ -238,19 +238,19 @@
         end: Callable[[], None],
         *targets: str,
     ) -> None:
-        self._note(act, *targets)
+        self._record_start(act, *targets)
         begin()
 
         def finish() -> None:
-            self._recorder.note(Fault(self._clock.now, _name(act), targets, ended=True))
+            self._recorder.record(Fault(self._clock.now, _fault_name(act), targets, ended=True))
             end()
 
         self._clock.call_later(seconds, finish)
 
-    def _note(self, act: acts.Act, *targets: str) -> None:
+    def _record_start(self, act: acts.Act, *targets: str) -> None:
         detail = msgspec.json.encode(act).decode()
-        self._recorder.note(Fault(self._clock.now, _name(act), targets, detail=detail))
+        self._recorder.record(Fault(self._clock.now, _fault_name(act), targets, detail=detail))
 
 
-def _name(act: acts.Act) -> str:
+def _fault_name(act: acts.Act) -> str:
     return str(type(act).__struct_config__.tag)
--- a/src/finchshed/emulator/plain_control.py
+++ b/src/finchshed/emulator/plain_control.py
@@ -1,7 +1,6 @@
-"""Control without its failures: one state machine, reached over the network's usual delay.
+"""Simplified control plane: the production state machine in one process with a fixed delay.
 
-For runs about overload, where the control nodes are not what is looked at. It runs the
-production state machine of the control nodes, so ledger and configuration behave as they do there.
+For runs that test overload rather than failures of control nodes.
 """
 
 from collections.abc import Callable
@@ -23,29 +22,29 @@
 from finchshed.ledger.results import LedgerResult
 
 COMMIT_SECONDS: Final = 0.004
-"""Time of a commit: a round trip to the quorum and a sync of its disks."""
+"""Duration of a commit: a round trip to the quorum and a disk sync."""
 
 EPOCH_UNIX_SECONDS: Final = 1_700_000_000.0
 """Unix time at the start of a run."""
 
 
-class PlainControl:
-    """The control plane as one process that may be away for a while."""
+class SimplifiedControl:
+    """A single control process, which can be unavailable for a while."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
         self._clock = simulation.clock
         self._state = ControlStateMachine()
         self._index = 0
-        self._away_until = 0.0
+        self._unavailable_until = 0.0
 
     def crash(self, _node: str, seconds: float) -> None:
-        """Be away for ``seconds``: nothing is granted meanwhile."""
-        self._away_until = max(self._away_until, self._clock.now + seconds)
+        """Make control unavailable for ``seconds``; grants time out meanwhile."""
+        self._unavailable_until = max(self._unavailable_until, self._clock.now + seconds)
 
     def begin(self, key: str, attempt: str, timeout: float, done: OnLedgerResult) -> None:
-        """Ask leave to run the request under ``key``."""
-        if self._clock.now < self._away_until:
+        """Request a grant to run the request with this key."""
+        if self._clock.now < self._unavailable_until:
             self._clock.call_later(timeout, done, None)
             return
 
@@ -55,19 +54,19 @@
         self._clock.call_later(COMMIT_SECONDS, commit)
 
     def cancel(self, key: str, attempt: str) -> None:
-        """Say that a granted attempt was never sent."""
+        """Release the grant of an attempt that was never sent."""
         self._clock.call_later(COMMIT_SECONDS, self._commit, CancelRequest(key, attempt))
 
     def complete(
         self, key: str, attempt: str, answer: Answered, timeout: float, done: Callable[[], None]
     ) -> None:
-        """Record the whole answer."""
+        """Record the complete answer."""
 
         def commit() -> None:
             self._commit(CompleteRequest(key, attempt, answer))
             done()
 
-        delay = COMMIT_SECONDS if self._clock.now >= self._away_until else timeout
+        delay = COMMIT_SECONDS if self._clock.now >= self._unavailable_until else timeout
         self._clock.call_later(delay, commit)
 
     def _commit(self, command: Command) -> CommandResult:
--- a/src/finchshed/emulator/presets.py
+++ b/src/finchshed/emulator/presets.py
@@ -1,9 +1,8 @@
-"""The deployments that ship with the emulator.
+"""Deployments that ship with the emulator.
 
-``brazos-ridge`` and ``manila`` have the zones, back ends, slots, connections and delays that their
-operators gave. Service times, the mix of requests and the call graphs are not given by them and
-are assumptions: the deep service takes 50 ms and 100 ms, and ordinary demand is half of what it
-can carry.
+Zones, back ends, slots, connections and delays are those of real deployments. Service times, the
+mix of requests and the call graphs are assumptions. The arrival rate is half the capacity of the
+deep service.
 """
 
 from typing import Final
--- a/src/finchshed/emulator/processes.py
+++ b/src/finchshed/emulator/processes.py
@@ -1,7 +1,4 @@
-"""The processes of a run: daemons, edges, control, and what operators do to them.
-
-Owns which daemon stands beside which back end, and the course of a planned stop.
-"""
+"""The processes of a run: daemons, edges and the control plane, and operations on them."""
 
 from finchshed.configuration.resources import Endpoint, Policy
 from finchshed.emulator import acts
@@ -25,13 +22,13 @@
 )
 
 STOP_POLL_SECONDS = 0.05
-"""Seconds between looks whether a stopping daemon still has work; chosen, not measured."""
+"""Interval between checks whether a stopping daemon is idle."""
 STOP_LINGER_SECONDS = 0.5
-"""Time a stop leaves for late arrivals to come in."""
+"""Minimum duration of a graceful stop, for requests still on their way."""
 
 
 class SimulatedProcesses:
-    """Daemons beside every back end, an edge in each zone, and control."""
+    """A daemon per back end, an edge per zone, and the control plane."""
 
     def __init__(
         self,
@@ -43,75 +40,75 @@
         self._clock: Clock = simulation.clock
         self._recorder = simulation.recorder
         self._back_ends = back_ends
-        self._control = _make_control(simulation, specification)
+        self._control = _create_control_plane(simulation, specification)
         self._endpoints: dict[str, Endpoint] = {}
         self._daemons: dict[str, SimulatedDaemon] = {}
         self._edges: dict[str, SimulatedDaemon] = {}
         for number, back_end in enumerate(back_ends.values()):
             self._add_back_end(number, back_end)
         for zone in specification.deployment.zones:
-            edge = self._daemon(Site(f"edge-{zone}", zone), None)
+            edge = self._create_daemon(Site(f"edge-{zone}", zone), None)
             self._edges[zone] = edge
-        daemons = self._every_daemon()
+        daemons = self._all_daemons()
         for daemon in daemons:
-            self._recorder.note(NodeStarted(0.0, daemon.name))
+            self._recorder.record(NodeStarted(0.0, daemon.name))
         policy = Policy(retry_budget=specification.retry_budget)
         self._control.start(self._endpoints.values(), policy, daemons)
 
     def edge_of(self, zone: str) -> tuple[Site, Path]:
-        """Return the edge of ``zone``."""
+        """Return site and path of the edge of ``zone``."""
         edge = self._edges[zone]
         return edge.site, edge
 
     def daemon_of(self, endpoint: str) -> SimulatedDaemon:
-        """Return the daemon beside an endpoint."""
+        """Return the daemon local to the back end of an endpoint."""
         return self._daemons[endpoint]
 
     def find_daemon(self, name: str) -> SimulatedDaemon | None:
-        """Return the daemon of this name: an endpoint's or an edge."""
-        for daemon in self._every_daemon():
+        """Return the back end's or edge daemon with this name, or None."""
+        for daemon in self._all_daemons():
             if daemon.name == name:
                 return daemon
         return None
 
     def node_name(self, node: str) -> str:
-        """Return the node meant by ``leader`` or ``follower``, or the name itself."""
+        """Resolve ``leader`` and ``follower`` to a node's name; return other names unchanged."""
         return self._control.node_name(node)
 
     def crash_daemon(self, node: str, seconds: float) -> None:
-        """Kill a daemon; start it again after ``seconds``."""
-        daemon = self._node(node)
+        """Crash a daemon and restart it after ``seconds``."""
+        daemon = self._require_daemon(node)
         if not daemon.up:
             return
         daemon.crash()
-        self._recorder.note(NodeStopped(self._clock.now, node))
+        self._recorder.record(NodeStopped(self._clock.now, node))
         self._clock.call_later(seconds, self._restart, daemon)
 
     def freeze_daemon(self, node: str, seconds: float) -> None:
-        """Stop a daemon in silence for ``seconds``."""
-        daemon = self._node(node)
+        """Freeze a daemon for ``seconds``."""
+        daemon = self._require_daemon(node)
         if not daemon.up or daemon.frozen:
             return
         daemon.freeze()
-        self._recorder.note(NodeStopped(self._clock.now, node))
+        self._recorder.record(NodeStopped(self._clock.now, node))
         self._clock.call_later(seconds, self._thaw, daemon, daemon.generation)
 
     def crash_control(self, node: str, seconds: float, wipe_disk: bool) -> None:
-        """Kill a control node."""
+        """Crash a control node and restart it after ``seconds``."""
         self._control.crash(node, seconds, wipe_disk)
         self._control.record_reachability()
 
     def freeze_control(self, node: str, seconds: float) -> None:
-        """Stop a control node in silence."""
+        """Freeze a control node for ``seconds``."""
         self._control.freeze(node, seconds)
         self._control.record_reachability()
 
     def stop_control(self, node: str, seconds: float) -> None:
-        """Restart a control node as an operator would."""
+        """Gracefully stop a control node and restart it after ``seconds``."""
         self._control.stop_planned(node, seconds)
 
     def drain(self, endpoint: str, sign: str) -> None:
-        """Let ``endpoint`` begin to leave, known by ``sign``."""
+        """Drain ``endpoint``, announced by ``sign``."""
         if sign == "answer":
             self._back_ends[endpoint].drain()
             return
@@ -120,22 +117,22 @@
             return
         self._control.declare_draining(
             endpoint,
-            lambda: self._recorder.note(EndpointLeaving(self._clock.now, endpoint, sign)),
+            lambda: self._recorder.record(EndpointLeaving(self._clock.now, endpoint, sign)),
         )
 
     def _list_leaving(self, endpoint: str) -> None:
-        self._recorder.note(EndpointLeaving(self._clock.now, endpoint, "platform"))
+        self._recorder.record(EndpointLeaving(self._clock.now, endpoint, "platform"))
         self._control.list_leaving(endpoint)
 
     def stop_planned(self, endpoint: str, seconds: float) -> None:
-        """Stop a back end and its daemon once all work is done; start them after ``seconds``."""
+        """Stop a back end and its daemon once idle, and restart them after ``seconds``."""
         daemon = self._daemons[endpoint]
         if daemon.callee is None or daemon.stopping or not daemon.up:
             return
         daemon.stopping = True
         now = self._clock.now
-        self._recorder.note(PlannedStop(now, endpoint, endpoint))
-        self._recorder.note(EndpointLeaving(now, endpoint, "stop"))
+        self._recorder.record(PlannedStop(now, endpoint, endpoint))
+        self._recorder.record(EndpointLeaving(now, endpoint, "stop"))
         daemon.callee.drain()
         daemon.announce_draining()
         stop_after = now + STOP_LINGER_SECONDS
@@ -144,20 +141,20 @@
         )
 
     def back_end_started(self, endpoint: str) -> None:
-        """Take note that a back end is up again after a crash."""
+        """Handle the restart of a back end; restarts its daemon if that is draining."""
         self._control.list_live(endpoint)
         daemon = self._daemons[endpoint]
         if daemon.up and daemon.callee is not None and daemon.callee.draining:
-            self._recorder.note(NodeStopped(self._clock.now, daemon.name))
+            self._recorder.record(NodeStopped(self._clock.now, daemon.name))
             daemon.crash()
             self._restart(daemon)
 
     def submit(self, act: acts.Submit) -> None:
-        """Let operators change the configuration."""
+        """Submit configuration changes by operators."""
         self._control.submit(act)
 
     def network_changed(self) -> None:
-        """Record what daemons can reach; links notice cuts by silence."""
+        """Record which daemons can reach control after a change of the network's cuts."""
         self._control.record_reachability()
 
     def _add_back_end(self, number: int, back_end: BackEnd) -> None:
@@ -170,17 +167,17 @@
             slots=back_end.slots,
         )
         self._endpoints[endpoint.name] = endpoint
-        daemon = self._daemon(Site(back_end.endpoint, back_end.site.zone), back_end)
+        daemon = self._create_daemon(Site(back_end.endpoint, back_end.site.zone), back_end)
         self._daemons[endpoint.name] = daemon
         back_end.path = daemon
 
-    def _daemon(self, site: Site, back_end: BackEnd | None) -> SimulatedDaemon:
+    def _create_daemon(self, site: Site, back_end: BackEnd | None) -> SimulatedDaemon:
         return SimulatedDaemon(self._simulation, site, self, self._control.connect, back_end)
 
-    def _every_daemon(self) -> list[SimulatedDaemon]:
+    def _all_daemons(self) -> list[SimulatedDaemon]:
         return [*self._daemons.values(), *self._edges.values()]
 
-    def _node(self, node: str) -> SimulatedDaemon:
+    def _require_daemon(self, node: str) -> SimulatedDaemon:
         daemon = self.find_daemon(node)
         if daemon is None:
             raise UnknownTargetError(f"no daemon {node!r}")
@@ -190,13 +187,13 @@
         if daemon.up:
             return
         daemon.restart()
-        self._recorder.note(NodeStarted(self._clock.now, daemon.name))
+        self._recorder.record(NodeStarted(self._clock.now, daemon.name))
         daemon.start_follower()
 
     def _thaw(self, daemon: SimulatedDaemon, generation: int) -> None:
         if daemon.generation == generation:
             daemon.thaw()
-            self._recorder.note(NodeStarted(self._clock.now, daemon.name))
+            self._recorder.record(NodeStarted(self._clock.now, daemon.name))
 
     def _stop_when_idle(
         self, daemon: SimulatedDaemon, generation: int, stop_after: float, seconds: float
@@ -213,17 +210,17 @@
             return
         back_end.crash()
         daemon.crash()
-        self._recorder.note(NodeStopped(self._clock.now, daemon.name))
-        self._clock.call_later(seconds, self._start_again, daemon, back_end)
+        self._recorder.record(NodeStopped(self._clock.now, daemon.name))
+        self._clock.call_later(seconds, self._restart_both, daemon, back_end)
 
-    def _start_again(self, daemon: SimulatedDaemon, back_end: BackEnd) -> None:
+    def _restart_both(self, daemon: SimulatedDaemon, back_end: BackEnd) -> None:
         back_end.start()
         self._control.list_live(back_end.endpoint)
-        self._recorder.note(EndpointReturned(self._clock.now, back_end.endpoint))
+        self._recorder.record(EndpointReturned(self._clock.now, back_end.endpoint))
         self._restart(daemon)
 
 
-def _make_control(simulation: Simulation, specification: RunSpecification) -> ControlPlane:
+def _create_control_plane(simulation: Simulation, specification: RunSpecification) -> ControlPlane:
     if specification.control_nodes:
         zones = specification.deployment.zones
         return ReplicatedControlPlane(simulation, zones, specification.control_nodes)
--- a/src/finchshed/emulator/recorder.py
+++ b/src/finchshed/emulator/recorder.py
@@ -1,4 +1,4 @@
-"""Records what happens in a run, in the schema of :mod:`finchshed.proof.history`."""
+"""Records the events of a run in the schema of :mod:`finchshed.proof.history`."""
 
 from collections.abc import Callable
 
@@ -23,16 +23,16 @@
     def __init__(self, clock: Clock, header: Header) -> None:
         self._clock = clock
         self.history = History(header, [])
-        self.note: Callable[[Event], None] = self.history.events.append
+        self.record: Callable[[Event], None] = self.history.events.append
 
     @property
     def now(self) -> float:
-        """Present time, for the events' ``time``."""
+        """Current simulated time, seconds."""
         return self._clock.now
 
     def call_began(self, request: SimulatedRequest) -> None:
-        """Record that a caller sends ``request``."""
-        self.note(
+        """Record the start of a call."""
+        self.record(
             CallBegan(
                 self._clock.now,
                 request.call,
@@ -48,21 +48,21 @@
         )
 
     def call_ended(self, call: str, outcome: Outcome) -> None:
-        """Record what a caller was told."""
+        """Record the outcome of a call."""
         now = self._clock.now
         if isinstance(outcome, Answered):
-            self.note(_answered(now, call, outcome))
+            self.record(_answered(now, call, outcome))
             return
         result = CallResult.REFUSED if isinstance(outcome, Refused) else CallResult.FAILED
-        self.note(
+        self.record(
             CallEnded(
                 now, call, result, outcome.reason.value, retry_after=round(outcome.retry_after, 6)
             )
         )
 
     def call_abandoned(self, call: str) -> None:
-        """Record that a caller gave up."""
-        self.note(CallEnded(self._clock.now, call, CallResult.ABANDONED))
+        """Record that the caller stopped waiting for a call."""
+        self.record(CallEnded(self._clock.now, call, CallResult.ABANDONED))
 
 
 def _answered(now: float, call: str, answer: Answered) -> CallEnded:
--- a/src/finchshed/emulator/request.py
+++ b/src/finchshed/emulator/request.py
@@ -1,4 +1,4 @@
-"""Requests and the path they take, as the emulator's parts hand them to each other."""
+"""Requests of the emulator and the interface that sends them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True)
 class SimulatedRequest:
-    """A request as a caller hands it to its daemon.
+    """A request that a caller sends to its daemon.
 
     Attributes
     ----------
     call
-        The caller's name for this call, unique in the run.
+        The caller's identifier of this call, unique in the run.
     deadline
-        Simulated time after which the caller has no use for the answer.
+        Simulated time after which the caller no longer waits for the answer.
     account
-        The account header the caller was given with the request it serves, or empty.
+        Account header of the request that the caller is serving, or empty.
     """
 
     call: str
@@ -41,8 +41,8 @@
 
 
 class Path(Protocol):
-    """What a caller sends through, as a back end or an outside caller sees a daemon."""
+    """Interface of a daemon to its back end and to external callers."""
 
     def call(self, request: SimulatedRequest, done: Done) -> Cancel:
-        """Send ``request``; ``done`` is called once. The result cancels the call."""
+        """Send ``request`` and call ``done`` once; returns a function that cancels the call."""
         ...
--- a/src/finchshed/emulator/run.py
+++ b/src/finchshed/emulator/run.py
@@ -1,4 +1,4 @@
-"""What a run of the emulator is given, and what comes of it."""
+"""Specification and result of a run of the emulator."""
 
 import msgspec
 
@@ -9,20 +9,20 @@
 
 
 class RunSpecification(msgspec.Struct, frozen=True, kw_only=True):
-    """One run: a deployment, a seed, demand and faults.
+    """Specification of one run.
 
     Attributes
     ----------
     begin_seconds, seconds
-        Times of the first and the last arrival; an emulated control group takes some two seconds
+        Times of the first and the last arrival. An emulated control group needs about two seconds
         to form.
     arrivals
-        Arrivals from a trace; None draws them from the seed.
+        Arrivals from a trace, or None to generate them from the seed.
     settle_seconds
-        Time the run goes on after the last arrival, so that what is in flight ends.
+        Time that the run continues after the last arrival, so that requests in flight finish.
     control_nodes
-        Number of emulated control nodes; 0 leaves the control plane out, and daemons hold the
-        configuration from the start.
+        Number of emulated control nodes. With 0, a simplified control plane configures the
+        daemons at the start.
     """
 
     deployment: Deployment
@@ -40,9 +40,9 @@
 
 
 class FinishedRun(msgspec.Struct):
-    """A finished run.
+    """Result of a run.
 
-    ``processor_seconds`` is what the emulator itself took.
+    ``processor_seconds`` is the processor time that the emulator itself used.
     """
 
     history: History
--- a/src/finchshed/emulator/simulation.py
+++ b/src/finchshed/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""What every part of a run shares."""
+"""Services shared by all components of a run."""
 
 from dataclasses import dataclass
 
@@ -19,5 +19,5 @@
 
     @property
     def now(self) -> float:
-        """Present simulated time, seconds."""
+        """Current simulated time, seconds."""
         return self.clock.now
--- a/src/finchshed/emulator/world.py
+++ b/src/finchshed/emulator/world.py
@@ -1,13 +1,10 @@
-"""Puts a deployment together and runs it.
-
-Owns the parts of one run: clock, network, random streams, recorder, back ends, daemons, callers.
-"""
+"""Assembles an emulated deployment and runs it."""
 
 import time
 
 from finchshed import __version__
 from finchshed.emulator.backend import BackEnd
-from finchshed.emulator.callers import OutsideCallers, generate_arrivals
+from finchshed.emulator.callers import ExternalCallers, generate_arrivals
 from finchshed.emulator.clock import Clock
 from finchshed.emulator.deployment import Deployment
 from finchshed.emulator.faults import FaultInjector
@@ -21,7 +18,7 @@
 
 
 class World:
-    """Everything in one run."""
+    """The components of one run."""
 
     def __init__(self, specification: RunSpecification) -> None:
         self.specification = specification
@@ -36,16 +33,16 @@
         )
         recorder = Recorder(clock, _header_of(specification))
         self.simulation = Simulation(clock, network, streams, recorder)
-        self.back_ends = self._make_back_ends()
+        self.back_ends = self._create_back_ends()
         self.processes = SimulatedProcesses(self.simulation, specification, self.back_ends)
         self.faults = FaultInjector(self.simulation, self.back_ends, self.processes)
 
     def run(self) -> FinishedRun:
-        """Run to the end and return what happened."""
+        """Run to the end and return the result."""
         began = time.process_time()
         specification = self.specification
         simulation = self.simulation
-        callers = OutsideCallers(
+        callers = ExternalCallers(
             simulation, self.deployment, specification.client, self.processes.edge_of
         )
         for act in specification.acts:
@@ -70,7 +67,7 @@
             processor_seconds=time.process_time() - began,
         )
 
-    def _make_back_ends(self) -> dict[str, BackEnd]:
+    def _create_back_ends(self) -> dict[str, BackEnd]:
         return {
             endpoint: BackEnd(self.simulation, endpoint, Site(endpoint, zone), service)
             for service in self.deployment.services
@@ -79,7 +76,7 @@
 
 
 def endpoints_of(deployment: Deployment, service: str, count: int) -> list[tuple[str, str]]:
-    """Return name and zone of each of a service's endpoints, spread over the zones in turn."""
+    """Return name and zone of each endpoint of a service, assigned to zones round-robin."""
     zones = deployment.zones
     return [(f"{service}-{number + 1}", zones[number % len(zones)]) for number in range(count)]
 
@@ -96,5 +93,5 @@
 
 
 def run(specification: RunSpecification) -> FinishedRun:
-    """Run ``specification`` in a fresh world."""
+    """Run ``specification`` in a new world."""
     return World(specification).run()
