--- a/src/finchshed/control/daemons/quarantine_service.py
+++ b/src/finchshed/control/daemons/quarantine_service.py
@@ -58,8 +58,8 @@
         records = self._register.records(clock.now())
         return (CrashNews(records),) if records else ()
 
-    def judgements(self) -> tuple[tuple[CrashRecord, Assessment], ...]:
-        """Return the records of all suspected requests, each with its judgement."""
+    def assessments(self) -> tuple[tuple[CrashRecord, Assessment], ...]:
+        """Return the records of all suspected requests, each with its assessment."""
         now = clock.now()
         records = self._register.records(now)
         judged = ((record, self._register.assess(record.signature, now)) for record in records)
--- a/src/finchshed/control/daemons/quota_service.py
+++ b/src/finchshed/control/daemons/quota_service.py
@@ -100,7 +100,7 @@
         self._configure()
         if isinstance(request, QuotaReport):
             return self._division.on_report(daemon, request, now)
-        return self._division.on_ask(request, now)
+        return self._division.on_token_request(request, now)
 
     async def _confirm_leadership(self) -> None:
         started_at = clock.now()
--- a/src/finchshed/control/operators/responses.py
+++ b/src/finchshed/control/operators/responses.py
@@ -79,19 +79,19 @@
 
 
 def quarantine_response(
-    judgements: Iterable[tuple[CrashRecord, Assessment]],
+    assessments: Iterable[tuple[CrashRecord, Assessment]],
 ) -> pb.QuarantineResponse:
     """Return the requests suspected of crashing back ends."""
     return pb.QuarantineResponse(
         requests=[
             pb.QuarantinedRequest(
                 signature=record.signature,
-                standing=judgement.suspicion.value,
+                standing=assessment.suspicion.value,
                 instances=[crash.instance for crash in record.crashes],
                 age_seconds=record.age_seconds,
-                refused_seconds=judgement.seconds,
+                refused_seconds=assessment.seconds,
             )
-            for record, judgement in judgements
+            for record, assessment in assessments
         ]
     )
 
--- a/src/finchshed/control/operators/service.py
+++ b/src/finchshed/control/operators/service.py
@@ -215,7 +215,7 @@
     ) -> pb.QuarantineResponse:
         """Return the requests suspected of crashing back ends."""
         await self._authenticator.authenticate(context)
-        return quarantine_response(self._distribution.quarantine.judgements())
+        return quarantine_response(self._distribution.quarantine.assessments())
 
     async def LiftQuarantine(  # noqa: N802
         self, request: pb.LiftQuarantineRequest, context: grpc.aio.ServicerContext
--- a/src/finchshed/daemon/calling/attempt.py
+++ b/src/finchshed/daemon/calling/attempt.py
@@ -17,7 +17,7 @@
 
     Attributes
     ----------
-    lent_attempts
+    allocated_attempts
         Retries from the root request's budget that the callee may spend.
     admitted_fraction
         Lowest admitted fraction of the request's class along the path so far.
@@ -34,7 +34,7 @@
     """
 
     request: Request
-    lent_attempts: int
+    allocated_attempts: int
     admitted_fraction: float
     deadline: float
     on_reply: Callable[[Reply | None], None]
--- a/src/finchshed/daemon/calling/caller.py
+++ b/src/finchshed/daemon/calling/caller.py
@@ -46,12 +46,12 @@
     """State captured when a call starts and used when it ends.
 
     ``account`` is the retry account of the parent request, or empty for a root request;
-    ``lent_attempts`` is the number of retries that account lent to the call.
+    ``allocated_attempts`` is the number of retries that account allocated to the call.
     """
 
     request: Request
     account: str
-    lent_attempts: int
+    allocated_attempts: int
     key: JoinKey | None
     signature: LazySignature
 
@@ -139,8 +139,8 @@
         fingerprint = fingerprint_of(request.method, request.path, request.body)
         existing = self._joinable.get(key)
         if existing is not None:
-            lent = request.context.spare_attempts
-            self._served.give_back(account, lent, lent)
+            allocated = request.context.spare_attempts
+            self._served.refund(account, allocated, allocated)
             return self._join(existing, fingerprint, on_outcome)
         call = self._start(request, account, key)
         if not call.is_over:
@@ -162,12 +162,12 @@
         return call.add_waiter(on_outcome)
 
     def _start(self, request: Request, account: str, key: JoinKey | None) -> OutgoingCall:
-        lent_attempts = request.context.spare_attempts
+        allocated_attempts = request.context.spare_attempts
         if request.in_session:
             conditions = self._pins.range_conditions(request)
             request = msgspec.structs.replace(request, headers=request.headers + conditions)
         signature = self._signatures.lazy_signature(request)
-        started = _StartedCall(request, account, lent_attempts, key, signature)
+        started = _StartedCall(request, account, allocated_attempts, key, signature)
         call = OutgoingCall(
             request,
             self._caller_logic(request, signature),
@@ -218,7 +218,7 @@
             signature=started.signature() if includes_signature(outcome) else "",
         )
         if started.account:
-            self._served.give_back(started.account, started.lent_attempts, spare)
+            self._served.refund(started.account, started.allocated_attempts, spare)
             if result_of(outcome) is not CallResult.OK:
                 self._served.on_call_failed(started.account, _call_key(request))
 
--- a/src/finchshed/daemon/calling/daemon_links.py
+++ b/src/finchshed/daemon/calling/daemon_links.py
@@ -279,7 +279,7 @@
             return
         request = attempt.request
         context = request.context.for_attempt(
-            remaining, attempt.lent_attempts, attempt.admitted_fraction
+            remaining, attempt.allocated_attempts, attempt.admitted_fraction
         )
         content = CallContent(
             service=request.service,
--- a/src/finchshed/daemon/calling/outgoing_call.py
+++ b/src/finchshed/daemon/calling/outgoing_call.py
@@ -138,7 +138,7 @@
             metrics.RETRIES.labels(self.request.service).inc()
         attempt = Attempt(
             request=self.request,
-            lent_attempts=effect.allocated_attempts,
+            allocated_attempts=effect.allocated_attempts,
             admitted_fraction=effect.admitted_fraction,
             deadline=self._deadline,
             on_reply=lambda reply: self._on_reply(number, reply),
@@ -170,11 +170,11 @@
         self._report(number, outcome, reply.spare_attempts, reply)
 
     def _on_unsent(
-        self, number: int, lent_attempts: int, reason: RefusalReason, detail: str
+        self, number: int, allocated_attempts: int, reason: RefusalReason, detail: str
     ) -> None:
         refused = Refused(reason, self._retry_after(), detail)
         # Deferred, because effects of the state machine may still be executing.
-        self._loop.call_soon(self._report, number, refused, lent_attempts, None)
+        self._loop.call_soon(self._report, number, refused, allocated_attempts, None)
 
     def _report(self, number: int, outcome: Outcome, spare: int, reply: Reply | None) -> None:
         load = None if reply is None else reply.load
--- a/src/finchshed/daemon/daemon.py
+++ b/src/finchshed/daemon/daemon.py
@@ -158,7 +158,7 @@
                 link.fetch(revision)
                 return
 
-    def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def connect_to_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to peers, which report their revisions on them."""
         self._links.open_links(endpoints)
 
--- a/src/finchshed/daemon/ingress/host_handler.py
+++ b/src/finchshed/daemon/ingress/host_handler.py
@@ -149,7 +149,7 @@
 
         def on_outcome(outcome: Outcome) -> None:
             if isinstance(outcome, Refused):
-                self._quotas.give_back(tenant.name)
+                self._quotas.refund(tenant.name)
             respond(host_response(outcome))
 
         def on_decided(refused: Refused | None) -> None:
--- a/src/finchshed/daemon/ingress/quota_gate.py
+++ b/src/finchshed/daemon/ingress/quota_gate.py
@@ -19,18 +19,18 @@
 from finchshed.retry.policy import RETRY_AFTER_SPREAD, retry_after
 from finchshed.runtime import clock
 
-ASK_TIMEOUT_SECONDS = 0.15
-"""Timeout of an ask; the leader normally answers within milliseconds."""
+TOKEN_REQUEST_TIMEOUT_SECONDS = 0.15
+"""Timeout of a token request; the leader normally answers within milliseconds."""
 
-MAX_TOKENS_PER_ASK = 100
-"""Maximum number of tokens requested by one ask."""
+MAX_TOKENS_PER_REQUEST = 100
+"""Maximum number of tokens requested at once."""
 
 OnDecided = Callable[[Refused | None], None]
 
 
 @dataclass(slots=True)
 class _TenantQueue:
-    """A tenant's ask in progress, and the requests that wait for it or the next one."""
+    """A tenant's token request in progress, and the client requests that wait for tokens."""
 
     ask: QuotaAsk | None = None
     timer: asyncio.TimerHandle | None = None
@@ -56,7 +56,7 @@
         self._share = DaemonShare(incarnation, started_ms)
         self._rng = rng
         self._queues: dict[str, _TenantQueue] = {}
-        self._tenant_by_ask: dict[int, str] = {}
+        self._tenant_by_request_number: dict[int, str] = {}
         self._report_timer: asyncio.TimerHandle | None = None
 
     def configure(self, catalogue: Catalogue) -> None:
@@ -93,7 +93,7 @@
                 on_decided(self._unconfirmed_refusal())
         return _no_op
 
-    def give_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         """Return the token of a request that did not run."""
         self._share.refund(tenant, clock.now())
 
@@ -101,7 +101,7 @@
         queue = self._queues.setdefault(tenant, _TenantQueue())
         queue.waiting.append(on_decided)
         if queue.ask is None:
-            self._ask(tenant, queue)
+            self._request_tokens(tenant, queue)
 
         def stop_waiting() -> None:
             if on_decided in queue.waiting:
@@ -109,27 +109,31 @@
 
         return stop_waiting
 
-    def _ask(self, tenant: str, queue: _TenantQueue) -> None:
-        ask = self._share.next_ask(tenant, min(MAX_TOKENS_PER_ASK, len(queue.waiting)))
+    def _request_tokens(self, tenant: str, queue: _TenantQueue) -> None:
+        ask = self._share.next_token_request(
+            tenant, min(MAX_TOKENS_PER_REQUEST, len(queue.waiting))
+        )
         if not self._client.send_quota(ask):
             self._on_unanswered(tenant, queue)
             return
         queue.ask = ask
-        self._tenant_by_ask[ask.number] = tenant
+        self._tenant_by_request_number[ask.number] = tenant
         loop = asyncio.get_running_loop()
-        queue.timer = loop.call_later(ASK_TIMEOUT_SECONDS, self._on_unanswered, tenant, queue)
+        queue.timer = loop.call_later(
+            TOKEN_REQUEST_TIMEOUT_SECONDS, self._on_unanswered, tenant, queue
+        )
 
     def _on_answer(self, answer: QuotaAnswer) -> None:
         now = clock.now()
         if isinstance(answer, QuotaShares):
             self._share.on_shares(answer, now)
             return
-        tenant = self._tenant_by_ask.get(answer.number)
+        tenant = self._tenant_by_request_number.get(answer.number)
         if tenant is not None and self._share.matches_incarnation(answer):
             self._on_tokens(tenant, self._queues[tenant], answer, now)
 
     def _on_tokens(self, tenant: str, queue: _TenantQueue, answer: QuotaTokens, now: float) -> None:
-        ask = self._finish_ask(queue)
+        ask = self._finish_token_request(queue)
         if ask is None:
             return
         self._share.on_tokens(ask, answer, self._rng.random(), now)
@@ -139,7 +143,7 @@
             else:
                 self._share.refund(tenant, now)  # the request has been cancelled
         if answer.tokens >= ask.tokens and queue.waiting:
-            self._ask(tenant, queue)
+            self._request_tokens(tenant, queue)
             return
         while queue.waiting:
             notify = queue.waiting.popleft()
@@ -147,21 +151,21 @@
             notify(None if has_own else self._limit_refusal(tenant))
 
     def _on_unanswered(self, tenant: str, queue: _TenantQueue) -> None:
-        self._finish_ask(queue)
+        self._finish_token_request(queue)
         now = clock.now()
-        self._share.on_ask_timeout(now)
+        self._share.on_token_request_timeout(now)
         while queue.waiting:
             notify = queue.waiting.popleft()
             notify(None if self._share.take_local(tenant, now) else self._unconfirmed_refusal())
 
-    def _finish_ask(self, queue: _TenantQueue) -> QuotaAsk | None:
-        """Clear the ask in progress and return it, or None if there is none."""
+    def _finish_token_request(self, queue: _TenantQueue) -> QuotaAsk | None:
+        """Clear the token request in progress and return it, or None if there is none."""
         ask, queue.ask = queue.ask, None
         if queue.timer is not None:
             queue.timer.cancel()
             queue.timer = None
         if ask is not None:
-            del self._tenant_by_ask[ask.number]
+            del self._tenant_by_request_number[ask.number]
         return ask
 
     def _report(self) -> None:
--- a/src/finchshed/daemon/ingress/service_handler.py
+++ b/src/finchshed/daemon/ingress/service_handler.py
@@ -154,7 +154,7 @@
         return malformed_service_response(detail, status)
 
     def _root_context(self, request: InboundRequest, matched: RouteMatch) -> CallContext:
-        # If the request has an account, its parent has ended: no attempts are left to lend.
+        # If the request has an account, its parent has ended: no attempts are left to allocate.
         is_parent_finished = _ACCOUNT in request.first
         root = request.header(_ROOT) or self._new_root()
         caller = request.header(_CALLER) or request.remote
@@ -189,7 +189,7 @@
             remaining_seconds=min(
                 parent_remaining_seconds, _remaining_seconds(request, parent_remaining_seconds)
             ),
-            spare_attempts=self._served.lend(served.account),
+            spare_attempts=self._served.allocate(served.account),
             depth=inherited.depth + 1,
             caller=inherited.caller,
             session=session,
--- a/src/finchshed/daemon/link_handler.py
+++ b/src/finchshed/daemon/link_handler.py
@@ -84,11 +84,11 @@
 
     def crash_news_received(self, news: CrashNews) -> None:
         """Merge crash records received from a peer."""
-        self._quarantine.on_peer_news(news.records)
+        self._quarantine.on_peer_records(news.records)
 
     def crash_news(self) -> CrashNews | None:
         """Return the crash records to send when a link opens, or None."""
-        return self._quarantine.news_for_link()
+        return self._quarantine.records_for_link()
 
     def load_report(self) -> LoadReport:
         """Return the load report for a heartbeat."""
--- a/src/finchshed/daemon/quarantine.py
+++ b/src/finchshed/daemon/quarantine.py
@@ -85,9 +85,9 @@
 
     def on_answer(self, record: CrashRecord) -> None:
         """Merge the crash record attached to a reply."""
-        self.on_peer_news((record,))
+        self.on_peer_records((record,))
 
-    def on_peer_news(self, records: Sequence[CrashRecord]) -> None:
+    def on_peer_records(self, records: Sequence[CrashRecord]) -> None:
         """Merge crash records from a peer; without control, forward changes on all links."""
         changed = self._register.merge(records, clock.now())
         self._has_unsent = self._has_unsent or bool(changed)
@@ -95,7 +95,7 @@
         if changed and not self._client.is_connected:
             self._send_on_links(CrashNews(changed))
 
-    def news_for_link(self) -> CrashNews | None:
+    def records_for_link(self) -> CrashNews | None:
         """Return the crash records to send when a link opens, or None."""
         if not self._register:
             return None
@@ -166,21 +166,21 @@
     def _log(self, changed: Sequence[CrashRecord], cause: str) -> None:
         """Log changed records, quarantined requests first, up to ``MAX_LOGGED_RECORDS`` lines."""
         now = clock.now()
-        judged = [(record, self._register.assess(record.signature, now)) for record in changed]
-        judged.sort(key=lambda item: item[1].suspicion is not Suspicion.QUARANTINED)
-        for record, judgement in judged[:MAX_LOGGED_RECORDS]:
+        assessed = [(record, self._register.assess(record.signature, now)) for record in changed]
+        assessed.sort(key=lambda item: item[1].suspicion is not Suspicion.QUARANTINED)
+        for record, assessment in assessed[:MAX_LOGGED_RECORDS]:
             logger.info(
                 "request {} is {}: {}; back ends that crashed while running it: {}, refuted: {}, "
                 "last {:.1f} s ago, refused for another {:.0f} s",
                 record.signature,
-                judgement.suspicion.value,
+                assessment.suspicion.value,
                 cause,
                 ", ".join(crash.instance for crash in record.crashes),
                 len(record.refuted),
                 record.age_seconds,
-                judgement.seconds,
+                assessment.seconds,
             )
-        if len(judged) > MAX_LOGGED_RECORDS:
+        if len(assessed) > MAX_LOGGED_RECORDS:
             logger.info(
-                "{} more crash records changed: {}", len(judged) - MAX_LOGGED_RECORDS, cause
+                "{} more crash records changed: {}", len(assessed) - MAX_LOGGED_RECORDS, cause
             )
--- a/src/finchshed/daemon/serving/backend_runner.py
+++ b/src/finchshed/daemon/serving/backend_runner.py
@@ -92,10 +92,10 @@
 
     def start(self, inbound: InboundCall) -> None:
         """Run a call admitted by the gate."""
-        judgement = self._quarantine.check(inbound.signature)
-        if judgement.suspicion is Suspicion.QUARANTINED:
+        assessment = self._quarantine.check(inbound.signature)
+        if assessment.suspicion is Suspicion.QUARANTINED:
             # Other attempts of the request crashed back ends while this one was queued.
-            self._on_finished(inbound, Refused(RefusalReason.QUARANTINED, judgement.seconds))
+            self._on_finished(inbound, Refused(RefusalReason.QUARANTINED, assessment.seconds))
             return
         metrics.QUEUE_DELAY.observe(clock.now() - inbound.arrived)
         if inbound.repeatable or inbound.is_by_host:
--- a/src/finchshed/daemon/serving/callee.py
+++ b/src/finchshed/daemon/serving/callee.py
@@ -163,11 +163,11 @@
         self._calls[inbound.token] = inbound
         self._by_call[call.epoch, call.call] = inbound
         inbound.signature = self._signatures.lazy_signature(call)
-        judgement = self._quarantine.check(inbound.signature)
-        if judgement.suspicion is Suspicion.QUARANTINED:
-            detail = f"{judgement.crashes} back ends ended under it"
-            self._refuse(inbound, Refused(RefusalReason.QUARANTINED, judgement.seconds, detail))
-        elif judgement.suspicion is Suspicion.SUSPECT:
+        assessment = self._quarantine.check(inbound.signature)
+        if assessment.suspicion is Suspicion.QUARANTINED:
+            detail = f"{assessment.crashes} back ends ended under it"
+            self._refuse(inbound, Refused(RefusalReason.QUARANTINED, assessment.seconds, detail))
+        elif assessment.suspicion is Suspicion.SUSPECT:
             self._enter_suspect(inbound)
         else:
             self._gate.enter(inbound, now)
--- a/src/finchshed/daemon/serving/served_requests.py
+++ b/src/finchshed/daemon/serving/served_requests.py
@@ -70,13 +70,13 @@
         """Return whether a call made for the request failed."""
         return self._accounts.has_failed_call(account)
 
-    def lend(self, account: str) -> int:
-        """Lend retries to one call of the request; return how many."""
+    def allocate(self, account: str) -> int:
+        """Allocate retries to one call of the request; return how many."""
         return self._accounts.allocate(account)
 
-    def give_back(self, account: str, lent: int, spare_attempts: int) -> None:
-        """Return the unused part of ``lent`` retries to the account."""
-        self._accounts.refund(account, lent, spare_attempts)
+    def refund(self, account: str, allocated: int, spare_attempts: int) -> None:
+        """Return the unused part of ``allocated`` retries to the account."""
+        self._accounts.refund(account, allocated, spare_attempts)
 
     def on_call_failed(self, account: str, call: str) -> None:
         """Record that a call made for the request failed."""
--- a/src/finchshed/distribution/effects.py
+++ b/src/finchshed/distribution/effects.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GreetPeers:
+class ConnectToPeers:
     """Open a link to each of these endpoints to learn their revisions."""
 
     endpoints: tuple[Endpoint, ...]
@@ -93,7 +93,7 @@
 FollowerEffect: TypeAlias = (
     FetchFromControl
     | FetchFromPeer
-    | GreetPeers
+    | ConnectToPeers
     | PersistRecord
     | TakeEffect
     | ReportInForce
--- a/src/finchshed/distribution/fetch_scheduler.py
+++ b/src/finchshed/distribution/fetch_scheduler.py
@@ -36,7 +36,7 @@
     def on_up_to_date(self) -> None:
         """Reset the order of sources, starting with control, once no revision is missing."""
         self._peer_is_next = False
-        self._peers.clear_asked()
+        self._peers.clear_requested()
 
     def next_fetch(
         self, revision: int, control_connected: bool, now: float
@@ -52,7 +52,7 @@
         peer = self._peers.next_peer_ahead(revision)
         if peer and (self._peer_is_next or not control_connected):
             self._peer_is_next = False
-            self._peers.on_asked(peer)
+            self._peers.mark_requested(peer)
             return FetchFromPeer(peer, revision)
         if control_connected:
             self._peer_is_next = True
--- a/src/finchshed/distribution/follower.py
+++ b/src/finchshed/distribution/follower.py
@@ -16,9 +16,9 @@
 from finchshed.configuration.resources import Endpoint
 from finchshed.distribution.delta_history import DeltaHistory
 from finchshed.distribution.effects import (
+    ConnectToPeers,
     FollowerEffect,
     FollowerRecord,
-    GreetPeers,
     PersistRecord,
     ReportInForce,
     ServingBasis,
@@ -130,7 +130,7 @@
         effects: list[FollowerEffect] = [TakeEffect(Configuration(), self._in_force)]
         peers = self._zone_peers()
         if peers:
-            effects.append(GreetPeers(peers))
+            effects.append(ConnectToPeers(peers))
         effects.extend(self._next_effects(now))
         return effects
 
--- a/src/finchshed/distribution/follower_runner.py
+++ b/src/finchshed/distribution/follower_runner.py
@@ -19,11 +19,11 @@
 from finchshed.distribution.client_handlers import ClientHandlers
 from finchshed.distribution.control_dialer import Connect
 from finchshed.distribution.effects import (
+    ConnectToPeers,
     FetchFromControl,
     FetchFromPeer,
     FollowerEffect,
     FollowerRecord,
-    GreetPeers,
     PersistRecord,
     ReportInForce,
     ServingBasis,
@@ -53,7 +53,7 @@
     def fetch_from_peer(self, peer: str, revision: int) -> None:
         """Send ``Fetch(revision)`` on the link to ``peer``, if there is one."""
 
-    def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def connect_to_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to these endpoints."""
 
 
@@ -160,8 +160,8 @@
                 self.client.fetch(revision)
             case FetchFromPeer(peer, revision):
                 self._listener.fetch_from_peer(peer, revision)
-            case GreetPeers(endpoints):
-                self._listener.greet_peers(endpoints)
+            case ConnectToPeers(endpoints):
+                self._listener.connect_to_peers(endpoints)
             case StartServing(basis):
                 self._listener.start_serving(basis)
             case PersistRecord(record):
--- a/src/finchshed/distribution/peer_revisions.py
+++ b/src/finchshed/distribution/peer_revisions.py
@@ -11,7 +11,7 @@
 
     def __init__(self) -> None:
         self._revisions: dict[str, int] = {}
-        self._asked: set[str] = set()
+        self._requested: set[str] = set()
 
     def record(self, peer: str, revision: int) -> None:
         """Record a revision that ``peer`` reported."""
@@ -20,11 +20,11 @@
     def clear(self) -> None:
         """Remove all peers."""
         self._revisions.clear()
-        self._asked.clear()
+        self._requested.clear()
 
-    def clear_asked(self) -> None:
-        """Allow every peer to be asked again."""
-        self._asked.clear()
+    def clear_requested(self) -> None:
+        """Allow a request to every peer again."""
+        self._requested.clear()
 
     def count_reported(self, peers: Iterable[str]) -> int:
         """Return how many of ``peers`` have reported a revision."""
@@ -33,14 +33,16 @@
     def next_peer_ahead(self, revision: int) -> str:
         """Return the peer with the highest revision above ``revision``, or an empty string.
 
-        Peers that were already asked are skipped until all have been asked, so that a peer that
+        Peers that were sent a request are skipped until all were, so that a peer that
         doesn't answer isn't asked repeatedly.
         """
         ahead = {peer for peer, held in self._revisions.items() if held > revision}
-        if ahead and ahead <= self._asked:
-            self._asked.clear()
-        return max(ahead - self._asked, key=lambda peer: (self._revisions[peer], peer), default="")
+        if ahead and ahead <= self._requested:
+            self._requested.clear()
+        return max(
+            ahead - self._requested, key=lambda peer: (self._revisions[peer], peer), default=""
+        )
 
-    def on_asked(self, peer: str) -> None:
+    def mark_requested(self, peer: str) -> None:
         """Mark ``peer`` as asked."""
-        self._asked.add(peer)
+        self._requested.add(peer)
--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -239,7 +239,7 @@
             delta = self._connection.follower.follower.answer_fetch(revision)
             self.send(peer, done, delta, life=life)
 
-    def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def connect_to_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to peers, to learn their revisions."""
         for endpoint in endpoints:
             self.link_to(endpoint.name).open()
--- a/src/finchshed/emulator/daemons/follower_shell.py
+++ b/src/finchshed/emulator/daemons/follower_shell.py
@@ -11,11 +11,11 @@
 
 from finchshed.configuration.resources import Endpoint
 from finchshed.distribution.effects import (
+    ConnectToPeers,
     FetchFromControl,
     FetchFromPeer,
     FollowerEffect,
     FollowerRecord,
-    GreetPeers,
     PersistRecord,
     ReportInForce,
     StartServing,
@@ -55,7 +55,7 @@
     def fetch_from_peer(self, peer: str, revision: int, done: Callable[[Delta], None]) -> None:
         """Ask a peer for what follows ``revision``."""
 
-    def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def connect_to_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to these endpoints."""
 
     def hints(self, hints: Hints) -> None:
@@ -144,8 +144,8 @@
                 self._listener.fetch_from_peer(
                     peer, effect.revision, lambda delta: self._peer_delta(peer, delta)
                 )
-            case GreetPeers():
-                self._listener.greet_peers(effect.endpoints)
+            case ConnectToPeers():
+                self._listener.connect_to_peers(effect.endpoints)
             case StartServing():
                 self._listener.start_serving()
             case PersistRecord():
--- a/src/finchshed/link/messages.py
+++ b/src/finchshed/link/messages.py
@@ -60,7 +60,7 @@
 class Reply(msgspec.Struct, frozen=True, omit_defaults=True, tag="reply"):
     """The outcome of a call.
 
-    ``spare_attempts`` is what the callee's side did not spend of the attempts lent to the
+    ``spare_attempts`` is what the callee's side did not spend of the attempts allocated to the
     call. ``digest`` is xxh3-64 of an answer's body, hexadecimal; empty for other outcomes.
     ``crash_record`` is there where back ends ended under the request.
     """
--- a/src/finchshed/quota/allocator.py
+++ b/src/finchshed/quota/allocator.py
@@ -141,7 +141,7 @@
             return None
         return QuotaShares(report.incarnation, report.number, tuple(granted.values()))
 
-    def on_ask(self, ask: QuotaAsk, now: float) -> QuotaTokens:
+    def on_token_request(self, ask: QuotaAsk, now: float) -> QuotaTokens:
         """Grant tokens from the reserve, up to what it holds."""
         tenant = self._tenants.get(ask.tenant)
         if tenant is None:
--- a/src/finchshed/quota/daemon_share.py
+++ b/src/finchshed/quota/daemon_share.py
@@ -150,7 +150,7 @@
         share = self._shares.get(tenant)
         return share is not None and now < self._lease_ends_at and share.bucket.take(1, now) == 1
 
-    def on_ask_timeout(self, now: float) -> None:
+    def on_token_request_timeout(self, now: float) -> None:
         """Stop asking the reserve for a while after a token request timed out."""
         self._unreached_until = now + UNREACHED_BACKOFF_SECONDS
 
@@ -217,7 +217,7 @@
         """Return whether an answer is addressed to this incarnation of the daemon."""
         return answer.incarnation == self._incarnation
 
-    def next_ask(self, tenant: str, tokens: int) -> QuotaAsk:
+    def next_token_request(self, tenant: str, tokens: int) -> QuotaAsk:
         """Return the message that requests tokens from the leader's reserve."""
         self._last_message_number += 1
         return QuotaAsk(self._incarnation, self._last_message_number, tenant, tokens)
--- a/tests/control/test_daemon_view.py
+++ b/tests/control/test_daemon_view.py
@@ -50,7 +50,7 @@
     def fetch_from_peer(self, peer: str, revision: int) -> None:
         pass
 
-    def greet_peers(self, endpoints: tuple[object, ...]) -> None:
+    def connect_to_peers(self, endpoints: tuple[object, ...]) -> None:
         pass
 
 
--- a/tests/control/test_quarantine_service.py
+++ b/tests/control/test_quarantine_service.py
@@ -50,10 +50,10 @@
     node.service.on_daemon_report(news("a", "i-1", "i-2", "i-3"))
     (initial_message,) = node.service.initial_messages()
     assert isinstance(initial_message, CrashNews)
-    assert [judgement.suspicion for _, judgement in node.service.judgements()] == [
+    assert [assessment.suspicion for _, assessment in node.service.assessments()] == [
         Suspicion.QUARANTINED
     ]
     assert not node.service.lift("b")
     assert node.service.lift("a")
-    assert node.service.judgements() == ()
+    assert node.service.assessments() == ()
     assert node.to_peers[-1].records[0].refuted == ("i-1", "i-2", "i-3")
--- a/tests/daemon/test_host_requests.py
+++ b/tests/daemon/test_host_requests.py
@@ -80,7 +80,7 @@
         on_decided(self.refusal)
         return lambda: None
 
-    def give_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         self.given_back.append(tenant)
 
 
--- a/tests/daemon/test_quarantine.py
+++ b/tests/daemon/test_quarantine.py
@@ -54,12 +54,12 @@
     first, second = QuarantineFixture(is_connected=False), QuarantineFixture(is_connected=False)
     first.crash("i-1", "i-2", "i-3")
     for news in first.to_links:
-        second.quarantine.on_peer_news(news.records)
+        second.quarantine.on_peer_records(news.records)
     assert second.quarantine.check(LAZY_SIGNATURE).suspicion is Suspicion.QUARANTINED
     forwarded = len(second.to_links)
     assert forwarded == len(first.to_links) == 3
     for news in first.to_links:
-        second.quarantine.on_peer_news(news.records)
+        second.quarantine.on_peer_records(news.records)
     assert len(second.to_links) == forwarded
 
 
--- a/tests/daemon/test_quota_gate.py
+++ b/tests/daemon/test_quota_gate.py
@@ -8,7 +8,7 @@
 from finchshed.common.outcomes import RefusalReason, Refused
 from finchshed.configuration.resources import Tenant
 from finchshed.daemon.catalogue import Catalogue
-from finchshed.daemon.ingress.quota_gate import ASK_TIMEOUT_SECONDS, QuotaGate
+from finchshed.daemon.ingress.quota_gate import TOKEN_REQUEST_TIMEOUT_SECONDS, QuotaGate
 from finchshed.quota.messages import (
     GrantedShare,
     QuotaAnswer,
@@ -99,7 +99,7 @@
 
 async def test_without_an_answer_nothing_is_said_of_the_limit(quotas: QuotaFixture) -> None:
     quotas.ask(2)
-    await asyncio.sleep(2.0 * ASK_TIMEOUT_SECONDS)
+    await asyncio.sleep(2.0 * TOKEN_REQUEST_TIMEOUT_SECONDS)
     assert quotas.reasons() == [RefusalReason.QUOTA_UNCONFIRMED] * 2
     quotas.grant(1)
     quotas.ask()
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -89,7 +89,7 @@
     def fetch_from_peer(self, peer: str, revision: int) -> None:
         pass
 
-    def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def connect_to_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
         pass
 
 
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -2,10 +2,10 @@
 
 from finchshed.configuration.resources import Endpoint, Resource, ResourceKey, Service
 from finchshed.distribution.effects import (
+    ConnectToPeers,
     FetchFromControl,
     FetchFromPeer,
     FollowerRecord,
-    GreetPeers,
     PersistRecord,
     ReportInForce,
     ServingBasis,
@@ -143,7 +143,7 @@
 
 def test_a_daemon_with_a_disk_serves_once_most_peers_of_its_zone_answered() -> None:
     follower = Follower(IDENTITY, has_disk=True, record=record(4, "p", "q", "r"))
-    assert kinds(follower.start(0.0)) == [TakeEffect, GreetPeers]
+    assert kinds(follower.start(0.0)) == [TakeEffect, ConnectToPeers]
     follower.on_peer_revision("p", 4, 1.0)
     follower.on_peer_revision("stranger", 4, 1.0)
     assert not follower.may_serve
--- a/tests/quota/quota_simulation.py
+++ b/tests/quota/quota_simulation.py
@@ -18,7 +18,7 @@
 OVERLAP_SECONDS = 1.0
 """Maximum time for which a deposed leader keeps granting beside its successor."""
 
-ASK_TIMEOUT_SECONDS = 0.25
+TOKEN_REQUEST_TIMEOUT_SECONDS = 0.25
 WINDOW_SECONDS = 5.0
 
 
@@ -93,12 +93,13 @@
             case TokenDecision.UNREACHED:
                 counts.unanswered.append(now)
             case TokenDecision.ASK:
-                ask = self.share.next_ask(tenant, 1)
+                ask = self.share.next_token_request(tenant, 1)
                 pending_asks = self.simulation.pending_asks
                 pending_asks[(self.name, self.incarnation, ask.number)] = (ask, now)
                 self._send(ask)
                 simulation.clock.at(
-                    now + ASK_TIMEOUT_SECONDS, lambda: self._on_ask_timeout(ask, counts)
+                    now + TOKEN_REQUEST_TIMEOUT_SECONDS,
+                    lambda: self._on_token_request_timeout(ask, counts),
                 )
 
     def handle(self, incarnation: int, answer: QuotaShares | QuotaTokens) -> None:
@@ -121,14 +122,14 @@
         has_token = bool(answer.tokens) or self.share.take_local(ask.tenant, clock.now)
         (counts.run if has_token else counts.refused).append(clock.now)
 
-    def _on_ask_timeout(self, ask: QuotaAsk, counts: Counts) -> None:
+    def _on_token_request_timeout(self, ask: QuotaAsk, counts: Counts) -> None:
         now = self.simulation.clock.now
         if (
             self.simulation.pending_asks.pop((self.name, self.incarnation, ask.number), None)
             is None
         ):
             return
-        self.share.on_ask_timeout(now)
+        self.share.on_token_request_timeout(now)
         has_token = self.share.take_local(ask.tenant, now)
         (counts.run if has_token else counts.unanswered).append(now)
 
@@ -192,7 +193,7 @@
                 daemon.name, message, clock.now
             )
         else:
-            answer = self.allocator.on_ask(message, clock.now)
+            answer = self.allocator.on_token_request(message, clock.now)
         if answer is None or clock.now < daemon.partitioned_until:
             return
         sent = answer
--- a/tests/quota/test_daemon_share.py
+++ b/tests/quota/test_daemon_share.py
@@ -83,11 +83,11 @@
 def test_after_a_denial_the_reserve_is_left_alone_for_a_moment() -> None:
     share = limited_share()
     share.take("t", 1.0)
-    ask = share.next_ask("t", 3)
+    ask = share.next_token_request("t", 3)
     share.on_tokens(ask, QuotaTokens("life", ask.number, 1, 0.4), 0.0, 1.0)
     assert share.take("t", 1.0 + DENIED_BACKOFF_SECONDS - 0.01) is TokenDecision.DENIED
     assert share.take("t", 1.0 + DENIED_BACKOFF_SECONDS) is TokenDecision.ASK
-    share.on_ask_timeout(2.0)
+    share.on_token_request_timeout(2.0)
     assert share.take("t", 2.0) is TokenDecision.UNREACHED
     assert share.take("t", 2.0 + UNREACHED_BACKOFF_SECONDS) is TokenDecision.ASK
 
--- a/tests/quota/test_division.py
+++ b/tests/quota/test_division.py
@@ -157,21 +157,21 @@
 
 def test_the_reserve_helps_out_and_tells_when_it_may_have_more() -> None:
     allocator = make_allocator()
-    answer = allocator.on_ask(QuotaAsk("1", 1, "t", 5), SETTLED)
+    answer = allocator.on_token_request(QuotaAsk("1", 1, "t", 5), SETTLED)
     assert (answer.tokens, answer.seconds_until_more) == (5, 0.0)
-    answer = allocator.on_ask(QuotaAsk("1", 2, "t", 100_000), SETTLED)
+    answer = allocator.on_token_request(QuotaAsk("1", 2, "t", 100_000), SETTLED)
     assert 0 < answer.tokens < 1000
     assert answer.seconds_until_more > 0.0
-    assert allocator.on_ask(QuotaAsk("1", 3, "unknown", 1), SETTLED).tokens == 0
+    assert allocator.on_token_request(QuotaAsk("1", 3, "unknown", 1), SETTLED).tokens == 0
 
 
 def test_returned_tokens_can_be_asked_for() -> None:
     allocator = make_allocator()
     share = send_report(allocator, "a", 1, demand=100.0)
-    allocator.on_ask(QuotaAsk("1", 2, "t", 100_000), SETTLED)
-    assert allocator.on_ask(QuotaAsk("1", 3, "t", 7), SETTLED).tokens == 0
+    allocator.on_token_request(QuotaAsk("1", 2, "t", 100_000), SETTLED)
+    assert allocator.on_token_request(QuotaAsk("1", 3, "t", 7), SETTLED).tokens == 0
     send_report(allocator, "a", 4, share, demand=100.0, returned=7.0)
-    assert allocator.on_ask(QuotaAsk("1", 5, "t", 7), SETTLED).tokens == 7
+    assert allocator.on_token_request(QuotaAsk("1", 5, "t", 7), SETTLED).tokens == 7
 
 
 def test_a_lower_limit_reaches_a_daemon_with_its_next_report() -> None:
