--- a/tests/configuration/test_declarations.py
+++ b/tests/configuration/test_declarations.py
@@ -40,7 +40,7 @@
     return folder
 
 
-def test_reads_every_file_of_a_folder(tmp_path: Path) -> None:
+def test_every_file_of_a_folder_is_read(tmp_path: Path) -> None:
     more = '[[service]]\nname = "booklets"\n'
     declared = read_declarations(write(tmp_path, a=GOOD, b=more))
     service = declared.resources[ResourceKey("service", "officer")]
@@ -49,7 +49,7 @@
     assert len(declared.resources) == 4
 
 
-def test_tells_every_problem_of_every_file_with_file_key_value_and_what_is_allowed(
+def test_every_problem_is_reported_with_file_key_value_and_allowed_values(
     tmp_path: Path,
 ) -> None:
     bad = """
@@ -89,7 +89,7 @@
     assert len(caught.value.problems) >= 8
 
 
-def test_a_resource_declared_twice_names_both_files(tmp_path: Path) -> None:
+def test_duplicate_resource_names_both_files(tmp_path: Path) -> None:
     twice = '[[service]]\nname = "officer"\n'
     with pytest.raises(DeclarationError, match=r"b\.toml: service officer: declared in a\.toml"):
         read_declarations(write(tmp_path, a=GOOD, b=twice))
@@ -102,13 +102,13 @@
         read_declarations(write(tmp_path, a=GOOD, b=stray))
 
 
-def test_an_empty_or_missing_folder_is_an_error(tmp_path: Path) -> None:
+def test_empty_or_missing_folder_is_an_error(tmp_path: Path) -> None:
     for folder in (tmp_path, tmp_path / "missing"):
         with pytest.raises(DeclarationError):
             read_declarations(folder)
 
 
-def test_an_apply_of_files_keeps_an_operators_drain_unless_the_file_gives_the_state(
+def test_apply_keeps_an_operators_drain_unless_the_file_sets_the_state(
     tmp_path: Path,
 ) -> None:
     declared = read_declarations(write(tmp_path, a=GOOD))
@@ -129,7 +129,7 @@
     assert difference(in_force, explicit).puts == (declared.resources[key],)
 
 
-def test_a_difference_puts_what_changed_and_deletes_what_is_not_declared() -> None:
+def test_difference_puts_changes_and_deletes_undeclared_resources() -> None:
     old = {key_of(item): item for item in (Service(name="a"), Service(name="b"))}
     wanted = (Service(name="a", max_sessions=5), Service(name="c"))
     changed = difference(old, Declarations({key_of(item): item for item in wanted}))
--- a/tests/configuration/test_keeps_valid.py
+++ b/tests/configuration/test_keeps_valid.py
@@ -69,7 +69,7 @@
             sound = candidate
 
 
-def test_a_policy_with_shards_that_share_an_address_is_invalid() -> None:
+def test_shards_with_a_common_address_are_invalid() -> None:
     store = ConfigurationStore()
     policy = Policy(ledger_shards=(("10.0.0.1:1", "10.0.0.2:1"), ("10.0.0.1:1",)))
     result = store.apply(Change("first", BOOTSTRAP_OPERATOR, 0, (ANA, policy)))
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -36,7 +36,7 @@
     return other
 
 
-def test_of_changes_against_one_revision_one_wins_and_the_others_learn_its_name() -> None:
+def test_one_change_per_revision_wins_and_is_named_to_the_others() -> None:
     store = store_with_operators()
     assert store.apply(change("one", 1, Service(name="a"))) == Accepted(2)
     conflict = Conflict(2, "one", "ana")
@@ -51,7 +51,7 @@
     assert store.apply(change("late", 2, Service(name="x"))) == Conflict(4, "c1", "ana")
 
 
-def test_a_resend_gets_the_first_result_also_after_restart_and_later_changes() -> None:
+def test_resend_gets_the_first_result_after_restart_and_later_changes() -> None:
     store = store_with_operators()
     accepted = change("accepted", 1, Service(name="a"))
     refused = change("refused", 1, Service(name="b"))
@@ -62,14 +62,14 @@
         assert again.revision == 3
 
 
-def test_another_change_under_a_used_identity_is_invalid() -> None:
+def test_reused_change_id_is_invalid() -> None:
     store = store_with_operators()
     store.apply(change("same", 1, Service(name="a")))
     assert isinstance(store.apply(change("same", 2, Service(name="b"))), Invalid)
     assert store.revision == 2
 
 
-def test_results_are_bounded_and_a_resend_past_the_bound_is_not_applied_again() -> None:
+def test_retained_results_are_bounded_and_late_resends_are_not_applied() -> None:
     store = ConfigurationStore(result_retention=5)
     first = change("first", 0, ANA, operator=BOOTSTRAP_OPERATOR)
     store.apply(first)
@@ -82,7 +82,7 @@
     assert store.revision == 21
 
 
-def test_600_changes_then_restart_come_back_equal() -> None:
+def test_state_is_equal_after_600_changes_and_a_restart() -> None:
     store = store_with_operators()
     for number in range(600):
         result = store.apply(
@@ -94,7 +94,7 @@
     assert again.snapshot() == store.snapshot()
 
 
-def test_only_declared_operators_change_anything_and_bootstrap_only_the_first_time() -> None:
+def test_only_declared_operators_may_change_and_bootstrap_works_once() -> None:
     store = ConfigurationStore()
     assert isinstance(store.apply(change("x", 0, Service(name="a"))), Invalid)
     assert store.apply(change("y", 0, ANA, operator=BOOTSTRAP_OPERATOR)) == Accepted(1)
@@ -103,14 +103,14 @@
     assert store.revision == 1
 
 
-def test_the_last_operator_cannot_be_deleted() -> None:
+def test_last_operator_cannot_be_deleted() -> None:
     store = store_with_operators()
     result = store.apply(change("x", 1, deletes="operator/ana operator/ben"))
     assert isinstance(result, Invalid)
     assert store.apply(change("y", 1, deletes="operator/ben")) == Accepted(2)
 
 
-def test_a_change_with_any_problem_changes_nothing_and_tells_all_problems() -> None:
+def test_invalid_change_is_not_applied_and_reports_all_problems() -> None:
     store = store_with_operators()
     stray = Endpoint(
         name="e", service="missing", region="r", zone="z", address="10.0.0.1:0", slots=1
@@ -125,7 +125,7 @@
     }
 
 
-def test_a_service_that_endpoints_use_cannot_be_deleted() -> None:
+def test_service_used_by_endpoints_cannot_be_deleted() -> None:
     store = store_with_operators()
     endpoint = Endpoint(name="e", service="s", region="r", zone="z", address="10.0.0.1:80", slots=1)
     assert store.apply(change("x", 1, Service(name="s"), endpoint)) == Accepted(2)
--- a/tests/configuration/test_tenants.py
+++ b/tests/configuration/test_tenants.py
@@ -20,7 +20,7 @@
     return Change(f"c{revision}", BOOTSTRAP_OPERATOR, revision, puts, is_whole=is_whole)
 
 
-def test_a_key_is_held_by_one_tenant_only() -> None:
+def test_key_belongs_to_one_tenant_only() -> None:
     store = ConfigurationStore()
     assert store.apply(change(0, Tenant("first", (KEY,)))) == Accepted(1)
     result = store.apply(change(1, Tenant("second", (OTHER_KEY, KEY))))
@@ -30,13 +30,13 @@
     assert KEY not in problem
 
 
-def test_a_key_may_move_to_another_tenant_in_one_change() -> None:
+def test_key_can_move_to_another_tenant_in_one_change() -> None:
     store = ConfigurationStore()
     assert store.apply(change(0, Tenant("first", (KEY,)))) == Accepted(1)
     assert store.apply(change(1, Tenant("first"), Tenant("second", (KEY,)))) == Accepted(2)
 
 
-def test_a_whole_change_takes_away_the_tenants_it_does_not_name() -> None:
+def test_whole_change_deletes_unlisted_tenants() -> None:
     store = ConfigurationStore()
     assert store.apply(change(0, Service("sales"), Tenant("a", (KEY,)), Tenant("b"))) == Accepted(1)
     assert store.apply(change(1, Service("sales"), Tenant("b"), is_whole=True)) == Accepted(2)
@@ -44,7 +44,7 @@
     assert ResourceKey("tenant", "b") in store.resources
 
 
-def test_a_tenant_is_declared_in_a_file(tmp_path: Path) -> None:
+def test_tenant_is_read_from_a_declaration_file(tmp_path: Path) -> None:
     (tmp_path / "tenants.toml").write_text(
         f'[[tenant]]\nname = "officers"\nkey_sha256 = ["{KEY}"]\nimportance = "critical"\n'
         "requests_per_second = 20.0\nburst_requests = 40.0\n"
@@ -66,14 +66,14 @@
         ("rate = 3", "rate: no such key"),
     ],
 )
-def test_what_is_wrong_with_a_tenant_is_told(tmp_path: Path, field: str, shown: str) -> None:
+def test_problems_of_a_tenant_are_reported(tmp_path: Path, field: str, shown: str) -> None:
     (tmp_path / "tenants.toml").write_text(f'[[tenant]]\nname = "officers"\n{field}\n')
     with pytest.raises(DeclarationError) as raised:
         read_declarations(tmp_path)
     assert shown in str(raised.value)
 
 
-def test_a_key_given_in_place_of_its_digest_is_not_shown(tmp_path: Path) -> None:
+def test_key_in_place_of_its_digest_is_not_disclosed(tmp_path: Path) -> None:
     (tmp_path / "tenants.toml").write_text(
         '[[tenant]]\nname = "officers"\nkey_sha256 = ["the-key-itself"]\n'
     )
@@ -83,7 +83,7 @@
     assert "the-key-itself" not in str(raised.value)
 
 
-def test_a_name_twice_is_told(tmp_path: Path) -> None:
+def test_duplicate_name_is_reported(tmp_path: Path) -> None:
     (tmp_path / "tenants.toml").write_text('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n')
     with pytest.raises(DeclarationError) as raised:
         read_declarations(tmp_path)
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -67,7 +67,7 @@
             resources = candidate
 
 
-def test_a_sound_change_of_each_kind_needs_no_whole_check() -> None:
+def test_valid_change_of_each_kind_needs_no_full_check() -> None:
     service = Service(name="a")
     endpoint = Endpoint(name="e", service="a", region="r", zone="z", address="10.0.0.1:1", slots=1)
     operator = Operator(name="ana", token_sha256="a" * 64)
--- a/tests/configuration/test_whole_changes.py
+++ b/tests/configuration/test_whole_changes.py
@@ -46,13 +46,13 @@
     return store
 
 
-def test_versions_rise_in_uneven_steps_and_each_builds_on_the_last() -> None:
+def test_versions_may_skip_numbers_and_build_on_the_latest() -> None:
     store = store_at(5)
     assert store.apply(whole("second", 12, 5, SALES, route("/b/"))) == Accepted(2)
     assert (store.version, store.source) == (12, "source of second")
 
 
-def test_a_change_that_was_not_made_on_the_latest_version_loses() -> None:
+def test_change_not_based_on_the_latest_version_conflicts() -> None:
     store = store_at(5)
     assert store.apply(whole("winner", 7, 5, SALES)) == Accepted(2)
     for identity, version, base in (("racing", 7, 5), ("late", 9, 5), ("ahead", 9, 8)):
@@ -63,14 +63,14 @@
 
 
 @pytest.mark.parametrize("version", [1, 5])
-def test_a_version_that_is_not_above_the_current_one_is_invalid(version: int) -> None:
+def test_version_not_above_the_current_one_is_invalid(version: int) -> None:
     store = store_at(5)
     result = store.apply(whole("again", version, 5, SALES))
     assert isinstance(result, Invalid)
     assert "version" in result.problems[0]
 
 
-def test_a_resend_is_accepted_again_after_later_changes_and_restarts() -> None:
+def test_resend_is_accepted_again_after_later_changes_and_restarts() -> None:
     store = store_at(5)
     second = whole("second", 6, 5, SALES)
     assert store.apply(second) == Accepted(2)
@@ -82,7 +82,7 @@
     assert (restarted.version, restarted.source) == (8, "source of third")
 
 
-def test_what_is_not_given_is_deleted_and_what_is_equal_is_no_news() -> None:
+def test_missing_resources_are_deleted_and_equal_ones_unchanged() -> None:
     store = store_at(5, SALES, LEDGER, route("/a/"), route("/b/"), IngressLimits())
     policy = Policy(retry_ratio=0.2)
     store.apply(whole("second", 6, 5, SALES, route("/a/"), route("/c/"), policy))
@@ -96,7 +96,7 @@
     }
 
 
-def test_endpoints_and_policy_are_left_alone() -> None:
+def test_endpoints_and_policy_are_unchanged() -> None:
     store = ConfigurationStore()
     endpoint = Endpoint("sales-1", "sales", "texas", "a", "10.0.0.1:7000", 4)
     store.apply(Change("declared", BOOTSTRAP_OPERATOR, 0, (SALES, endpoint, Policy())))
@@ -117,7 +117,7 @@
         ((route("/"),), "sales"),
     ],
 )
-def test_a_contradiction_is_told_and_changes_nothing(
+def test_inconsistent_change_is_reported_and_not_applied(
     puts: tuple[Resource, ...], expected_problem: str
 ) -> None:
     store = store_at(5)
@@ -127,7 +127,7 @@
     assert store.version == 5
 
 
-def test_a_service_that_a_kept_route_needs_cannot_be_left_out() -> None:
+def test_service_used_by_a_route_cannot_be_omitted() -> None:
     store = store_at(5, SALES, LEDGER, route("/", Destination("ledger")))
     result = store.apply(whole("without", 6, 5, SALES, route("/", Destination("ledger"))))
     assert isinstance(result, Invalid)
--- a/tests/control/test_member_changes.py
+++ b/tests/control/test_member_changes.py
@@ -9,7 +9,7 @@
     return Member(NodeIdentity(name, "1"), f"{name}:1", MemberRole.VOTER, zone="a")
 
 
-def test_a_change_of_roles_names_those_that_changed() -> None:
+def test_role_change_names_the_changed_members() -> None:
     before = Membership((member("c1"), member("c2"), as_learner(member("c3"), promote=False)))
     after = (
         before.with_member(as_learner(member("c2"), promote=False))
@@ -23,7 +23,7 @@
     assert describe_change(after, after) == "no change"
 
 
-def test_one_that_left() -> None:
+def test_removed_member_is_described() -> None:
     before = Membership((member("c1"), member("c2")))
     assert describe_change(before, before.without_member(NodeIdentity("c2", "1"))) == (
         "c2#1 voter -> none"
--- a/tests/control/test_quota_service.py
+++ b/tests/control/test_quota_service.py
@@ -101,7 +101,7 @@
     return QuotaNode(monkeypatch)
 
 
-async def test_a_leader_notes_a_daemon_before_it_grants_a_share(node: QuotaNode) -> None:
+async def test_leader_records_a_daemon_before_granting_a_share(node: QuotaNode) -> None:
     await node.advance()
     node.service.on_request("d1", REPORT)
     assert node.machine.quota_holders == frozenset()
@@ -112,7 +112,7 @@
     assert rates[0] == 0.0 < rates[1]
 
 
-async def test_a_leader_answers_until_its_last_read_is_too_old(node: QuotaNode) -> None:
+async def test_leader_answers_until_its_last_read_is_too_old(node: QuotaNode) -> None:
     node.service.on_request("d1", ASK)
     assert not node.answers
     await node.advance()
@@ -125,7 +125,7 @@
     assert len(node.answers) == 1
 
 
-async def test_a_process_that_stood_still_answers_nothing_before_it_has_read(
+async def test_resumed_process_answers_nothing_before_a_read(
     node: QuotaNode,
 ) -> None:
     await node.advance()
@@ -134,7 +134,7 @@
     assert not node.answers
 
 
-async def test_another_term_begins_with_nothing(node: QuotaNode) -> None:
+async def test_new_term_starts_without_shares(node: QuotaNode) -> None:
     await node.advance()
     node.service.on_request("d1", REPORT)
     await node.advance(1.1)
@@ -148,7 +148,7 @@
     assert answer.tokens == 0
 
 
-async def test_another_node_passes_on_and_hands_the_answer_to_the_daemon(
+async def test_other_node_forwards_the_request_and_relays_the_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     follower, leader = QuotaNode(monkeypatch), QuotaNode(monkeypatch)
@@ -164,7 +164,7 @@
     assert not leader.answers
 
 
-def test_noted_daemons_survive_a_snapshot() -> None:
+def test_recorded_daemons_survive_a_snapshot() -> None:
     machine, restored = ControlStateMachine(), ControlStateMachine()
     apply(machine, RecordQuotaHolders(("a", "b")))
     apply(machine, RecordQuotaHolders((), ("a",)))
--- a/tests/daemon/test_crash_detection.py
+++ b/tests/daemon/test_crash_detection.py
@@ -16,7 +16,7 @@
     return CrashDetector(backend, lambda *arguments: crashes.append(arguments))
 
 
-async def test_what_broke_together_is_told_as_one_crash_before_anything_goes_on() -> None:
+async def test_requests_interrupted_together_are_one_crash_reported_before_they_continue() -> None:
     crashes: list[Any] = []
     continued: list[tuple[str, int]] = []
     detector = crash_detector(True, crashes)
@@ -30,7 +30,7 @@
     assert continued == [("a", 1), ("b", 1)]
 
 
-async def test_a_reset_of_connections_is_no_crash() -> None:
+async def test_connection_reset_is_not_a_crash() -> None:
     crashes: list[Any] = []
     continued: list[str] = []
     detector = crash_detector(False, crashes)
--- a/tests/daemon/test_draining.py
+++ b/tests/daemon/test_draining.py
@@ -28,7 +28,7 @@
         return [call[0] for call in self.link.method_calls]
 
 
-def test_a_stop_is_a_sign_before_callers_are_told() -> None:
+def test_stopping_daemon_drains_before_callers_are_notified() -> None:
     fixture = DrainFixture()
     fixture.state.is_stopping = True
     assert fixture.state.is_draining
@@ -39,7 +39,7 @@
     assert fixture.sent() == ["send_draining"]
 
 
-def test_work_is_taken_again_only_once_no_sign_is_left() -> None:
+def test_work_resumes_only_once_no_drain_source_is_left() -> None:
     fixture = DrainFixture()
     fixture.announcer.on_hints(LISTED)
     fixture.announcer.on_backend_draining()
@@ -50,7 +50,7 @@
     assert fixture.sent() == ["send_draining", "send_draining", "send_hello"]
 
 
-def test_a_list_that_says_the_same_again_changes_nothing() -> None:
+def test_repeated_list_changes_nothing() -> None:
     fixture = DrainFixture()
     for hints in (NOT_LISTED, LISTED, LISTED, NOT_LISTED, NOT_LISTED):
         fixture.announcer.on_hints(hints)
@@ -58,7 +58,7 @@
     assert not fixture.state.is_announced
 
 
-def test_a_back_end_that_returned_is_another_life_of_the_endpoint() -> None:
+def test_returned_back_end_gets_a_new_incarnation() -> None:
     fixture = DrainFixture()
     before = fixture.identity.incarnation
     fixture.announcer.on_backend_draining()
@@ -67,7 +67,7 @@
     assert fixture.identity.incarnation != before
 
 
-def test_one_that_returned_during_a_stop_keeps_its_life() -> None:
+def test_back_end_returning_during_a_stop_keeps_its_incarnation() -> None:
     fixture = DrainFixture()
     before = fixture.identity.incarnation
     fixture.announcer.on_backend_draining()
--- a/tests/daemon/test_health_monitor.py
+++ b/tests/daemon/test_health_monitor.py
@@ -50,11 +50,11 @@
         raise AssertionError("the monitor must not close the client")
 
 
-def test_the_slowest_check_ends_within_the_bound() -> None:
+def test_slowest_check_ends_within_the_bound() -> None:
     assert 2 * IDLE_POLL_SECONDS + CHECK_TIMEOUT_SECONDS <= MAX_DETECTION_SECONDS
 
 
-async def test_an_idle_back_end_is_asked_and_its_sign_told_once() -> None:
+async def test_idle_back_end_is_checked_and_its_drain_reported_once() -> None:
     backend = PolledBackend(DRAINING)
     await backend.monitor.poll()
     await backend.monitor.poll()
@@ -62,7 +62,7 @@
     assert backend.monitor.is_draining
 
 
-async def test_a_back_end_that_answers_is_not_asked() -> None:
+async def test_back_end_that_answers_is_not_checked() -> None:
     backend = PolledBackend(DRAINING)
     for _ in range(3):
         backend.monitor.on_answer(HEALTHY)
@@ -70,21 +70,21 @@
     assert (backend.checks, backend.reported) == (0, [])
 
 
-async def test_an_answer_that_came_during_the_check_counts_more() -> None:
+async def test_answer_during_a_check_overrides_its_result() -> None:
     backend = PolledBackend(DRAINING)
     backend.meanwhile = lambda: backend.monitor.on_answer(HEALTHY)
     await backend.monitor.poll()
     assert (backend.checks, backend.reported) == (1, [])
 
 
-async def test_health_says_nothing_but_the_sign() -> None:
+async def test_check_result_without_a_drain_is_not_reported() -> None:
     for result in (BackendUnreached("refused"), BackendBroken("reset"), HEALTHY):
         backend = PolledBackend(result)
         await backend.monitor.poll()
         assert not backend.reported
 
 
-async def test_back_end_seen_gone_is_told_to_have_returned() -> None:
+async def test_return_of_a_back_end_seen_gone_is_reported() -> None:
     backend = PolledBackend(HEALTHY)
     backend.monitor.on_answer(DRAINING)
     backend.result = BackendUnreached("refused")
--- a/tests/daemon/test_known_endpoints.py
+++ b/tests/daemon/test_known_endpoints.py
@@ -23,7 +23,7 @@
     return lines
 
 
-def test_daemons_without_a_back_end_yet_are_no_news() -> None:
+def test_daemons_without_a_back_end_do_not_change_the_routing_table() -> None:
     table, links = Mock(), Mock()
     endpoints = KnownEndpoints(table, links)
     without_backend = tuple(registration(host, instance="") for host in range(188))
@@ -32,7 +32,7 @@
     assert len(endpoints) == 188
 
 
-def test_a_large_update_is_applied_once_and_summed_up() -> None:
+def test_large_update_is_applied_once_and_summarized() -> None:
     table, links = Mock(), Mock()
     endpoints = KnownEndpoints(table, links)
     update = DirectoryUpdate(tuple(registration(host) for host in range(188)))
@@ -42,7 +42,7 @@
     table.replace.assert_called_once()
 
 
-def test_a_back_end_that_goes_is_taken_out() -> None:
+def test_back_end_that_is_gone_is_removed() -> None:
     table, links = Mock(), Mock()
     endpoints = KnownEndpoints(table, links)
     endpoints.on_update(DirectoryUpdate((registration(1), registration(2))))
@@ -51,7 +51,7 @@
     assert set(links.set_endpoints.call_args.args[0]) == {"i-2"}
 
 
-def test_a_daemon_that_starts_anew_takes_its_former_back_end_out() -> None:
+def test_restarted_daemon_removes_its_previous_back_end() -> None:
     table, links = Mock(), Mock()
     endpoints = KnownEndpoints(table, links)
     endpoints.on_update(DirectoryUpdate((registration(1), registration(2))))
--- a/tests/daemon/test_quota_gate.py
+++ b/tests/daemon/test_quota_gate.py
@@ -69,13 +69,13 @@
     return QuotaFixture()
 
 
-async def test_a_tenant_without_a_limit_needs_no_token(quotas: QuotaFixture) -> None:
+async def test_tenant_without_a_limit_needs_no_token(quotas: QuotaFixture) -> None:
     quotas.ask(3, "free")
     assert quotas.decisions == [None, None, None]
     assert not quotas.client.asks()
 
 
-async def test_requests_wait_for_one_ask_and_the_next_asks_for_all_that_wait(
+async def test_one_token_request_at_a_time_covers_all_waiting_requests(
     quotas: QuotaFixture,
 ) -> None:
     quotas.ask(4)
@@ -91,13 +91,13 @@
     assert "tenant t" in refused.detail
 
 
-async def test_an_answer_to_a_former_life_is_passed_over(quotas: QuotaFixture) -> None:
+async def test_answer_to_an_earlier_incarnation_is_ignored(quotas: QuotaFixture) -> None:
     quotas.ask()
     quotas.grant(1, incarnation="former")
     assert not quotas.decisions
 
 
-async def test_without_an_answer_nothing_is_said_of_the_limit(quotas: QuotaFixture) -> None:
+async def test_missing_answer_is_not_refused_as_quota_exceeded(quotas: QuotaFixture) -> None:
     quotas.ask(2)
     await asyncio.sleep(2.0 * TOKEN_REQUEST_TIMEOUT_SECONDS)
     assert quotas.reasons() == [RefusalReason.QUOTA_UNCONFIRMED] * 2
@@ -106,13 +106,13 @@
     assert quotas.reasons() == [RefusalReason.QUOTA_UNCONFIRMED] * 3
 
 
-async def test_without_a_connection_nothing_waits(quotas: QuotaFixture) -> None:
+async def test_no_request_waits_without_a_connection(quotas: QuotaFixture) -> None:
     quotas.client.is_connected = False
     quotas.ask()
     assert quotas.reasons() == [RefusalReason.QUOTA_UNCONFIRMED]
 
 
-async def test_a_request_that_left_leaves_its_token_to_the_next(quotas: QuotaFixture) -> None:
+async def test_token_of_a_cancelled_request_goes_to_the_next(quotas: QuotaFixture) -> None:
     quotas.ask()
     number = next(item for item in quotas.client.sent if isinstance(item, QuotaReport)).number
     quotas.client.answer(QuotaShares(INCARNATION, number, (GrantedShare("t", 0.0, 5.0),)))
@@ -123,7 +123,7 @@
     assert quotas.decisions == [None]
 
 
-async def test_the_bucket_serves_without_asking(quotas: QuotaFixture) -> None:
+async def test_bucket_admits_without_a_token_request(quotas: QuotaFixture) -> None:
     number = next(item for item in quotas.client.sent if isinstance(item, QuotaReport)).number
     quotas.ask()
     quotas.client.answer(QuotaShares(INCARNATION, number, (GrantedShare("t", 0.0, 5.0, 3.0),)))
@@ -133,7 +133,7 @@
     assert len(quotas.client.asks()) == 1
 
 
-async def test_a_limit_that_goes_ends_the_reports(quotas: QuotaFixture) -> None:
+async def test_removing_the_limit_ends_the_reports(quotas: QuotaFixture) -> None:
     quotas.gate.configure(Catalogue((Tenant("t"),)))
     quotas.ask()
     assert quotas.decisions == [None]
--- a/tests/daemon/test_unframed_answers.py
+++ b/tests/daemon/test_unframed_answers.py
@@ -53,7 +53,7 @@
     assert not outcome.has_length
 
 
-async def test_one_that_is_reset_on_its_way_is_broken() -> None:
+async def test_reset_answer_without_length_is_broken() -> None:
     result = await result_of(is_reset=True)
     assert isinstance(result, BackendBroken)
 
--- a/tests/directory/test_registrar.py
+++ b/tests/directory/test_registrar.py
@@ -17,7 +17,7 @@
     return BackendHeartbeat(instance, "sales", slots, sequence, leaving)
 
 
-def test_a_heartbeat_makes_the_back_end_known() -> None:
+def test_heartbeat_registers_the_back_end() -> None:
     registrar = make_registrar()
     assert registrar.registration.state is InstanceState.GONE
     assert registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
@@ -26,7 +26,7 @@
     assert not registrar.on_heartbeat(heartbeat("i-1", 2), 1.5)
 
 
-def test_a_late_or_doubled_heartbeat_turns_no_state_back() -> None:
+def test_late_or_duplicate_heartbeat_reverts_no_state() -> None:
     registrar = make_registrar()
     registrar.on_heartbeat(heartbeat("i-1", 5), 0.0)
     assert registrar.on_heartbeat(heartbeat("i-1", 6, leaving=True), 1.0)
@@ -37,7 +37,7 @@
     assert registrar.registration.state is InstanceState.LEAVING
 
 
-def test_one_that_leaves_without_draining_stays_leaving() -> None:
+def test_heartbeat_does_not_revert_an_announced_leave() -> None:
     registrar = make_registrar()
     registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
     assert registrar.on_leave("i-1")
@@ -46,7 +46,7 @@
     assert not registrar.on_leave("i-1")
 
 
-def test_a_late_heartbeat_of_an_earlier_start_changes_nothing() -> None:
+def test_late_heartbeat_of_an_earlier_instance_is_ignored() -> None:
     registrar = make_registrar()
     registrar.on_heartbeat(heartbeat("i-1", 9), 0.0)
     registrar.on_heartbeat(heartbeat("i-2", 1), 1.0)
@@ -56,7 +56,7 @@
     assert registrar.registration.state is InstanceState.READY
 
 
-def test_after_a_restart_of_the_daemon_a_living_back_end_wins_over_a_late_heartbeat() -> None:
+def test_running_back_end_supersedes_a_late_heartbeat_after_a_daemon_restart() -> None:
     registrar = make_registrar()
     registrar.on_heartbeat(heartbeat("i-2", 4), 0.0)
     assert registrar.on_heartbeat(heartbeat("i-1", 9), 0.5)
@@ -64,7 +64,7 @@
     assert registrar.registration.instance == "i-2"
 
 
-def test_a_silent_back_end_is_gone_until_its_next_heartbeat() -> None:
+def test_silent_back_end_is_gone_until_its_next_heartbeat() -> None:
     registrar = make_registrar()
     registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
     assert not registrar.tick(HEARTBEAT_TIMEOUT_SECONDS)
@@ -75,7 +75,7 @@
     assert registrar.registration.state is InstanceState.READY
 
 
-def test_one_that_refuses_connections_or_is_another_is_gone() -> None:
+def test_unreachable_or_misdirected_back_end_is_gone() -> None:
     registrar = make_registrar()
     registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
     assert not registrar.on_misdirected("i-0")
@@ -86,7 +86,7 @@
     assert registrar.registration.state is InstanceState.GONE
 
 
-def test_each_change_has_a_higher_serial() -> None:
+def test_each_change_increases_the_serial() -> None:
     registrar = make_registrar()
     serials = []
     for sequence, slots in enumerate((8, 9, 9, 10), start=1):
@@ -95,7 +95,7 @@
     assert serials == [1, 2, 2, 3]
 
 
-def test_a_start_with_an_older_clock_tells_its_registration_under_a_higher_epoch() -> None:
+def test_restart_with_an_earlier_clock_registers_under_a_higher_epoch() -> None:
     held = Registration(ADDRESS, 50, 7, "i-0", "sales", state=InstanceState.READY)
     registrar = make_registrar(epoch=20)
     registrar.on_heartbeat(heartbeat("i-1", 1), 0.0)
@@ -106,7 +106,7 @@
     assert not registrar.on_own_registration(registrar.registration)
 
 
-def test_a_check_of_health_tells_who_is_there_until_a_heartbeat_does() -> None:
+def test_health_check_identifies_the_back_end_until_its_first_heartbeat() -> None:
     registrar = make_registrar()
     assert registrar.on_health("i-1", "sales", 8, 0.0)
     assert registrar.registration.state is InstanceState.READY
@@ -116,7 +116,7 @@
     assert registrar.tick(0.5 + HEARTBEAT_TIMEOUT_SECONDS + 0.1)
 
 
-def test_a_late_answer_to_a_check_turns_no_heartbeat_back() -> None:
+def test_late_health_check_does_not_override_a_heartbeat() -> None:
     registrar = make_registrar()
     registrar.on_leave("i-1")
     assert not registrar.on_health("i-1", "sales", 8, 0.1)
--- a/tests/directory/test_table.py
+++ b/tests/directory/test_table.py
@@ -17,7 +17,7 @@
     return Registration(address, epoch, serial, name, "sales", "a", "texas", 8, state)
 
 
-def test_the_latest_counts_in_whatever_order_they_come() -> None:
+def test_latest_registration_applies_in_any_order_of_arrival() -> None:
     registrations = [registration(serial, epoch=epoch) for epoch in (1, 2) for serial in range(6)]
     for seed in range(20):
         directory = Directory(EXPIRY_SECONDS)
@@ -27,7 +27,7 @@
         assert directory.registrations() == (registration(5, epoch=2),)
 
 
-def test_only_news_are_returned() -> None:
+def test_merge_returns_only_changes() -> None:
     directory = Directory(EXPIRY_SECONDS)
     first, second = registration(1), registration(1, host=2)
     assert directory.merge((first, second), 0.0) == (first, second)
@@ -37,7 +37,7 @@
     assert directory.merge((first,), 3.0) == ()
 
 
-def test_what_nobody_confirms_is_forgotten_and_may_come_again() -> None:
+def test_unrefreshed_registration_expires_and_can_return() -> None:
     directory = Directory(EXPIRY_SECONDS)
     directory.merge((registration(1), registration(1, host=2)), 0.0)
     directory.merge((registration(1),), 8.0)
@@ -46,7 +46,7 @@
     assert directory.merge((registration(1, host=2),), 12.0) == (registration(1, host=2),)
 
 
-def test_dropping_tells_whether_anything_was_held() -> None:
+def test_drop_returns_whether_anything_was_removed() -> None:
     directory = Directory(EXPIRY_SECONDS)
     directory.merge((registration(1),), 0.0)
     assert not directory.drop(("10.0.0.9:7000",))
@@ -54,7 +54,7 @@
     assert directory.get("10.0.0.1:7000") is None
 
 
-def test_endpoints_are_the_back_ends_that_are_there() -> None:
+def test_endpoints_exclude_back_ends_that_are_gone() -> None:
     directory = Directory(EXPIRY_SECONDS)
     directory.merge(
         (
--- a/tests/distribution/test_addresses.py
+++ b/tests/distribution/test_addresses.py
@@ -15,12 +15,12 @@
 NODES = [ControlAddress(f"10.0.0.{number}:1", f"z{number}") for number in range(1, 7)]
 
 
-def test_reads_addresses_with_and_without_a_zone() -> None:
+def test_addresses_are_parsed_with_and_without_a_zone() -> None:
     assert parse_control_address("z1=10.0.0.1:9") == ControlAddress("10.0.0.1:9", "z1")
     assert parse_control_address("10.0.0.1:9") == ControlAddress("10.0.0.1:9")
 
 
-def test_the_own_zone_comes_first() -> None:
+def test_own_zone_is_preferred() -> None:
     for seed in range(20):
         book = AddressBook(NODES, "z4", random.Random(seed))
         assert book.next_attempt(0.0).address == NODES[3]
@@ -35,7 +35,7 @@
     assert second == set(NODES) - {NODES[3]}
 
 
-def test_delays_grow_to_a_bound_and_start_anew_after_a_stable_connection() -> None:
+def test_delays_are_bounded_and_reset_after_a_stable_connection() -> None:
     book = AddressBook(NODES[:1], "z1", random.Random(1))
     waits = []
     now = 0.0
@@ -49,14 +49,14 @@
     assert book.next_attempt(now).wait_seconds < 0.5
 
 
-def test_a_redirect_adds_unknown_nodes_only() -> None:
+def test_redirect_adds_only_unknown_nodes() -> None:
     book = AddressBook(NODES[:1], "z1", random.Random(1))
     book.add((NODES[0].address, "10.0.0.9:1"))
     book.on_connection_ended(NODES[0], 0.0, 0.0)
     assert book.next_attempt(0.0).address == ControlAddress("10.0.0.9:1")
 
 
-def test_a_first_connection_is_waited_for_briefly_and_later_ones_longer() -> None:
+def test_first_connection_attempt_has_a_shorter_timeout() -> None:
     book = AddressBook(NODES[:1], "z", random.Random(1))
     waits = []
     now = 0.0
@@ -69,7 +69,7 @@
     assert waits[-1] == CONNECT_TIMEOUT_SECONDS_MAX
 
 
-def test_a_node_that_is_never_reached_is_tried_for_ever() -> None:
+def test_unreachable_node_is_retried_indefinitely() -> None:
     """Guards against giving up on control after a long outage."""
     book = AddressBook(NODES[:1], "z1", random.Random(1))
     now = 0.0
--- a/tests/distribution/test_client.py
+++ b/tests/distribution/test_client.py
@@ -110,7 +110,7 @@
         await node.server.close()
 
 
-async def test_changes_reach_a_daemon_and_its_report_comes_back(start_node: Starter) -> None:
+async def test_changes_reach_a_daemon_that_reports_them_in_force(start_node: Starter) -> None:
     node, address = await start_node()
     node.server.commit(change(1))
     daemon = Daemon([address])
@@ -122,7 +122,7 @@
     daemon.task.cancel()
 
 
-async def test_without_a_quorum_the_daemon_holds_the_configuration_and_takes_no_call(
+async def test_configuration_is_held_but_not_served_without_a_quorum(
     start_node: Starter,
 ) -> None:
     node, address = await start_node()
@@ -137,7 +137,7 @@
     daemon.task.cancel()
 
 
-async def test_a_daemon_moves_away_from_a_lost_node_and_from_one_without_quorum(
+async def test_daemon_leaves_a_lost_node_and_one_without_a_quorum(
     start_node: Starter,
 ) -> None:
     first, first_address = await start_node()
@@ -154,7 +154,7 @@
     daemon.task.cancel()
 
 
-async def test_a_node_cut_off_in_silence_is_left(
+async def test_daemon_leaves_a_silent_node(
     start_node: Starter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_module, "CONTROL_TIMEOUT_SECONDS", 0.6)
@@ -167,7 +167,7 @@
     silent.close()
 
 
-async def test_a_daemon_goes_back_to_its_own_zone_once_that_can_be_reached(
+async def test_daemon_returns_to_its_own_zone_once_reachable(
     start_node: Starter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(control_dialer, "OWN_ZONE_PROBE_SECONDS", 0.3)
@@ -186,7 +186,7 @@
     daemon.task.cancel()
 
 
-async def test_a_restart_from_disk_subscribes_from_what_it_held(
+async def test_restarted_daemon_subscribes_from_its_recorded_revision(
     start_node: Starter, tmp_path: Path
 ) -> None:
     node, address = await start_node()
@@ -203,7 +203,7 @@
     again.task.cancel()
 
 
-async def test_ledger_requests_are_answered_and_sent_again_on_the_next_connection(
+async def test_pending_ledger_requests_are_resent_on_the_next_connection(
     start_node: Starter,
 ) -> None:
     node, address = await start_node()
@@ -221,7 +221,7 @@
     daemon.task.cancel()
 
 
-async def test_an_attempt_without_a_timely_grant_is_cancelled(start_node: Starter) -> None:
+async def test_attempt_without_a_timely_grant_is_cancelled(start_node: Starter) -> None:
     node, address = await start_node()
     node.answers_ledger = False
     daemon = Daemon([address])
--- a/tests/distribution/test_delta_history.py
+++ b/tests/distribution/test_delta_history.py
@@ -16,7 +16,7 @@
     return configuration
 
 
-def test_the_shorter_of_merged_changes_and_the_whole_is_taken() -> None:
+def test_shorter_of_merged_and_full_delta_is_used() -> None:
     history = DeltaHistory(100)
     deltas = [change(revision, f"s{revision % 10}") for revision in range(2, 20)]
     for delta in deltas:
@@ -27,7 +27,7 @@
     assert history.between(0, now) == full_delta(now)
 
 
-def test_changes_no_longer_kept_are_sent_as_the_whole() -> None:
+def test_evicted_changes_are_sent_as_a_full_delta() -> None:
     history = DeltaHistory(2)
     deltas = [change(revision, "s1") for revision in range(2, 6)]
     for delta in deltas:
@@ -37,7 +37,7 @@
     assert history.between(2, now) == full_delta(now)
 
 
-def test_overlapping_deltas_follow_each_other() -> None:
+def test_overlapping_deltas_are_consecutive() -> None:
     history = DeltaHistory(10)
     key = ResourceKey("service", "s3")
     history.append(Delta(1, 4, deletes=(key,)))
@@ -48,14 +48,14 @@
     assert found.base == 1
 
 
-def test_a_whole_configuration_forgets_what_came_before() -> None:
+def test_full_delta_clears_the_history() -> None:
     history = DeltaHistory(10)
     history.append(change(2, "s1"))
     history.append(full_delta(state(change(2, "s1"))))
     assert history.between(1, state(change(2, "s1"))) == full_delta(state(change(2, "s1")))
 
 
-def test_changes_past_the_revision_asked_for_are_left_out() -> None:
+def test_changes_after_the_requested_revision_are_omitted() -> None:
     history = DeltaHistory(10)
     first, second = change(2, "s1"), change(3, "s2")
     history.append(first)
@@ -63,7 +63,7 @@
     assert history.between(1, state(first)) == first
 
 
-def test_large_changes_are_forgotten_sooner() -> None:
+def test_large_changes_are_evicted_sooner() -> None:
     history = DeltaHistory(100, item_limit=25)
     for revision in range(2, 12):
         puts = tuple(Service(name=f"s{number}", max_sessions=revision) for number in range(10))
--- a/tests/distribution/test_follower.py
+++ b/tests/distribution/test_follower.py
@@ -46,7 +46,7 @@
     return [type(effect) for effect in effects]  # type: ignore[attr-defined]
 
 
-def test_takes_no_call_before_a_quorum_confirmed() -> None:
+def test_no_calls_are_accepted_before_a_quorum_confirms() -> None:
     follower = Follower(IDENTITY)
     follower.start(0.0)
     effects = follower.on_control_delta(full(5, service("a")), 0.0)
@@ -57,13 +57,13 @@
     assert follower.may_serve
 
 
-def test_an_empty_configuration_can_be_confirmed() -> None:
+def test_empty_configuration_can_be_confirmed() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_delta(Delta(base=0, revision=0, confirmed=True), 0.0)
     assert follower.may_serve
 
 
-def test_a_confirmation_of_a_revision_not_yet_held_waits_for_it() -> None:
+def test_confirmation_waits_until_its_revision_is_held() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_connected(0.0)
     follower.on_control_delta(full(5, service("a")), 0.0)
@@ -74,7 +74,7 @@
     assert StartServing(ServingBasis.QUORUM) in effects
 
 
-def test_a_delta_with_a_gap_is_fetched_and_not_applied() -> None:
+def test_delta_after_a_gap_is_not_applied_and_triggers_a_fetch() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_connected(0.0)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
@@ -83,7 +83,7 @@
     assert follower.revision == 3
 
 
-def test_an_overlapping_delta_is_applied_and_a_late_one_is_not() -> None:
+def test_overlapping_delta_is_applied_and_late_delta_is_ignored() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), service("b"), confirmed=True), 0.0)
     key = ResourceKey(kind="service", name="b")
@@ -95,7 +95,7 @@
     assert key not in follower.configuration.resources
 
 
-def test_a_peer_ahead_is_asked_when_control_is_out_of_reach() -> None:
+def test_peer_ahead_is_fetched_from_when_control_is_unreachable() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     follower.on_control_lost(1.0)
@@ -105,7 +105,7 @@
     assert follower.revision == 6
 
 
-def test_a_peer_that_does_not_answer_is_not_the_only_one_asked() -> None:
+def test_other_peers_are_tried_if_one_does_not_answer() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     follower.on_control_lost(1.0)
@@ -115,7 +115,7 @@
     assert follower.tick(later) == [FetchFromPeer("alive", 3)]
 
 
-def test_control_that_does_not_answer_gives_way_to_a_peer() -> None:
+def test_peer_is_fetched_from_if_control_does_not_answer() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_connected(0.0)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
@@ -124,7 +124,7 @@
     assert follower.tick(5.0 + FETCH_RETRY_SECONDS) == [FetchFromPeer("p", 3)]
 
 
-def test_a_peer_cannot_confirm_for_a_quorum() -> None:
+def test_confirmation_by_a_peer_is_ignored() -> None:
     follower = Follower(IDENTITY)
     follower.start(0.0)
     follower.on_peer_delta("p", full(6, service("a"), confirmed=True), 0.0)
@@ -132,7 +132,7 @@
     assert not follower.may_serve
 
 
-def test_a_daemon_without_a_disk_takes_no_call_during_a_cut() -> None:
+def test_disconnected_daemon_without_a_disk_accepts_no_calls() -> None:
     follower = Follower(IDENTITY)
     follower.start(0.0)
     for peer in ("p", "q", "r"):
@@ -141,7 +141,7 @@
     assert not follower.may_serve
 
 
-def test_a_daemon_with_a_disk_serves_once_most_peers_of_its_zone_answered() -> None:
+def test_daemon_with_a_disk_serves_once_most_zone_peers_answered() -> None:
     follower = Follower(IDENTITY, has_disk=True, record=record(4, "p", "q", "r"))
     assert kinds(follower.start(0.0)) == [TakeEffect, ConnectToPeers]
     follower.on_peer_revision("p", 4, 1.0)
@@ -153,7 +153,7 @@
     assert effects == [StartServing(ServingBasis.DISK_AND_PEERS)]
 
 
-def test_disk_and_peers_are_not_enough_while_control_is_connected() -> None:
+def test_disk_and_peers_do_not_suffice_while_control_is_connected() -> None:
     follower = Follower(IDENTITY, has_disk=True, record=record(4))
     assert kinds(follower.start(10.0)) == [TakeEffect]
     follower.on_control_connected(10.1)
@@ -163,7 +163,7 @@
     assert effects == [StartServing(ServingBasis.DISK_AND_PEERS)]
 
 
-def test_a_daemon_with_a_disk_fetches_what_a_peer_has_before_it_serves() -> None:
+def test_daemon_with_a_disk_fetches_a_newer_peer_revision_before_serving() -> None:
     follower = Follower(IDENTITY, has_disk=True, record=record(4, "p"))
     follower.start(-CONTROL_GRACE_SECONDS)
     assert follower.on_peer_revision("p", 5, 1.0)[-1] == FetchFromPeer("p", 4)
@@ -177,7 +177,7 @@
     assert follower.revision == 5
 
 
-def test_a_higher_revision_on_disk_than_held_must_be_reached_first() -> None:
+def test_highest_revision_seen_before_a_restart_must_be_reached_first() -> None:
     follower = Follower(IDENTITY, has_disk=True, record=record(4, highest=9))
     follower.start(0.0)
     assert not follower.may_serve
@@ -187,7 +187,7 @@
     assert not follower.may_serve
 
 
-def test_a_revision_is_recorded_before_it_is_in_force() -> None:
+def test_revision_is_recorded_before_it_is_in_force() -> None:
     follower = Follower(IDENTITY, has_disk=True)
     effects = follower.on_control_delta(full(2, service("a"), confirmed=True), 0.0)
     assert effects == [PersistRecord(FollowerRecord(2, full(2, service("a"))))]
@@ -202,7 +202,7 @@
     assert follower.may_serve
 
 
-def test_a_failing_disk_does_not_hold_configuration_up() -> None:
+def test_disk_failure_does_not_delay_configuration() -> None:
     follower = Follower(IDENTITY, has_disk=True)
     follower.on_control_delta(full(2, service("a"), confirmed=True), 0.0)
     effects = follower.on_persist_failed(0.1)
@@ -210,14 +210,14 @@
     assert follower.disk_failed
 
 
-def test_a_peer_is_answered_with_what_is_in_force() -> None:
+def test_fetch_by_a_peer_is_answered_with_the_revision_in_force() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     assert follower.answer_fetch(3) == Delta(base=3, revision=3)
     assert follower.answer_fetch(1) == full(3, service("a"))
 
 
-def test_a_peer_a_few_changes_behind_is_sent_only_these() -> None:
+def test_peer_slightly_behind_gets_only_the_missing_changes() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, *(service(name) for name in "abcdef")), 0.0)
     follower.on_control_delta(Delta(base=3, revision=4, puts=(service("g"),)), 1.0)
@@ -234,7 +234,7 @@
     assert follower.answer_fetch(2).base == 0
 
 
-def test_a_peer_is_sent_no_more_than_what_is_in_force() -> None:
+def test_peer_gets_no_revision_that_is_not_in_force() -> None:
     follower = Follower(IDENTITY, has_disk=True)
     follower.on_control_delta(full(3, *(service(name) for name in "abc")), 0.0)
     follower.on_persisted(0.1)
@@ -246,7 +246,7 @@
     assert follower.answer_fetch(3) == Delta(base=3, revision=4, puts=(service("d"),))
 
 
-def test_a_peer_whose_answer_was_lost_is_asked_again() -> None:
+def test_fetch_is_repeated_after_a_lost_answer() -> None:
     follower = Follower(IDENTITY)
     follower.on_control_delta(full(3, service("a"), confirmed=True), 0.0)
     follower.on_control_lost(1.0)
--- a/tests/distribution/test_hub.py
+++ b/tests/distribution/test_hub.py
@@ -39,7 +39,7 @@
     hub.subscribe(number, subscription(f"n{number}", revision), 0.0)
 
 
-def test_a_change_is_encoded_once_for_all_subscribers() -> None:
+def test_change_is_encoded_once_for_all_subscribers() -> None:
     hub = hub_at(2)
     subscribe(hub, 1)
     subscribe(hub, 2)
@@ -49,7 +49,7 @@
     assert effects[0].line.line is effects[0].line.line
 
 
-def test_who_is_behind_gets_one_merged_delta() -> None:
+def test_subscriber_behind_gets_one_merged_delta() -> None:
     hub = hub_at(3)
     hub.on_committed(Delta(3, 4, deletes=(ResourceKey("service", "s3"),)), 0.0)
     hub.on_committed(change(5, "s1"), 0.0)
@@ -62,14 +62,14 @@
     assert message.deletes == (ResourceKey("service", "s3"),)
 
 
-def test_who_is_behind_the_history_gets_the_whole() -> None:
+def test_subscriber_behind_the_history_gets_a_full_delta() -> None:
     hub = hub_at(10, HubLimits(history_changes=4))
     ((_, message),) = sent_messages(hub.subscribe(1, subscription("n1", 3), 0.0))
     assert isinstance(message, Delta)
     assert (message.base, message.revision, len(message.puts)) == (0, 10, 10)
 
 
-def test_who_is_ahead_of_this_node_is_sent_nothing_until_it_has_caught_up() -> None:
+def test_subscriber_ahead_of_the_node_is_sent_nothing_until_the_node_catches_up() -> None:
     hub = hub_at(3)
     effects = hub.subscribe(1, subscription("n1", 5), 0.0)
     assert sent_messages(effects) == []
@@ -79,7 +79,7 @@
     assert sent_messages(hub.on_committed(change(6), 0.3)) == [((1,), change(6))]
 
 
-def test_a_confirmation_covers_subscriptions_made_before_it_was_asked_for() -> None:
+def test_confirmation_covers_subscriptions_made_before_its_request() -> None:
     hub = hub_at(2)
     first = hub.subscribe(1, subscription("n1", 2), 0.0)
     assert first == [RequestConfirmation(1)]
@@ -90,19 +90,19 @@
     assert sent_messages(hub.on_confirmed(2, 0.2)) == [((2,), Delta(2, 2, confirmed=True))]
 
 
-def test_an_empty_configuration_is_sent_whole_and_confirmed() -> None:
+def test_empty_configuration_is_sent_in_full_and_confirmed() -> None:
     hub = Hub("c1")
     effects = hub.subscribe(1, subscription("n1"), 0.0)
     assert sent_messages(effects) == [((1,), Delta(0, 0))]
 
 
-def test_an_unanswered_confirmation_is_asked_for_again() -> None:
+def test_unanswered_confirmation_is_requested_again() -> None:
     hub = hub_at(1)
     subscribe(hub, 1)
     assert any(isinstance(effect, RequestConfirmation) for effect in hub.tick(1.0))
 
 
-def test_a_full_subscriber_is_skipped_and_caught_up_once_it_has_drained() -> None:
+def test_full_subscriber_is_skipped_and_catches_up_once_drained() -> None:
     hub = hub_at(3)
     subscribe(hub, 1)
     subscribe(hub, 2)
@@ -118,7 +118,7 @@
     assert message.revision == 39
 
 
-def test_a_fetch_that_crossed_a_delta_is_answered_only_when_repeated() -> None:
+def test_fetch_that_crosses_a_delta_is_answered_only_when_repeated() -> None:
     hub = hub_at(3)
     subscribe(hub, 1)
     hub.on_committed(change(4), 1.0)
@@ -126,7 +126,7 @@
     assert sent_messages(hub.on_fetch(1, 3, 2.1)) == [((1,), change(4))]
 
 
-def test_a_silent_subscriber_is_dropped() -> None:
+def test_silent_subscriber_is_dropped() -> None:
     hub = hub_at(1)
     subscribe(hub, 1)
     subscribe(hub, 2)
@@ -137,7 +137,7 @@
     assert hub.subscriber_count() == 1
 
 
-def test_a_node_without_a_quorum_sends_its_subscribers_elsewhere() -> None:
+def test_node_without_a_quorum_redirects_its_subscribers() -> None:
     hub = hub_at(1)
     hub.set_alternatives(("10.0.0.2:1",))
     subscribe(hub, 1)
@@ -148,7 +148,7 @@
     assert sent_messages(hub.tick(4.0)) == []
 
 
-def test_the_committed_configuration_never_goes_back() -> None:
+def test_committed_configuration_never_goes_back() -> None:
     hub = hub_at(3)
     with pytest.raises(InvariantError):
         hub.on_committed(change(3), 0.0)
@@ -169,7 +169,7 @@
     assert [item.connected for item in hub.collect_report().daemons] == [False]
 
 
-def test_a_restarted_daemon_is_not_silent_when_its_former_connection_ends() -> None:
+def test_restarted_daemon_is_not_silent_when_its_old_connection_ends() -> None:
     hub = hub_at(3)
     hub.subscribe(1, subscription("n1"), 0.0)
     hub.subscribe(2, subscription("n1"), 1.0)
@@ -184,7 +184,7 @@
     assert not status.connected
 
 
-def test_reports_of_a_former_connection_do_not_stand_for_the_restarted_daemon() -> None:
+def test_reports_of_an_old_connection_do_not_apply_to_the_restarted_daemon() -> None:
     hub = hub_at(3)
     hub.subscribe(1, subscription("n1", 2), 0.0)
     hub.subscribe(2, subscription("n1"), 1.0)
@@ -194,7 +194,7 @@
     assert (status.revision, status.connected) == (1, True)
 
 
-def test_a_former_connection_may_end_last() -> None:
+def test_old_connection_may_end_last() -> None:
     hub = hub_at(3)
     hub.subscribe(1, subscription("n1"), 0.0)
     hub.subscribe(2, subscription("n1"), 1.0)
@@ -211,7 +211,7 @@
     return [(to, line) for to, line in sent_messages(effects) if isinstance(line, LeaseRenewed)]
 
 
-def test_a_question_is_answered_by_a_read_that_began_after_it_came_in() -> None:
+def test_lease_request_is_answered_by_a_read_started_after_it() -> None:
     hub = hub_at(2)
     subscribe(hub, 1, 2)
     assert list(hub.on_lease_request(1, 7, 0.1)) == []
@@ -221,7 +221,7 @@
     assert lease_answers(hub.on_confirmed(2, 0.3)) == [((1,), LeaseRenewed(7, 2))]
 
 
-def test_one_read_answers_all_that_wait_each_behind_its_configuration() -> None:
+def test_one_read_answers_all_lease_requests_after_their_configuration() -> None:
     hub = hub_at(2)
     subscribe(hub, 1, 2)
     subscribe(hub, 2, 2)
@@ -236,7 +236,7 @@
     assert messages[1:] == [((2,), LeaseRenewed(9, 3)), ((2,), LeaseRenewed(10, 3))]
 
 
-def test_a_failed_read_answers_nothing_and_the_next_tick_asks_again() -> None:
+def test_failed_read_answers_nothing_and_is_repeated_by_the_next_tick() -> None:
     hub = hub_at(2)
     subscribe(hub, 1, 2)
     hub.on_confirmed(1, 0.1)
@@ -245,14 +245,14 @@
     assert lease_answers(hub.on_confirmed(3, 1.1)) == [((1,), LeaseRenewed(7, 2))]
 
 
-def test_a_node_that_lags_behind_a_daemon_does_not_answer_it() -> None:
+def test_node_behind_a_daemon_does_not_answer_its_lease_request() -> None:
     hub = hub_at(2)
     subscribe(hub, 1, 5)
     hub.on_lease_request(1, 7, 0.1)
     assert lease_answers(hub.on_confirmed(5, 0.2)) == []
 
 
-def test_a_daemon_that_asks_without_end_keeps_a_bounded_number_of_questions() -> None:
+def test_pending_lease_requests_of_a_daemon_are_bounded() -> None:
     hub = hub_at(2)
     subscribe(hub, 1, 2)
     for question in range(1000):
--- a/tests/distribution/test_record.py
+++ b/tests/distribution/test_record.py
@@ -13,14 +13,14 @@
 RECORD = FollowerRecord(7, Delta(0, 6, puts=(Service(name="a"),)))
 
 
-def test_reads_back_what_was_written(tmp_path: Path) -> None:
+def test_written_record_is_read_back(tmp_path: Path) -> None:
     folder = tmp_path / "data"
     assert RecordFile(folder).read() is None
     RecordFile(folder).write(RECORD)
     assert RecordFile(folder).read() == RECORD
 
 
-def test_a_torn_write_beside_the_record_is_ignored(tmp_path: Path) -> None:
+def test_torn_temporary_file_is_ignored(tmp_path: Path) -> None:
     file = RecordFile(tmp_path)
     file.write(RECORD)
     (tmp_path / (FILE_NAME + ".new")).write_bytes(b"half a rec")
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("position", [0, 20, -1])
-def test_a_flipped_byte_is_found(tmp_path: Path, position: int) -> None:
+def test_flipped_byte_is_detected(tmp_path: Path, position: int) -> None:
     RecordFile(tmp_path).write(RECORD)
     path = tmp_path / FILE_NAME
     content = bytearray(path.read_bytes())
@@ -38,7 +38,7 @@
         RecordFile(tmp_path).read()
 
 
-def test_a_disk_that_refuses_is_reported(tmp_path: Path) -> None:
+def test_write_failure_is_reported(tmp_path: Path) -> None:
     file = RecordFile(tmp_path)
     (tmp_path / (FILE_NAME + ".new")).mkdir()
     with pytest.raises(StorageError):
--- a/tests/distribution/test_server.py
+++ b/tests/distribution/test_server.py
@@ -154,13 +154,15 @@
         (SUBSCRIBE, b"[]\n"),
     ],
 )
-async def test_a_breach_closes_the_connection(parts: tuple[msgspec.Struct | bytes, ...]) -> None:
+async def test_protocol_violation_closes_the_connection(
+    parts: tuple[msgspec.Struct | bytes, ...],
+) -> None:
     async with serving() as (_, (_, bad)):
         await bad.send(*parts)
         await bad.ended()
 
 
-async def test_a_connection_from_another_network_is_closed_without_an_answer() -> None:
+async def test_connection_from_another_network_is_closed_unanswered() -> None:
     server = CountingServer(networks=("10.0.0.0/8",))
     port = await server.start("127.0.0.1", 0)
     server.set_quorum_contact(True)
@@ -174,7 +176,7 @@
     await server.close()
 
 
-async def test_a_daemon_that_claims_a_revision_to_come_does_not_keep_the_node_busy() -> None:
+async def test_claim_of_a_future_revision_does_not_keep_the_node_busy() -> None:
     async with serving() as (server, (good, bad)):
         await bad.send(Subscribe("bad", "1", "s", "z", 1000))
         await good.send(Subscribe("good", "1", "s", "z", 0))
@@ -184,7 +186,7 @@
         assert server.confirmations <= 0.5 / CONFIRMATION_PAUSE_SECONDS + 1
 
 
-async def test_a_connection_that_does_not_subscribe_is_closed(
+async def test_connection_that_does_not_subscribe_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(lines, "GREETING_SECONDS", 0.2)
@@ -194,7 +196,7 @@
         assert isinstance(await good.receive(), Delta)
 
 
-async def test_a_daemon_may_send_lines_that_a_stranger_may_not() -> None:
+async def test_long_lines_are_accepted_only_from_subscribed_daemons() -> None:
     long_line = b'{"type":"in_force","revision":' + b" " * (1 << 20) + b"1}\n"
     async with serving() as (server, (good, bad)):
         await good.send(Subscribe("good", "1", "licence", "z1", 0))
--- a/tests/distribution/test_status.py
+++ b/tests/distribution/test_status.py
@@ -28,7 +28,7 @@
     assert silent == {"e-c": 0.5, "e-never": 4.0}
 
 
-def test_a_daemon_that_moved_counts_where_it_is_connected() -> None:
+def test_moved_daemon_is_counted_at_its_current_control_node() -> None:
     table = StatusTable(0.0)
     table.merge(report("c1", 4, daemon("a", 3)), 1.0)
     table.merge(report("c2", 4, daemon("a", 4)), 2.0)
@@ -46,7 +46,7 @@
     assert table.summary(later).in_force == 1
 
 
-def test_a_whole_report_disconnects_whom_it_does_not_list() -> None:
+def test_full_report_disconnects_unlisted_daemons() -> None:
     table = StatusTable(0.0)
     table.merge(report("c1", 4, daemon("a", 4), daemon("b", 4)), 1.0)
     table.merge(InForceReport("c1", 4, (daemon("a", 4),), everything=True), 2.0)
--- a/tests/distribution/test_strangers.py
+++ b/tests/distribution/test_strangers.py
@@ -50,7 +50,7 @@
     return True
 
 
-async def test_a_long_line_of_a_stranger_is_cut_short_and_a_daemons_is_taken(
+async def test_long_line_is_accepted_only_after_a_subscription(
     server: tuple[Hub, int],
 ) -> None:
     hub, port = server
@@ -64,7 +64,7 @@
     writer.close()
 
 
-async def test_who_never_subscribes_is_closed_and_who_does_is_not(
+async def test_only_connections_without_a_subscription_are_closed(
     server: tuple[Hub, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hub, port = server
@@ -84,7 +84,7 @@
     [encode_line(InForce(1)), b"no json\n", b'{"type":"unknown"}\n', SUBSCRIBE + SUBSCRIBE],
     ids=["before subscribing", "malformed", "unknown type", "subscribed twice"],
 )
-async def test_a_wrong_line_closes_only_its_own_connection(
+async def test_invalid_line_closes_only_its_own_connection(
     server: tuple[Hub, int], line: bytes
 ) -> None:
     hub, port = server
--- a/tests/quota/test_bucket.py
+++ b/tests/quota/test_bucket.py
@@ -3,7 +3,7 @@
 from finchshed.quota.bucket import TokenBucket
 
 
-def test_it_begins_empty_and_fills_up_to_its_size() -> None:
+def test_bucket_starts_empty_and_refills_to_its_capacity() -> None:
     bucket = TokenBucket(2.0, 3.0, 10.0)
     assert bucket.take(1, 10.0) == 0
     assert bucket.level(11.0) == 2.0
@@ -12,14 +12,14 @@
     assert bucket.take(1, 20.4) == 0
 
 
-def test_time_that_goes_back_adds_nothing() -> None:
+def test_backward_time_adds_no_tokens() -> None:
     bucket = TokenBucket(1.0, 10.0, 10.0)
     assert bucket.level(12.0) == 2.0
     assert bucket.level(11.0) == 2.0
     assert bucket.level(12.0) == 2.0
 
 
-def test_what_does_not_fit_is_lost_or_told() -> None:
+def test_excess_tokens_are_discarded_or_returned() -> None:
     bucket = TokenBucket(0.0, 3.0, 0.0)
     bucket.put(9.0, 0.0)
     assert bucket.level(0.0) == 3.0
@@ -28,7 +28,7 @@
     assert bucket.level(0.0) == 1.5
 
 
-def test_parts_of_tokens_can_be_moved() -> None:
+def test_fractional_tokens_can_be_moved() -> None:
     bucket = TokenBucket(0.0, 3.0, 0.0)
     bucket.put(2.5, 0.0)
     assert bucket.remove_above(2.0, 0.0) == 0.5
@@ -38,7 +38,7 @@
     assert bucket.take_fractional(9.0, 0.0) == 1.25
 
 
-def test_when_there_will_be_more() -> None:
+def test_wait_until_tokens_are_available() -> None:
     bucket = TokenBucket(4.0, 8.0, 0.0)
     assert bucket.seconds_until(2.0, 0.0) == 0.5
     assert bucket.seconds_until(1.0, 1.0) == 0.0
--- a/tests/quota/test_daemon_share.py
+++ b/tests/quota/test_daemon_share.py
@@ -38,14 +38,14 @@
     return share.on_shares(QuotaShares("life", number, (grant,)), now)
 
 
-def test_a_daemon_without_a_bucket_asks() -> None:
+def test_daemon_without_a_bucket_requests_tokens() -> None:
     share = limited_share()
     assert share.take("t", 1.0) is TokenDecision.ASK
     assert share.is_limited("t")
     assert not share.is_limited("other")
 
 
-def test_a_granted_bucket_serves_until_its_lease_ends() -> None:
+def test_granted_bucket_is_used_until_its_lease_ends() -> None:
     share = limited_share()
     share.take("t", 1.0)
     assert apply_grant(share, 1.0, 10.0, 5.0, tokens=2.0)
@@ -56,7 +56,7 @@
     assert share.take("t", 1.0 + LEASE_SECONDS) is TokenDecision.ASK
 
 
-def test_a_bucket_whose_lease_ended_is_not_told_of_and_is_empty_afterwards() -> None:
+def test_bucket_with_an_expired_lease_is_not_reported_and_is_emptied() -> None:
     share = limited_share()
     share.take("t", 1.0)
     assert apply_grant(share, 1.0, 10.0, 5.0)
@@ -65,7 +65,7 @@
     assert (held.rate, held.capacity) == (0.0, 0.0)
 
 
-def test_only_the_answer_to_the_last_report_counts_and_only_in_time() -> None:
+def test_only_a_timely_answer_to_the_last_report_is_applied() -> None:
     share = limited_share()
     share.take("t", 1.0)
     first = require_report(share, 1.0).number
@@ -80,7 +80,7 @@
     assert share.take("t", 1.6) is TokenDecision.TAKEN
 
 
-def test_after_a_denial_the_reserve_is_left_alone_for_a_moment() -> None:
+def test_no_tokens_are_requested_shortly_after_a_denial() -> None:
     share = limited_share()
     share.take("t", 1.0)
     ask = share.next_token_request("t", 3)
@@ -92,7 +92,7 @@
     assert share.take("t", 2.0 + UNREACHED_BACKOFF_SECONDS) is TokenDecision.ASK
 
 
-def test_tokens_come_back_of_requests_that_did_not_run() -> None:
+def test_tokens_of_requests_that_did_not_run_are_refunded() -> None:
     share = limited_share()
     share.take("t", 1.0)
     apply_grant(share, 1.0, 0.0, 5.0, tokens=1.0)
@@ -102,7 +102,7 @@
     assert share.take("t", 1.0) is TokenDecision.TAKEN
 
 
-def test_what_is_not_needed_is_returned_if_it_is_wanted() -> None:
+def test_surplus_tokens_are_returned_to_a_reserve_that_is_not_full() -> None:
     share = limited_share()
     share.take("t", 1.0)
     apply_grant(share, 1.0, 2.0, 5.0, tokens=5.0)
@@ -112,7 +112,7 @@
     assert (held.returned, held.level) == (2.5, 2.5)
 
 
-def test_a_tenant_that_sends_no_more_has_no_bucket() -> None:
+def test_idle_tenant_has_no_bucket() -> None:
     share = limited_share()
     share.take("t", 0.1)
     assert require_report(share, 0.5).shares[0].demand > 0.0
@@ -123,11 +123,11 @@
     assert reports[-1].shares == ()
 
 
-def test_without_limits_there_is_nothing_to_tell() -> None:
+def test_no_report_is_sent_without_limits() -> None:
     assert limited_share(Tenant("free")).next_report(1.0) is None
 
 
-def test_tokens_that_do_not_fit_a_smaller_bucket_go_back() -> None:
+def test_tokens_above_a_reduced_capacity_are_returned() -> None:
     share = limited_share()
     share.take("t", 1.0)
     apply_grant(share, 1.0, 0.0, 5.0, tokens=5.0)
@@ -136,7 +136,7 @@
     assert require_report(share, 2.0).shares[0].returned >= 3.0
 
 
-def test_a_lower_limit_shrinks_a_bucket_at_once() -> None:
+def test_lowered_limit_shrinks_a_bucket_immediately() -> None:
     share = limited_share()
     share.take("t", 1.0)
     apply_grant(share, 1.0, 50.0, 50.0)
@@ -148,7 +148,7 @@
     assert not share.rates()
 
 
-def test_callers_above_a_limit_come_back_one_after_the_other() -> None:
+def test_retry_after_times_spread_out_refused_callers() -> None:
     share = limited_share()
     share.take("t", 1.0)
     apply_grant(share, 1.0, 40.0, 50.0)
--- a/tests/quota/test_division.py
+++ b/tests/quota/test_division.py
@@ -38,7 +38,7 @@
     return answer.shares[0]
 
 
-def test_a_limit_leaves_room_for_its_burst_and_what_may_be_over() -> None:
+def test_limit_includes_the_burst_and_the_overshoot() -> None:
     assert LIMIT is not None
     assert LIMIT.rate == 100.0
     window_max = (100.0 * 5.0 + 100.0) * 1.1 + 20.0
@@ -46,7 +46,7 @@
     assert limit_of(Tenant("free"), Policy()) is None
 
 
-def test_shares_follow_demand_and_are_never_more_than_the_limit() -> None:
+def test_shares_follow_demand_within_the_limit() -> None:
     assert LIMIT is not None
     allocator = make_allocator()
     first, second = send_report(allocator, "a", 1), send_report(allocator, "b", 1)
@@ -59,7 +59,7 @@
     assert first.rate > 2.0 * second.rate > 0.0
 
 
-def test_a_share_that_shrinks_is_free_once_the_daemon_has_told_of_it() -> None:
+def test_shrunk_share_is_freed_once_the_daemon_reports_it() -> None:
     allocator = make_allocator()
     alone = send_report(allocator, "a", 1)
     alone = send_report(allocator, "a", 2, alone, demand=100.0)
@@ -71,7 +71,7 @@
     assert allocator.held_total("t")[0] == shrunk.rate
 
 
-def test_a_daemon_that_falls_silent_keeps_its_share_until_that_must_have_ended() -> None:
+def test_silent_daemon_keeps_its_share_until_its_lease_has_ended() -> None:
     allocator = make_allocator()
     gone = send_report(allocator, "a", 1, demand=100.0)
     send_report(allocator, "b", 1, now=SETTLED + LEADER_LEASE_SECONDS - 0.1)
@@ -81,7 +81,7 @@
     assert allocator.held_total("t")[0] == late.rate
 
 
-def test_what_a_daemon_claims_without_being_counted_is_not_believed() -> None:
+def test_reported_share_that_is_not_counted_is_ignored() -> None:
     assert LIMIT is not None
     allocator = make_allocator()
     send_report(allocator, "a", 1, demand=100.0)
@@ -91,7 +91,7 @@
     assert granted.rate < claimed.rate
 
 
-def test_a_new_leader_lets_shares_grow_once_all_that_may_hold_one_have_told() -> None:
+def test_new_leader_grows_shares_once_all_holders_have_reported() -> None:
     allocator = QuotaAllocator(0.0, ("a", "b"))
     allocator.configure((TENANT,), Policy(), 0.0)
     held = HeldShare("t", 50.0, 20.0, 30.0)
@@ -101,7 +101,7 @@
     assert allocator.held_total("t")[0] <= 80.0
 
 
-def test_a_daemon_gets_a_share_once_it_is_noted() -> None:
+def test_daemon_gets_a_share_once_it_is_recorded() -> None:
     allocator = make_allocator()
     assert allocator.unrecorded_daemons() == ()
     assert send_report(allocator, "c", 1).rate == 0.0
@@ -111,7 +111,7 @@
     assert allocator.unrecorded_daemons() == ()
 
 
-def test_a_daemon_that_is_silent_for_long_is_noted_no_more() -> None:
+def test_record_of_a_long_silent_daemon_is_removed() -> None:
     allocator = QuotaAllocator(0.0, ("a", "b"))
     allocator.on_report("a", QuotaReport("1", 1, ()), 0.5 * DAEMON_EXPIRY_SECONDS)
     assert allocator.expired_daemons(DAEMON_EXPIRY_SECONDS - 0.1) == ()
@@ -120,7 +120,7 @@
     assert allocator.expired_daemons(DAEMON_EXPIRY_SECONDS + 0.1) == ()
 
 
-def test_a_new_leader_takes_in_what_daemons_show_and_lets_none_grow_at_first() -> None:
+def test_new_leader_accepts_reported_shares_without_growing_them() -> None:
     allocator = QuotaAllocator(0.0, ("a", "b", "gone"))
     allocator.configure((TENANT,), Policy(), 0.0)
     held = HeldShare("t", 50.0, 20.0, 30.0)
@@ -129,21 +129,21 @@
     assert send_report(allocator, "b", 2, now=SETTLED, demand=80.0).rate > 0.0
 
 
-def test_an_older_report_is_passed_over() -> None:
+def test_older_report_is_ignored() -> None:
     allocator = make_allocator()
     send_report(allocator, "a", 2)
     assert allocator.on_report("a", QuotaReport("1", 1, ()), SETTLED) is None
     assert allocator.on_report("a", QuotaReport("1", 2, ()), SETTLED) is None
 
 
-def test_a_daemon_that_started_anew_gives_up_what_its_former_life_held() -> None:
+def test_restarted_daemon_releases_the_shares_of_its_previous_incarnation() -> None:
     allocator = make_allocator()
     send_report(allocator, "a", 1, demand=100.0)
     assert allocator.on_report("a", QuotaReport("2", 1, (), started_ms=5), SETTLED) is None
     assert allocator.held_total("t") == (0.0, 0.0)
 
 
-def test_a_late_line_of_a_former_life_frees_nothing_of_the_later_one() -> None:
+def test_late_report_of_an_old_incarnation_does_not_affect_the_new_one() -> None:
     allocator = make_allocator()
     late = QuotaReport("1", 9, (), started_ms=1)
     shares = (HeldShare("t", 100.0, 0.0, 0.0),)
@@ -155,7 +155,7 @@
     assert allocator.held_total("t") == held
 
 
-def test_the_reserve_helps_out_and_tells_when_it_may_have_more() -> None:
+def test_reserve_grants_tokens_and_reports_when_more_arrive() -> None:
     allocator = make_allocator()
     answer = allocator.on_token_request(QuotaAsk("1", 1, "t", 5), SETTLED)
     assert (answer.tokens, answer.seconds_until_more) == (5, 0.0)
@@ -165,7 +165,7 @@
     assert allocator.on_token_request(QuotaAsk("1", 3, "unknown", 1), SETTLED).tokens == 0
 
 
-def test_returned_tokens_can_be_asked_for() -> None:
+def test_returned_tokens_can_be_requested() -> None:
     allocator = make_allocator()
     share = send_report(allocator, "a", 1, demand=100.0)
     allocator.on_token_request(QuotaAsk("1", 2, "t", 100_000), SETTLED)
@@ -174,7 +174,7 @@
     assert allocator.on_token_request(QuotaAsk("1", 5, "t", 7), SETTLED).tokens == 7
 
 
-def test_a_lower_limit_reaches_a_daemon_with_its_next_report() -> None:
+def test_lowered_limit_is_sent_with_the_answer_to_the_next_report() -> None:
     allocator = make_allocator()
     share = send_report(allocator, "a", 1, demand=60.0)
     lower = Tenant("t", requests_per_second=10.0, burst_requests=10.0)
--- a/tests/quota/test_quotas_in_a_failing_world.py
+++ b/tests/quota/test_quotas_in_a_failing_world.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("first_seed", range(0, SEEDS, SEEDS_PER_TEST))
-def test_no_window_is_above_its_limit(first_seed: int) -> None:
+def test_every_window_stays_within_its_limit(first_seed: int) -> None:
     for seed in range(first_seed, first_seed + SEEDS_PER_TEST):
         simulation = faulty_simulation(seed)
         simulation.clock.run(END)
@@ -52,7 +52,7 @@
             assert simulation.peak_window_ratio(name, 0.0) <= 1.0, f"seed {seed}, tenant {name}"
 
 
-def test_the_world_shows_a_leader_that_lets_shares_grow_at_once(
+def test_simulation_detects_a_leader_that_grows_shares_immediately(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a simulation too weak to detect a leader that grows shares too early."""
@@ -67,7 +67,7 @@
     return any(simulation.peak_window_ratio(name, 0.0) > 1.0 for name in simulation.usual_rates)
 
 
-def test_a_lower_limit_holds_one_window_after_it_is_in_force() -> None:
+def test_lowered_limit_applies_one_window_after_taking_effect() -> None:
     for seed in range(20):
         simulation = QuotaSimulation(seed, 8, [40.0, 20.0], [8, 8])
         simulation.load_factors["t0"] = 1.5
@@ -79,7 +79,7 @@
         )
 
 
-def test_in_calm_times_next_to_nothing_below_a_limit_is_refused() -> None:
+def test_few_requests_below_the_limit_are_refused_without_faults() -> None:
     lost = asked = 0
     for seed in range(3):
         simulation = QuotaSimulation(seed, 40, [60.0, 20.0, 8.0, 5.0, 5.0], [40, 30, 8, 6, 5])
@@ -91,7 +91,7 @@
     assert lost <= 0.001 * asked
 
 
-def test_while_there_is_no_leader_most_are_served() -> None:
+def test_most_requests_are_served_without_a_leader() -> None:
     lost = asked = 0
     for seed in range(3):
         simulation = QuotaSimulation(seed, 40, [60.0, 20.0, 8.0, 5.0, 5.0], [40, 30, 8, 6, 5])
@@ -104,7 +104,7 @@
     assert lost <= 0.25 * asked
 
 
-def test_a_daemon_without_control_uses_its_share_no_longer_than_its_lease() -> None:
+def test_disconnected_daemon_uses_its_share_only_until_its_lease_ends() -> None:
     simulation = QuotaSimulation(1, 4, [40.0], [4])
     simulation.clock.run(15.0)
     daemon = simulation.daemons[0]
