--- a/tests/control/test_directory_service.py
+++ b/tests/control/test_directory_service.py
@@ -32,7 +32,7 @@
     return Registration(address, 1, serial, f"i-{host}", "sales", state=InstanceState.READY)
 
 
-async def test_what_a_daemon_tells_goes_to_daemons_and_peers_once() -> None:
+async def test_registration_of_a_daemon_is_sent_to_daemons_and_peers_once() -> None:
     sent = SentMessages()
     service = sent.service()
     for _ in range(3):
@@ -41,7 +41,7 @@
     assert sent.to_peers == [DirectoryReport((registration(1),))]
 
 
-async def test_what_a_peer_tells_goes_to_daemons_and_to_no_other_peer() -> None:
+async def test_registration_from_a_peer_is_sent_to_daemons_only() -> None:
     sent = SentMessages()
     service = sent.service()
     service.on_report(DirectoryReport((registration(2),)))
@@ -54,7 +54,7 @@
     assert sent.to_peers == []
 
 
-async def test_a_daemon_that_connects_gets_all_and_the_control_nodes() -> None:
+async def test_connecting_daemon_gets_all_registrations_and_control_nodes() -> None:
     sent = SentMessages()
     service = sent.service()
     service.on_announce(Announce(registration(1)))
@@ -67,7 +67,7 @@
     ]
 
 
-async def test_own_registrations_are_repeated_to_peers_and_lost_ones_forgotten(
+async def test_own_registrations_are_repeated_to_peers_and_lost_ones_expire(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(directory_service, "REPORT_INTERVAL_SECONDS", 0.02)
@@ -89,7 +89,7 @@
     }
 
 
-async def test_a_return_of_all_machines_goes_to_daemons_in_few_updates() -> None:
+async def test_return_of_all_machines_is_sent_in_few_updates() -> None:
     sent = SentMessages()
     service = sent.service()
     for host in range(1, 189):
@@ -102,7 +102,7 @@
     assert latest == {f"10.0.0.{host}:7000": 2 for host in range(1, 189)}
 
 
-async def test_a_single_change_goes_out_at_once() -> None:
+async def test_single_change_is_sent_immediately() -> None:
     sent = SentMessages()
     service = sent.service()
     service.on_announce(Announce(registration(1)))
--- a/tests/control/test_quarantine_service.py
+++ b/tests/control/test_quarantine_service.py
@@ -23,7 +23,7 @@
         self.service = QuarantineService(self.to_daemons.append, self.to_peers.append)
 
 
-async def test_news_goes_to_daemons_and_peers_once() -> None:
+async def test_changed_records_are_sent_to_daemons_and_peers_once() -> None:
     node, peer = QuarantineNode(), QuarantineNode()
     node.service.on_daemon_report(news("a", "i-1"))
     node.service.on_daemon_report(news("a", "i-1"))
@@ -34,7 +34,7 @@
     assert not peer.to_peers  # every control node sends to every other one itself
 
 
-async def test_what_follows_soon_is_sent_together() -> None:
+async def test_changes_in_quick_succession_are_sent_together() -> None:
     node = QuarantineNode()
     for number in range(20):
         node.service.on_daemon_report(news(f"r-{number}", "i-1"))
@@ -44,7 +44,7 @@
     assert [len(item.records) for item in sent] == [1, 19]
 
 
-async def test_a_daemon_that_connects_hears_of_all_and_a_lift_clears_it() -> None:
+async def test_connecting_daemon_gets_all_records_and_a_lift_clears_them() -> None:
     node = QuarantineNode()
     assert node.service.initial_messages() == ()
     node.service.on_daemon_report(news("a", "i-1", "i-2", "i-3"))
--- a/tests/control/test_state_machine.py
+++ b/tests/control/test_state_machine.py
@@ -34,7 +34,7 @@
     return ApplyChange(Change("first", "bootstrap", 0, (ANA, Policy(key_window_seconds=100.0))))
 
 
-def test_the_same_entries_give_the_same_state_on_every_node() -> None:
+def test_same_entries_give_the_same_state_on_every_node() -> None:
     key = new_key(NOW, random.Random(1))
     entries = [
         entry(first_change()),
@@ -48,7 +48,7 @@
     assert machines[0].snapshot() == machines[1].snapshot()
 
 
-def test_a_snapshot_holds_configuration_results_and_ledger() -> None:
+def test_snapshot_contains_configuration_results_and_ledger() -> None:
     key = new_key(NOW, random.Random(1))
     machine = ControlStateMachine()
     assert machine.apply(1, entry(first_change())) == Accepted(1)
@@ -61,7 +61,7 @@
     assert other.apply(4, entry(BeginRequest(key, "b"))) == OutcomeUnknown()
 
 
-def test_the_window_of_keys_is_that_of_the_policy_and_runs_on_the_entries_time() -> None:
+def test_key_window_follows_the_policy_and_the_time_of_entries() -> None:
     machine = ControlStateMachine()
     machine.apply(1, entry(first_change()))
     key = new_key(NOW, random.Random(1))
@@ -71,7 +71,7 @@
     assert result == LedgerRefusal(LedgerRefusalReason.EXPIRED)
 
 
-def test_accepted_changes_are_told_once_and_resends_not() -> None:
+def test_accepted_changes_are_reported_once_and_resends_are_not() -> None:
     committed_revisions: list[CommittedRevision] = []
     machine = ControlStateMachine(on_committed=committed_revisions.append)
     machine.apply(1, entry(first_change()))
@@ -80,12 +80,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"\xff\xfe", b'{"time":1,"command":{"type":"x"}}'])
-def test_an_unreadable_entry_is_a_broken_invariant(data: bytes) -> None:
+def test_unreadable_entry_violates_an_invariant(data: bytes) -> None:
     with pytest.raises(InvariantError):
         ControlStateMachine().apply(1, data)
 
 
-def test_an_entry_applied_twice_is_a_broken_invariant() -> None:
+def test_entry_applied_twice_violates_an_invariant() -> None:
     machine = ControlStateMachine()
     machine.apply(1, entry(first_change()))
     with pytest.raises(InvariantError):
--- a/tests/daemon/test_return_detection.py
+++ b/tests/daemon/test_return_detection.py
@@ -24,7 +24,7 @@
     raise AssertionError(f"{path} was not answered in {MAX_ATTEMPTS} attempts")
 
 
-def test_back_end_that_was_gone_has_returned_with_its_first_good_answer() -> None:
+def test_first_good_answer_marks_a_gone_back_end_as_returned() -> None:
     detector = ReturnDetector()
     assert not detector.has_returned(DRAINING, 1.0)
     assert not detector.has_returned(BackendUnreached("refused"), 2.0)
--- a/tests/daemon/test_session_pins.py
+++ b/tests/daemon/test_session_pins.py
@@ -37,7 +37,7 @@
     )
 
 
-def test_without_a_pin_the_claimed_endpoint_is_taken() -> None:
+def test_claimed_endpoint_is_used_without_a_pin() -> None:
     assert SessionPins().pinned_endpoint(request("b"), table(), 0.0) == "b"
 
 
@@ -51,14 +51,14 @@
     assert pins.pinned_endpoint(request("a"), routes, 0.0) == ""
 
 
-def test_an_answered_pin_goes_before_a_claim() -> None:
+def test_answered_pin_takes_precedence_over_a_claim() -> None:
     pins = SessionPins()
     pins.on_request_sent(request(), "a", 10.0, 0.0)
     pins.on_request_ended(request(), "a", SERVED, 1.0)
     assert pins.pinned_endpoint(request("b"), table(), 1.0) == "a"
 
 
-def test_a_pin_whose_request_was_refused_gives_way_to_a_claim() -> None:
+def test_claim_takes_precedence_over_a_pin_whose_request_was_refused() -> None:
     pins = SessionPins()
     pins.on_request_sent(request(), "a", 10.0, 0.0)
     pins.on_request_ended(request(), "a", Refused(RefusalReason.OVERLOAD, 0.1), 1.0)
@@ -68,7 +68,7 @@
     assert pins.pinned_endpoint(request(), table(), 2.0) == "b"
 
 
-def test_the_answer_tells_the_place_and_not_what_the_back_end_says() -> None:
+def test_answer_names_the_endpoint_regardless_of_the_back_ends_header() -> None:
     forged = msgspec.structs.replace(SERVED, headers=(("finchshed-session-at", "z"), ("etag", "1")))
     response = with_session_endpoint(request(), "a", forged)
     assert isinstance(response, Answered)
