--- a/src/finchshed/configuration/store.py
+++ b/src/finchshed/configuration/store.py
@@ -25,7 +25,7 @@
     key_of,
     kind_of,
 )
-from finchshed.configuration.validation import duplicate_keys, keeps_valid, problems_of
+from finchshed.configuration.validation import duplicate_keys, keeps_sound, problems_of
 
 RESULT_RETENTION = 10_000
 """Number of results retained for resends, about a week at 1,400 changes per day."""
@@ -160,7 +160,7 @@
         if problems:
             return Invalid(tuple(problems))
         candidate = self._candidate(change)
-        if not keeps_valid(candidate, change.puts, change.deletes):
+        if not keeps_sound(candidate, change.puts, change.deletes):
             problems = problems_of(candidate)
         if _deletes_operators(change) and not _has_operator(candidate):
             problems.append("operator: none would be left, allowed is 1 or more")
--- a/src/finchshed/configuration/validation.py
+++ b/src/finchshed/configuration/validation.py
@@ -58,7 +58,7 @@
     return problems
 
 
-def keeps_valid(
+def keeps_sound(
     resources: Mapping[ResourceKey, Resource],
     puts: Iterable[Resource],
     deletes: Iterable[ResourceKey],
--- a/tests/configuration/test_keeps_valid.py
+++ b/tests/configuration/test_keeps_sound.py
@@ -15,7 +15,7 @@
     key_of,
 )
 from finchshed.configuration.store import BOOTSTRAP_OPERATOR, ConfigurationStore
-from finchshed.configuration.validation import keeps_valid, problems_of
+from finchshed.configuration.validation import keeps_sound, problems_of
 
 ANA = Operator("ana", "a" * 64)
 
@@ -63,7 +63,7 @@
         candidate = {key: item for key, item in sound.items() if key not in deletes}
         candidate.update({key_of(item): item for item in puts})
         problems = problems_of(candidate)
-        if keeps_valid(candidate, puts, deletes):
+        if keeps_sound(candidate, puts, deletes):
             assert problems == []
         if not problems:
             sound = candidate
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -13,7 +13,7 @@
     Service,
     key_of,
 )
-from finchshed.configuration.validation import keeps_valid, problems_of
+from finchshed.configuration.validation import keeps_sound, problems_of
 
 NAMES = st.sampled_from(["a", "b", "c"])
 ADDRESSES = st.sampled_from(
@@ -62,7 +62,7 @@
         deletes = sorted(resources)[position : position + 1]
         candidate = changed(resources, puts, deletes)
         is_sound = not problems_of(candidate)
-        assert is_sound or not keeps_valid(candidate, puts, deletes)
+        assert is_sound or not keeps_sound(candidate, puts, deletes)
         if is_sound:
             resources = candidate
 
@@ -73,5 +73,5 @@
     operator = Operator(name="ana", token_sha256="a" * 64)
     for put in (service, endpoint, operator, Policy()):
         resources = changed({}, [service, endpoint, operator, put], [])
-        assert keeps_valid(resources, [put], [])
-    assert keeps_valid({key_of(service): service}, [], [key_of(endpoint)])
+        assert keeps_sound(resources, [put], [])
+    assert keeps_sound({key_of(service): service}, [], [key_of(endpoint)])
