--- a/tests/control/test_daemon_view.py
+++ b/tests/control/test_daemon_view.py
@@ -17,7 +17,7 @@
 OPERATOR = Operator("ana", "ab" * 32)
 
 
-def test_operators_are_left_out_of_the_whole_and_of_changes() -> None:
+def test_operators_are_omitted_from_full_configurations_and_changes() -> None:
     whole = configuration_for_daemons(4, (OPERATOR, Policy(), Service("s")))
     assert set(whole.resources) == {ResourceKey("policy", "default"), ResourceKey("service", "s")}
     committed = CommittedRevision(
@@ -29,7 +29,7 @@
     assert apply_delta(whole, delta).revision == 5
 
 
-def test_a_change_of_operators_alone_still_advances_the_revision() -> None:
+def test_change_of_operators_only_advances_the_revision() -> None:
     delta = delta_for_daemons(CommittedRevision(7, (OPERATOR,), ()))
     assert (delta.base, delta.revision, delta.puts, delta.deletes) == (6, 7, (), ())
 
@@ -54,7 +54,7 @@
         pass
 
 
-async def test_a_daemon_of_a_real_control_node_holds_no_operator(tmp_path: Path) -> None:
+async def test_daemon_of_a_real_control_node_has_no_operators(tmp_path: Path) -> None:
     group = Group(tmp_path, voters=1)
     follower = RecordingFollower()
     try:
--- a/tests/control/test_forwarding.py
+++ b/tests/control/test_forwarding.py
@@ -67,18 +67,18 @@
     return log
 
 
-async def test_a_lost_line_between_control_nodes_does_not_cost_the_answer() -> None:
+async def test_lost_line_between_control_nodes_does_not_lose_the_answer() -> None:
     links = LossyLinks(lost_count=1)
     assert await make_follower_log(links).propose(COMMAND) == Accepted(1)
     assert len(links.sent) == 2
 
 
-async def test_the_answer_to_any_sending_counts_where_the_leader_is_slow() -> None:
+async def test_answer_to_any_resend_is_accepted_if_the_leader_is_slow() -> None:
     links = LossyLinks(reply_delay=0.7 * TIMEOUT_SECONDS)
     assert await make_follower_log(links).propose(COMMAND) == Accepted(1)
 
 
-async def test_a_leader_that_never_answers_is_given_up_in_time() -> None:
+async def test_request_to_a_leader_that_never_answers_times_out() -> None:
     links = LossyLinks(lost_count=1000)
     began = asyncio.get_running_loop().time()
     with pytest.raises(ControlUnavailableError):
--- a/tests/control/test_ledger_router.py
+++ b/tests/control/test_ledger_router.py
@@ -130,7 +130,7 @@
     return new_key(time, random.Random(seed))
 
 
-async def test_requests_go_to_the_shard_of_their_key_under_their_own_number() -> None:
+async def test_requests_go_to_the_shard_of_their_key_with_their_number() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, SHARDS)
     await harness.log.read_barrier()
@@ -144,14 +144,14 @@
     assert isinstance(complete, LedgerRefused)
 
 
-async def test_a_node_that_does_not_know_of_the_shards_learns_it_from_the_own_log() -> None:
+async def test_lagging_node_learns_of_shards_from_its_log() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, SHARDS)
     assert await harness.begin(key_issued_at(NOW)) == LedgerGranted(7)
     assert sum(len(shard.begun) for shard in harness.shards.values()) == 1
 
 
-async def test_no_key_is_sent_to_a_shard_on_state_that_no_majority_confirmed_lately() -> None:
+async def test_no_key_reaches_a_shard_without_a_recent_confirmation() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, SHARDS)
     await harness.begin(key_issued_at(NOW, 1))
@@ -170,7 +170,7 @@
     assert await harness.begin(key_issued_at(NOW, 4)) == LedgerGranted(7)
 
 
-async def test_the_confirmation_is_renewed_before_a_request_has_to_wait_for_it() -> None:
+async def test_confirmation_is_renewed_before_it_expires() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, SHARDS)
     await harness.begin(key_issued_at(NOW, 1))
@@ -184,7 +184,7 @@
     assert await harness.begin(key_issued_at(NOW, 3)) == LedgerGranted(7)
 
 
-async def test_keys_from_the_future_expired_or_from_before_a_recovery_reach_no_shard() -> None:
+async def test_future_expired_and_pre_recovery_keys_reach_no_shard() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, SHARDS)
     await harness.log.read_barrier()
@@ -197,7 +197,7 @@
     assert not any(shard.begun for shard in harness.shards.values())
 
 
-async def test_a_key_begun_in_the_own_log_is_answered_there_after_the_move() -> None:
+async def test_key_begun_in_the_local_log_is_answered_there_after_the_move() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, ())
     key = key_issued_at(NOW)
@@ -209,7 +209,7 @@
     assert not harness.shards
 
 
-async def test_connections_to_groups_no_key_belongs_to_are_closed() -> None:
+async def test_connections_to_unused_groups_are_closed() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, SHARDS)
     for seed in range(10):
@@ -224,7 +224,7 @@
     assert all(shard.is_closed for shard in harness.shards.values())
 
 
-async def test_one_confirmation_serves_all_who_wait() -> None:
+async def test_one_confirmation_serves_all_waiting_requests() -> None:
     harness = RouterHarness()
     await harness.apply("first", 0, SHARDS)
     await harness.log.read_barrier()
--- a/tests/control/test_ledger_service.py
+++ b/tests/control/test_ledger_service.py
@@ -88,7 +88,7 @@
     return BackgroundTasks(on_invariant_error=lambda error: pytest.fail(str(error)))
 
 
-async def test_a_begin_that_commits_after_its_daemon_was_refused_is_cancelled(
+async def test_begin_committed_after_its_refusal_is_cancelled(
     background: BackgroundTasks,
 ) -> None:
     log = OneNodeLog(undecided=1)
@@ -100,7 +100,7 @@
     assert isinstance(await service.answer(LedgerBegin(2, KEY, "b", "edge")), LedgerGranted)
 
 
-async def test_a_complete_that_may_have_committed_is_not_cancelled(
+async def test_complete_that_may_have_committed_is_not_cancelled(
     background: BackgroundTasks,
 ) -> None:
     log = OneNodeLog()
@@ -114,7 +114,7 @@
     assert again == LedgerCompleted(3, ANSWER)
 
 
-async def test_each_result_reaches_the_daemon_as_its_own_message(
+async def test_each_result_has_its_own_message(
     background: BackgroundTasks,
 ) -> None:
     service = LedgerService(OneNodeLog(), background)
@@ -136,7 +136,7 @@
         assert await service.answer(request) == answer
 
 
-async def test_the_log_does_not_carry_an_answer_the_ledger_would_not_keep(
+async def test_answer_that_the_ledger_would_not_store_is_not_replicated(
     background: BackgroundTasks,
 ) -> None:
     log = OneNodeLog()
@@ -148,7 +148,7 @@
     assert await service.answer(LedgerBegin(3, KEY, "b", "edge")) == LedgerUnknown(3)
 
 
-async def test_a_cancel_is_tried_until_there_is_a_quorum_again(
+async def test_cancel_is_retried_until_a_quorum_returns(
     background: BackgroundTasks, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ledger_service, "CANCEL_PAUSE_SECONDS", 0.0)
@@ -163,7 +163,7 @@
     assert isinstance(await service.answer(LedgerBegin(2, KEY, "b", "edge")), LedgerGranted)
 
 
-def test_each_request_and_answer_has_the_label_that_its_tag_says() -> None:
+def test_each_request_and_answer_is_labelled_by_its_tag() -> None:
     for labels, messages in (
         (ledger_service.REQUEST_LABELS, LedgerRequest),
         (ledger_service.ANSWER_LABELS, LedgerAnswer),
--- a/tests/control/test_peer_links.py
+++ b/tests/control/test_peer_links.py
@@ -66,7 +66,7 @@
         listener.links.stop()
 
 
-async def test_a_node_of_another_network_is_closed_and_unheard() -> None:
+async def test_connection_from_another_network_is_closed_and_ignored() -> None:
     async with listening(["10.0.0.0/8"]) as listener:
         assert await listener.send(HELLO + REPLY)
         assert listener.received == []
@@ -75,25 +75,25 @@
 @pytest.mark.parametrize(
     "data", [REPLY + HELLO + REPLY, b"x" * (FIRST_LINE_BYTES + 1), NESTED, b"{}\n" + HELLO + REPLY]
 )
-async def test_a_breach_closes_the_connection(data: bytes) -> None:
+async def test_protocol_violation_closes_the_connection(data: bytes) -> None:
     async with listening() as listener:
         assert await listener.send(data)
         assert listener.received == []
 
 
-async def test_a_node_that_says_nothing_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_silent_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lines, "GREETING_SECONDS", 0.1)
     async with listening() as listener:
         assert await listener.send(b"")
 
 
-async def test_what_follows_the_greeting_is_handed_on() -> None:
+async def test_messages_after_the_greeting_are_passed_on() -> None:
     async with listening() as listener:
         await listener.send(HELLO + REPLY + b"\n")
         assert [type(message) for message in listener.received] == [ForwardReply]
 
 
-async def test_a_dial_that_hangs_is_begun_anew_when_the_other_side_shows_itself() -> None:
+async def test_hanging_dial_is_restarted_when_the_peer_connects() -> None:
     """The first dial hangs, as when a SYN to a machine without power is lost."""
     async with listening() as remote, listening() as local:
         dials: list[str] = []
--- a/tests/control/test_platform_list.py
+++ b/tests/control/test_platform_list.py
@@ -27,13 +27,13 @@
     return ListedInstance(f"m{number}", f"10.0.0.{number}:80", incarnation, ListedState(state))
 
 
-def test_a_machine_missing_from_the_list_is_no_hint() -> None:
+def test_machine_missing_from_the_list_gives_no_hint() -> None:
     platform = PlatformList(LAG)
     platform.update([instance(1, "live")], 0.0)
     assert platform.hints(ENDPOINTS, 1.0).leaving == ()
 
 
-def test_a_leaving_machine_is_hinted_by_its_endpoint_with_the_time_it_is_listed() -> None:
+def test_hint_names_the_endpoint_and_how_long_it_is_listed() -> None:
     platform = PlatformList(LAG)
     assert platform.update([instance(1, "leaving"), instance(2, "live")], 10.0)
     assert not platform.update([instance(1, "leaving"), instance(2, "live")], 12.0)
@@ -41,14 +41,14 @@
     assert (hint.endpoint, hint.listed_seconds) == ("e1", 5.0)
 
 
-def test_a_hint_is_withdrawn_when_the_machine_is_listed_live_again() -> None:
+def test_hint_is_withdrawn_when_the_machine_is_listed_live_again() -> None:
     platform = PlatformList(LAG)
     platform.update([instance(1, "leaving")], 0.0)
     assert platform.update([instance(1, "live")], 5.0)
     assert platform.hints(ENDPOINTS, 5.0).leaving == ()
 
 
-def test_a_hint_does_not_apply_to_a_machine_that_replaced_the_one_listed() -> None:
+def test_hint_does_not_apply_to_a_replacement_machine() -> None:
     platform = PlatformList(LAG)
     platform.update([instance(1, "leaving")], 100.0)
     hints = platform.hints(ENDPOINTS, 110.0)
@@ -58,7 +58,7 @@
     assert hints.applies_to(hint, 110.0 - old_linked_at)
 
 
-def test_another_incarnation_leaving_at_the_address_starts_its_own_time() -> None:
+def test_new_incarnation_at_an_address_restarts_the_listed_time() -> None:
     platform = PlatformList(LAG)
     platform.update([instance(1, "leaving", "1")], 0.0)
     assert platform.update([instance(1, "leaving", "2")], 50.0)
@@ -67,6 +67,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b'[{"name":"a"}]', b'[{"state":"gone"}]'])
-def test_a_list_of_another_shape_is_refused(data: bytes) -> None:
+def test_malformed_list_is_rejected(data: bytes) -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_instances(data)
--- a/tests/daemon/test_peer_replies.py
+++ b/tests/daemon/test_peer_replies.py
@@ -48,7 +48,7 @@
             yield System(peer, edge, session)
 
 
-async def test_doubled_answers_reach_their_request_once_and_no_other() -> None:
+async def test_duplicate_answers_reach_only_their_request_and_once() -> None:
     def twice(peer: ScriptedPeer, lines: Lines, call: Call) -> None:
         lines.send(peer.reply_to(call))
         lines.send(peer.reply_to(call, b"doubled"))
@@ -59,7 +59,7 @@
     assert responses == [(200, "", f"/{number}".encode()) for number in range(20)]
 
 
-async def test_answers_of_another_epoch_or_identity_find_nobody() -> None:
+async def test_answers_of_another_epoch_or_identity_are_dropped() -> None:
     def stray(peer: ScriptedPeer, lines: Lines, call: Call) -> None:
         lines.send(peer.reply_to(call, b"old", epoch="another"))
         lines.send(peer.reply_to(call, b"stray", call=call.call + 1000))
@@ -84,7 +84,7 @@
     assert responses == [(200, "", f"/{number}".encode()) for number in range(30)]
 
 
-async def test_a_late_answer_finds_nobody_and_the_call_was_cancelled() -> None:
+async def test_late_answer_is_dropped_and_its_call_was_cancelled() -> None:
     late: list[Call] = []
 
     def hold(peer: ScriptedPeer, lines: Lines, call: Call) -> None:
@@ -104,7 +104,7 @@
     assert responses == [(200, "", f"/{number}".encode()) for number in range(5)]
 
 
-async def test_an_answer_that_differs_from_its_digest_is_not_handed_on() -> None:
+async def test_answer_that_differs_from_its_digest_is_not_passed_on() -> None:
     def corrupt(peer: ScriptedPeer, lines: Lines, call: Call) -> None:
         digest = peer.reply_to(call, b"another").digest
         lines.send(peer.reply_to(call, digest=digest))
@@ -114,7 +114,7 @@
     assert response[:2] == (502, "answer_corrupt")
 
 
-async def test_a_cut_line_ends_its_link_and_every_call_on_it_as_unknown() -> None:
+async def test_truncated_line_ends_its_link_and_leaves_its_calls_unknown() -> None:
     held: list[Call] = []
 
     def cut(peer: ScriptedPeer, lines: Lines, call: Call) -> None:
@@ -133,7 +133,7 @@
     assert after == (200, "", b"/after")
 
 
-async def test_a_malformed_line_ends_its_link_only() -> None:
+async def test_malformed_line_ends_only_its_link() -> None:
     def malformed(peer: ScriptedPeer, lines: Lines, call: Call) -> None:
         if call.path == "/bad":
             lines.send_encoded(b'{"type":"reply","epoch":7}\n')
--- a/tests/daemon/test_quarantine.py
+++ b/tests/daemon/test_quarantine.py
@@ -41,7 +41,7 @@
             self.quarantine.on_crash(instance, [SIGNATURE])
 
 
-def test_control_is_told_of_each_crash_once_and_links_are_spared() -> None:
+def test_each_crash_is_sent_to_control_once_and_not_on_links() -> None:
     fixture = QuarantineFixture(is_connected=True)
     fixture.crash("i-1")
     fixture.quarantine.tick()
@@ -50,7 +50,7 @@
     assert not fixture.to_links
 
 
-def test_without_control_links_are_told_and_pass_on_what_is_news() -> None:
+def test_records_are_forwarded_on_links_without_control() -> None:
     first, second = QuarantineFixture(is_connected=False), QuarantineFixture(is_connected=False)
     first.crash("i-1", "i-2", "i-3")
     for news in first.to_links:
@@ -63,7 +63,7 @@
     assert len(second.to_links) == forwarded
 
 
-def test_control_that_returns_is_told_what_was_heard_without_it() -> None:
+def test_returning_control_gets_the_records_received_meanwhile() -> None:
     fixture = QuarantineFixture(is_connected=False)
     fixture.crash("i-1")
     fixture.quarantine.tick()
@@ -78,7 +78,7 @@
     assert len(fixture.to_links) == sent + 1
 
 
-def test_another_control_node_is_told_all_and_one_that_knows_nothing_again() -> None:
+def test_new_control_node_gets_all_records() -> None:
     fixture = QuarantineFixture(is_connected=True)
     fixture.crash("i-1", "i-2")
     fixture.quarantine.tick()
@@ -90,7 +90,7 @@
     assert len(fixture.to_control[-1].records[0].crashes) == 2
 
 
-def test_an_answer_tells_the_daemon_that_sent_the_request() -> None:
+def test_answer_carries_the_crash_record_to_the_calling_daemon() -> None:
     callee, sender = QuarantineFixture(is_connected=True), QuarantineFixture(is_connected=True)
     callee.crash("i-1", "i-2", "i-3")
     record = callee.quarantine.crash_record(LAZY_SIGNATURE)
@@ -99,7 +99,7 @@
     assert sender.quarantine.check(LAZY_SIGNATURE).suspicion is Suspicion.QUARANTINED
 
 
-def test_a_request_that_ran_to_an_end_is_free_again_everywhere() -> None:
+def test_completed_request_is_cleared_everywhere() -> None:
     fixture = QuarantineFixture(is_connected=True)
     fixture.crash("i-1")
     assert fixture.quarantine.check(LAZY_SIGNATURE).suspicion is Suspicion.SUSPECT
@@ -108,7 +108,7 @@
     assert fixture.to_control[-1].records[0].refuted == ("i-1",)
 
 
-def test_suspects_take_turns_and_few_of_them_wait() -> None:
+def test_suspects_run_one_at_a_time_and_few_wait() -> None:
     queue = SuspectQueue()
     assert queue.enter(1) is SuspectDecision.RUNS
     assert [queue.enter(token) for token in range(2, 2 + MAX_WAITING_SUSPECTS)] == [
