--- a/tests/daemon/test_suspension.py
+++ b/tests/daemon/test_suspension.py
@@ -1,7 +1,4 @@
-"""Leases expire during a suspension of the machine, although the monotonic clock doesn't advance.
-
-Otherwise the daemon would use a lease that control has meanwhile given to another.
-"""
+"""Leases expire while the machine is suspended, although the monotonic clock then stops."""
 
 import random
 import time
--- a/tests/ledger/test_ledger_stateful.py
+++ b/tests/ledger/test_ledger_stateful.py
@@ -1,8 +1,4 @@
-"""Stateful test of the ledger under arbitrary request orders, with duplicates and late requests.
-
-Two ledgers receive the same requests, and one is repeatedly restored from its snapshot. An attempt
-is sent at most once, only after it was granted and only if it was not abandoned before.
-"""
+"""Stateful test: duplicate and late requests in any order run no key twice, also after restores."""
 
 import random
 
--- a/tests/simulation/test_wasted_work.py
+++ b/tests/simulation/test_wasted_work.py
@@ -1,8 +1,4 @@
-"""Requests that a downstream service would refuse are not run upstream.
-
-Only the deepest service is overloaded; without path thresholds, requests run in the services before
-it and are refused there.
-"""
+"""Requests that an overloaded downstream service would refuse are not run upstream."""
 
 import pytest
 
