--- a/src/finchshed/emulator/daemons/daemon.py
+++ b/src/finchshed/emulator/daemons/daemon.py
@@ -240,8 +240,8 @@
             delta = self._connection.follower.follower.answer_fetch(revision)
             self.send(peer, done, delta, generation=generation)
 
-    def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Open links to peers to learn their revisions."""
+    def connect_to_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
+        """Open links to peers, to learn their revisions."""
         for endpoint in endpoints:
             self.link_to(endpoint.name).open()
 
--- a/src/finchshed/emulator/daemons/follower_runner.py
+++ b/src/finchshed/emulator/daemons/follower_runner.py
@@ -10,11 +10,11 @@
 
 from finchshed.configuration.resources import Endpoint
 from finchshed.distribution.effects import (
+    ConnectToPeers,
     FetchFromControl,
     FetchFromPeer,
     FollowerEffect,
     FollowerRecord,
-    GreetPeers,
     PersistRecord,
     ReportInForce,
     StartServing,
@@ -54,7 +54,7 @@
     def fetch_from_peer(self, peer: str, revision: int, done: Callable[[Delta], None]) -> None:
         """Request the changes after ``revision`` from a peer."""
 
-    def greet_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def connect_to_peers(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Open links to these endpoints to learn their revisions."""
 
     def hints(self, hints: Hints) -> None:
@@ -143,8 +143,8 @@
                 self._listener.fetch_from_peer(
                     peer, effect.revision, lambda delta: self._peer_delta(peer, delta)
                 )
-            case GreetPeers():
-                self._listener.greet_peers(effect.endpoints)
+            case ConnectToPeers():
+                self._listener.connect_to_peers(effect.endpoints)
             case StartServing():
                 self._listener.start_serving()
             case PersistRecord():
--- a/src/finchshed/link/messages.py
+++ b/src/finchshed/link/messages.py
@@ -61,7 +61,7 @@
 class Reply(msgspec.Struct, frozen=True, omit_defaults=True, tag="reply"):
     """The outcome of a call.
 
-    ``spare_attempts`` is the number of attempts lent to the call and not used by the callee.
+    ``spare_attempts`` is the number of attempts allocated to the call and not used by the callee.
     ``digest`` is the hexadecimal xxh3-64 digest of an answer's body, empty for other outcomes.
     ``crash_record`` is set if a back end crashed while it ran the request.
     """
