--- a/src/finchshed/replay/__init__.py
+++ b/src/finchshed/replay/__init__.py
@@ -1,5 +1,5 @@
-"""Replay of recorded traces against stated outcomes.
+"""Replay of recorded traces against expected outcomes.
 
-Owns the forms of traces and outcomes and the judge. Relies on the emulator to play a trace, and on
-``proof`` for the properties that must always hold.
+Owns the formats of traces and outcomes, and the checks of a history against them. Relies on the
+emulator to play a trace, and on ``proof`` for the invariants.
 """
--- a/src/finchshed/replay/command.py
+++ b/src/finchshed/replay/command.py
@@ -11,30 +11,30 @@
 from finchshed.proof.checks import violations_of
 from finchshed.proof.history_file import History
 from finchshed.replay import emulated
-from finchshed.replay.judge import judge
-from finchshed.replay.lines import unknown
+from finchshed.replay.lines import unknown_name_message
+from finchshed.replay.outcome_checks import check_outcomes
 from finchshed.replay.outcomes import read_outcomes
 from finchshed.replay.recording import outcomes_of, trace_of_history, trace_of_plan
 from finchshed.replay.trace import Trace, read_trace
 
 PROBLEMS_SHOWN = 5
-"""Problems printed of one statement; chosen, not measured."""
+"""Problems printed for each failed statement."""
 
 
 def replay(trace: str, expect: str = "", *, history: str = "") -> int:
-    """Replay a trace in simulated time and judge it against stated outcomes.
+    """Replay a trace in simulated time and check it against expected outcomes.
 
-    Exit code 1 if a statement didn't hold. Without outcomes only the properties that must always
-    hold are judged.
+    The exit code is 1 if a statement doesn't hold. Without a file of outcomes only the invariants
+    are checked.
 
     Parameters
     ----------
     trace
-        File of the trace.
+        Path of the trace.
     expect
-        File of the stated outcomes.
+        Path of the expected outcomes.
     history
-        File that gets the history of the replay.
+        Path to which the history of the replay is written.
     """
     loaded = read_trace(Path(trace))
     outcomes = read_outcomes(Path(expect), loaded) if expect else None
@@ -43,9 +43,9 @@
         recorded.write(Path(history))
     print(f"{loaded.header.name}: {len(recorded.events)} events, history {recorded.digest()}")
     if outcomes is None:
-        return _judge_properties(recorded)
+        return _check_properties(recorded)
     failed = 0
-    for verdict in judge(recorded, outcomes):
+    for verdict in check_outcomes(recorded, outcomes):
         failed += bool(verdict.problems)
         word = "FAILED" if verdict.problems else "held  "
         print(f"{word} {expect}:{verdict.line}: {verdict.statement}")
@@ -64,24 +64,28 @@
     deployment: str = "",
     outcomes: str = "",
 ) -> int:
-    """Record a trace: of a campaign's seed, or of a history that was written before.
+    """Write a trace of a campaign scenario or of an existing history.
 
     Parameters
     ----------
     out
-        File that gets the trace.
+        Path to which the trace is written.
     scenario, seed
         Scenario and seed of ``finchshed prove``.
     history
-        File of a history, in place of a scenario.
+        Path of a history, instead of a scenario.
     deployment
-        Name of the deployment of the history.
+        Name of the deployment that the history was recorded on.
     outcomes
-        File that gets outcomes which the recorded run reached.
+        Path to which the outcomes of the recorded run are written.
     """
     if bool(scenario) == bool(history):
         raise SettingsError(["flags --scenario and --history: give one of them"])
-    made = _of_scenario(scenario, seed) if scenario else _of_history(history, deployment)
+    made = (
+        _trace_of_scenario(scenario, seed)
+        if scenario
+        else _trace_of_recorded_history(history, deployment)
+    )
     made.write(Path(out))
     print(f"{out}: {len(made.arrivals)} arrivals, {len(made.acts)} acts")
     if outcomes:
@@ -89,7 +93,7 @@
     return ExitCode.OK
 
 
-def _judge_properties(recorded: History) -> int:
+def _check_properties(recorded: History) -> int:
     violations = violations_of(recorded)
     for violation in violations[:PROBLEMS_SHOWN]:
         print(f"FAILED {violation}")
@@ -97,17 +101,17 @@
     return ExitCode.FAILED if violations else ExitCode.OK
 
 
-def _of_scenario(scenario: str, seed: int) -> Trace:
+def _trace_of_scenario(scenario: str, seed: int) -> Trace:
     if scenario not in SCENARIOS:
-        raise SettingsError([unknown("flag --scenario", scenario, list(SCENARIOS))])
+        raise SettingsError([unknown_name_message("flag --scenario", scenario, list(SCENARIOS))])
     return trace_of_plan(plan_of(scenario, parse_seeds(str(seed))[0]))
 
 
-def _of_history(history: str, deployment: str) -> Trace:
+def _trace_of_recorded_history(history: str, deployment: str) -> Trace:
     if deployment not in PRESETS:
-        raise SettingsError([unknown("flag --deployment", deployment, list(PRESETS))])
+        raise SettingsError([unknown_name_message("flag --deployment", deployment, list(PRESETS))])
     recorded = histories.read(Path(history))
     made, left_out = trace_of_history(recorded, Path(history).stem, PRESETS[deployment])
     if left_out:
-        print(f"{left_out} faults of the history are left out: it doesn't hold them whole")
+        print(f"{left_out} faults are left out: the history doesn't hold their parameters")
     return made
--- a/src/finchshed/replay/emulated.py
+++ b/src/finchshed/replay/emulated.py
@@ -21,7 +21,7 @@
 
 
 def specification_of(trace: Trace) -> RunSpecification:
-    """Return the emulator's run for ``trace``."""
+    """Return the specification of the emulator run for ``trace``."""
     header = trace.header
     arrivals = arrivals_of(trace)
     last = max((arrival.time for arrival in arrivals), default=0.0)
@@ -40,20 +40,20 @@
 
 
 def arrivals_of(trace: Trace) -> tuple[Arrival, ...]:
-    """Return all arrivals: those listed and those drawn for spans of load, in order of time.
+    """Return listed and generated arrivals, in order of time.
 
-    The key of a request that may not be repeated becomes one with a time in it, unless it is one
-    already: the same text gives the same key.
+    Keys of non-repeatable requests are replaced by keys that contain their time of issue, unless
+    they already do. Equal texts give equal keys.
     """
     arrivals = [arrival.arrival() for arrival in trace.arrivals]
     for number, load in enumerate(trace.loads, start=1):
-        arrivals.extend(_drawn(trace, load, f"-load{number}-"))
+        arrivals.extend(_generate_load_arrivals(trace, load, f"-load{number}-"))
     arrivals.sort(key=lambda arrival: arrival.time)
     keys: dict[str, str] = {}
-    return tuple(_with_key(trace, arrival, keys) for arrival in arrivals)
+    return tuple(_with_idempotency_key(trace, arrival, keys) for arrival in arrivals)
 
 
-def _drawn(trace: Trace, load: Load, name: str) -> list[Arrival]:
+def _generate_load_arrivals(trace: Trace, load: Load, name: str) -> list[Arrival]:
     rate = trace.deployment.arrivals_per_second * load.factor
     deployment = msgspec.structs.replace(trace.deployment, arrivals_per_second=rate)
     streams = Streams(trace.header.seed)
@@ -61,7 +61,7 @@
     return list(generate_arrivals(deployment, streams, end, (), load.time, name=name))
 
 
-def _with_key(trace: Trace, arrival: Arrival, keys: dict[str, str]) -> Arrival:
+def _with_idempotency_key(trace: Trace, arrival: Arrival, keys: dict[str, str]) -> Arrival:
     if trace.deployment.kind(arrival.kind).repeatable or issued_at(arrival.key) is not None:
         return arrival
     text = arrival.key or f"root {arrival.root}"
--- a/src/finchshed/replay/lines.py
+++ b/src/finchshed/replay/lines.py
@@ -1,4 +1,4 @@
-"""Files of typed JSON lines whose first line is a header with a version."""
+"""Reads files of typed JSON lines whose first line is a versioned header."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -12,18 +12,18 @@
 L = TypeVar("L")
 
 MAX_PROBLEMS = 20
-"""Problems told at a time."""
+"""Problems listed in one error."""
 
 
 class Problems:
-    """Collects what is wrong in a file, by line."""
+    """Collects the errors of a file, each with its line number."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._found: list[str] = []
 
     def add(self, number: int, text: str) -> None:
-        """Note a problem of line ``number``."""
+        """Record a problem in line ``number``."""
         self._found.append(f"{self._path}:{number}: {text}")
 
     def raise_any(self) -> None:
@@ -36,7 +36,7 @@
 
 
 def read_lines(path: Path) -> list[tuple[int, bytes]]:
-    """Return the lines that aren't empty, each with its number from 1.
+    """Return the non-empty lines, each with its number counted from 1.
 
     Raises
     ------
@@ -55,10 +55,10 @@
     return lines
 
 
-def decode_all(
+def decode_lines(
     lines: list[tuple[int, bytes]], decoder: "msgspec.json.Decoder[L]", problems: Problems
 ) -> Iterator[tuple[int, L]]:
-    """Yield each line's value with its number; malformed lines are noted as problems."""
+    """Yield each decoded line with its number; record malformed lines in ``problems``."""
     for number, line in lines:
         try:
             yield number, decoder.decode(line)
@@ -66,6 +66,6 @@
             problems.add(number, str(error))
 
 
-def unknown(what: str, name: str, allowed: Iterator[str] | list[str]) -> str:
-    """Return the text for a name that doesn't exist."""
+def unknown_name_message(what: str, name: str, allowed: Iterator[str] | list[str]) -> str:
+    """Return the error message for a name that isn't in ``allowed``."""
     return f"{what} = {name!r}: allowed are {', '.join(sorted(allowed))}"
--- a/src/finchshed/replay/judge.py
+++ b/src/finchshed/replay/outcome_checks.py
@@ -1,6 +1,6 @@
-"""Judges a history against stated outcomes.
+"""Checks a history against expected outcomes.
 
-Works on histories of the emulator and of a fleet; looks at nothing but their events.
+Only events are read, so histories of the emulator and of a fleet can both be checked.
 """
 
 import math
@@ -34,11 +34,11 @@
 
 ERROR_STATUS = 400
 """Lowest HTTP status of an error (RFC 9110, 15)."""
-P99 = 0.99
+P99_FRACTION = 0.99
 
 
 class StatementVerdict(msgspec.Struct, frozen=True):
-    """Whether one statement held. ``problems`` is empty if it did."""
+    """Result of checking one statement; ``problems`` is empty if it holds."""
 
     line: int
     statement: str
@@ -46,7 +46,7 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """What happened to one root request, over its client's attempts."""
+    """Result of one root request over all attempts of its client."""
 
     root: str
     kind: str
@@ -65,18 +65,18 @@
         return "answered" if self.answered < math.inf else self.last_result
 
 
-def judge(history: History, outcomes: Outcomes) -> list[StatementVerdict]:
-    """Return a verdict for each statement, in the file's order."""
-    judging = _Judge(history)
+def check_outcomes(history: History, outcomes: Outcomes) -> list[StatementVerdict]:
+    """Return a verdict for each statement, in the order of the file."""
+    checker = _OutcomeChecker(history)
     verdicts = []
     for line, statement in outcomes.statements:
-        problems = tuple(judging.problems_of(statement))
-        verdicts.append(StatementVerdict(line, _title(statement), problems))
+        problems = tuple(checker.problems_of(statement))
+        verdicts.append(StatementVerdict(line, _statement_json(statement), problems))
     return verdicts
 
 
 def request_records(history: History) -> dict[str, RequestRecord]:
-    """Gather what happened to each root request."""
+    """Return the record of each root request, by its name."""
     records: dict[str, RequestRecord] = {}
     root_of_call: dict[str, str] = {}
     for event in history.events:
@@ -91,13 +91,13 @@
                 record.attempts += 1
                 root_of_call[event.call] = event.root
             case CallEnded() if event.call in root_of_call:
-                _note_end(records[root_of_call[event.call]], event)
+                _record_call_end(records[root_of_call[event.call]], event)
             case RunBegan() if event.call in root_of_call:
                 records[root_of_call[event.call]].runs += 1
     return records
 
 
-def _note_end(record: RequestRecord, event: CallEnded) -> None:
+def _record_call_end(record: RequestRecord, event: CallEnded) -> None:
     is_answer = event.result is CallResult.ANSWERED
     if is_answer and event.whole and event.status < ERROR_STATUS:
         record.answered = min(record.answered, event.time)
@@ -106,13 +106,13 @@
     record.last_reason = f"status {event.status}" if is_answer else event.reason
 
 
-class _Judge:
+class _OutcomeChecker:
     def __init__(self, history: History) -> None:
         self._history = history
         self._records = request_records(history)
 
     def problems_of(self, statement: OutcomeLine) -> Iterator[str]:
-        """Yield what is wrong about a statement."""
+        """Yield the reasons why a statement doesn't hold."""
         match statement:
             case RequestOutcome():
                 return self._request(statement)
@@ -177,15 +177,15 @@
                 record.answered - record.arrived for record in records if record.answered < math.inf
             )
             if not latencies:
-                yield "none was answered"
+                yield "no request was answered"
             else:
-                p99 = latencies[min(int(P99 * len(latencies)), len(latencies) - 1)]
+                p99 = latencies[min(int(P99_FRACTION * len(latencies)), len(latencies) - 1)]
                 if p99 > stated.p99_seconds_at_most:
-                    yield f"99 in 100 took {p99:.3f} s"
+                    yield f"p99 latency was {p99:.3f} s"
         if stated.attempts_mean_at_most is not None:
             mean = sum(record.attempts for record in records) / len(records)
             if mean > stated.attempts_mean_at_most:
-                yield f"{mean:.2f} attempts a request"
+                yield f"{mean:.2f} attempts per request"
 
     def _property(self, stated: PropertyOutcome) -> Iterator[str]:
         names = CHECKS if stated.check == ALL else (stated.check,)
@@ -236,5 +236,5 @@
                 yield f"{node} holds revision {revision}"
 
 
-def _title(statement: OutcomeLine) -> str:
+def _statement_json(statement: OutcomeLine) -> str:
     return msgspec.json.encode(statement).decode()
--- a/src/finchshed/replay/outcomes.py
+++ b/src/finchshed/replay/outcomes.py
@@ -1,4 +1,4 @@
-"""Stated outcomes of a trace, as JSON lines: by request, by class, by property, by change."""
+"""Expected outcomes of a trace, read from JSON lines."""
 
 from pathlib import Path
 from typing import Annotated, Final, Literal, TypeAlias
@@ -8,7 +8,7 @@
 from finchshed.common.importance import Importance
 from finchshed.emulator.acts import Seconds
 from finchshed.proof.checks import CHECKS
-from finchshed.replay.lines import Problems, decode_all, read_lines, unknown
+from finchshed.replay.lines import Problems, decode_lines, read_lines, unknown_name_message
 from finchshed.replay.trace import Trace
 
 OUTCOMES_VERSION: Final = 1
@@ -22,11 +22,11 @@
 class _Line(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, forbid_unknown_fields=True
 ):
-    """Base of all lines."""
+    """Decoding options shared by all lines."""
 
 
 class OutcomesHeader(_Line, frozen=True, tag="outcomes"):
-    """First line of a file of outcomes."""
+    """First line of an outcomes file."""
 
     version: int
     trace: str = ""
@@ -34,17 +34,17 @@
 
 
 class RequestOutcome(_Line, frozen=True, tag="request"):
-    """What one root request must come to, over its client's attempts.
+    """Expected result of one root request over all attempts of its client.
 
     Attributes
     ----------
     result
-        ``answered`` if an attempt was answered whole with a status below 400; else that of the
-        last attempt: ``refused``, ``failed``, or ``abandoned``.
+        ``answered`` if an attempt got a complete response with a status below 400; otherwise the
+        result of the last attempt: ``refused``, ``failed`` or ``abandoned``.
     within_seconds
-        Longest time from the first attempt to the answer.
+        Maximum time from the first attempt to the response.
     runs_at_most, runs_at_least
-        Runs of the request at the service it is sent to.
+        Bounds on executions of the request at the service it is sent to.
     """
 
     root: str
@@ -56,9 +56,9 @@
 
 
 class ClassOutcome(_Line, frozen=True, tag="class"):
-    """What requests that arrive between two times must come to, by importance or kind.
+    """Expected results of the requests that arrive from ``begin`` until ``end``.
 
-    Both empty means all requests. Shares are of root requests, over their clients' attempts.
+    An empty ``importance`` or ``kind`` matches all. Fractions count root requests, not attempts.
     """
 
     importance: ClassName | Literal[""] = ""
@@ -74,22 +74,23 @@
     attempts_mean_at_most: float | None = None
 
     def matches(self, importance: Importance, kind: str) -> bool:
-        """Whether a request belongs to the class."""
+        """Return whether a request belongs to the class."""
         if self.kind and kind != self.kind:
             return False
         return not self.importance or importance.name.lower() == self.importance
 
 
 class PropertyOutcome(_Line, frozen=True, tag="property"):
-    """A property that must hold over the whole replay: the name of a checker, or ``all``."""
+    """An invariant of the whole replay: the name of a check, or ``all``."""
 
     check: str = ALL
 
 
 class RecoveryOutcome(_Line, frozen=True, tag="recovery"):
-    """Goodput must come back to a fraction of what it was before.
+    """Goodput must return to the fraction ``share`` of its former rate.
 
-    ``before_begin .. before_end`` is ordinary load; the time counts from ``after``.
+    The former rate is measured from ``before_begin`` to ``before_end``; the recovery time counts
+    from ``after``.
     """
 
     before_begin: Seconds
@@ -100,7 +101,7 @@
 
 
 class ChangeOutcome(_Line, frozen=True, tag="change"):
-    """How many of the changes whose identity begins with ``change_id`` must be accepted."""
+    """Expected number of accepted changes whose identifier starts with ``change_id``."""
 
     change_id: str
     accepted: Count | None = None
@@ -108,7 +109,7 @@
 
 
 class RevisionOutcome(_Line, frozen=True, tag="revision"):
-    """The revision that a daemon, or with ``node`` empty every daemon, must hold at the end."""
+    """Minimum final revision of one daemon, or of every daemon if ``node`` is empty."""
 
     at_least: Count
     node: str = ""
@@ -129,24 +130,24 @@
 
 
 class Outcomes(msgspec.Struct, frozen=True):
-    """A whole file: each statement with its line's number."""
+    """An outcomes file; each statement comes with its line number."""
 
     header: OutcomesHeader
     statements: tuple[tuple[int, OutcomeLine], ...]
 
 
 def encode_line(line: OutcomesHeader | OutcomeLine) -> bytes:
-    """Return a line as bytes with its line feed."""
+    """Return a line encoded as JSON, with its line feed."""
     return _encoder.encode(line) + b"\n"
 
 
 def read_outcomes(path: Path, trace: Trace) -> Outcomes:
-    """Read outcomes stated for ``trace``.
+    """Read and validate the outcomes file of ``trace``.
 
     Raises
     ------
     SettingsError
-        With one line for each problem, each with the file and the line's number.
+        With one message for each problem, which names the file and the line.
     """
     (first, header_line), *rest = read_lines(path)
     problems = Problems(path)
@@ -160,16 +161,16 @@
             problems.add(first, f"trace = {header.trace!r}: the trace is {trace.header.name!r}")
     except msgspec.DecodeError as error:
         problems.add(first, f"header: {error}")
-    statements = list(decode_all(rest, _line_decoder, problems))
+    statements = list(decode_lines(rest, _line_decoder, problems))
     roots = {arrival.root for arrival in trace.arrivals}
     kinds = {kind.name for kind in trace.deployment.kinds}
     for number, statement in statements:
         if isinstance(statement, RequestOutcome) and statement.root not in roots:
             problems.add(number, f"root = {statement.root!r}: the trace has no such request")
         if isinstance(statement, ClassOutcome) and statement.kind not in kinds | {""}:
-            problems.add(number, unknown("kind", statement.kind, list(kinds)))
+            problems.add(number, unknown_name_message("kind", statement.kind, list(kinds)))
         if isinstance(statement, PropertyOutcome) and statement.check not in {*CHECKS, ALL}:
-            problems.add(number, unknown("check", statement.check, [*CHECKS, ALL]))
+            problems.add(number, unknown_name_message("check", statement.check, [*CHECKS, ALL]))
     if not statements:
         problems.add(first, "nothing is stated")
     problems.raise_any()
--- a/src/finchshed/replay/recording.py
+++ b/src/finchshed/replay/recording.py
@@ -1,4 +1,4 @@
-"""Makes traces: of a seed of a campaign, or of a history that was recorded."""
+"""Creates traces from campaign plans and from recorded histories."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 from finchshed.emulator.streams import Streams
 from finchshed.proof.history import CallBegan, Fault
 from finchshed.proof.history_file import History
-from finchshed.replay.judge import request_records
+from finchshed.replay.outcome_checks import request_records
 from finchshed.replay.outcomes import (
     OUTCOMES_VERSION,
     ClassName,
@@ -23,12 +23,12 @@
 
 _act_decoder: msgspec.json.Decoder[acts.Act] = msgspec.json.Decoder(acts.Act)
 
-MARGIN = 0.1
-"""By how much a recorded fraction may be missed in a replay."""
+FRACTION_MARGIN = 0.1
+"""Tolerance by which a replay may fall below a recorded fraction."""
 
 
 def trace_of_plan(plan: Plan) -> Trace:
-    """Return a trace whose replay gives the same history as the plan's run, byte for byte."""
+    """Return a trace whose replay gives the history of the plan's run, byte for byte."""
     specification = plan.specification()
     header = TraceHeader(
         version=TRACE_VERSION,
@@ -48,25 +48,25 @@
         specification.surges,
         specification.begin_seconds,
     )
-    listed = tuple(_listed(arrival) for arrival in arrivals)
+    listed = tuple(_trace_arrival(arrival) for arrival in arrivals)
     return Trace(header, plan.deployment, listed, (), specification.acts)
 
 
 def trace_of_history(history: History, name: str, deployment: Deployment) -> tuple[Trace, int]:
-    """Return a trace of what reached a deployment in ``history``.
+    """Return a trace of the arrivals and faults in ``history``.
 
-    Clients' own repeats are left to the replay's clients. Faults that the history doesn't record
-    whole, or that a trace has no word for, are left out.
+    Clients' retries are omitted, since the replay's clients retry by themselves. Faults whose
+    parameters aren't in the history, or that a trace can't express, are left out.
 
     Returns
     -------
     tuple of Trace and int
-        The trace and the number of faults left out.
+        The trace and the number of omitted faults.
 
     Raises
     ------
     SettingsError
-        If the history holds a kind of request that the deployment hasn't.
+        If the history contains a kind of request that the deployment doesn't define.
     """
     arrivals = _arrivals_of(history, deployment)
     found, left_out = _acts_of(history)
@@ -105,7 +105,7 @@
 
 
 def _acts_of(history: History) -> tuple[tuple[acts.Act, ...], int]:
-    """Return the acts that the history holds whole, and the number of its other faults."""
+    """Return the acts that can be decoded from the history, and the number of other faults."""
     found: list[acts.Act] = []
     left_out = 0
     for event in history.events:
@@ -118,9 +118,9 @@
 
 
 def outcomes_of(trace: Trace, history: History) -> list[bytes]:
-    """Return outcomes that ``history`` reached: every property, and the fraction answered by class.
+    """Return outcomes that ``history`` meets: all invariants and each class's answered fraction.
 
-    Shares are stated with a margin of :data:`MARGIN`.
+    The fractions are lowered by :data:`FRACTION_MARGIN`.
     """
     lines = [
         encode_line(OutcomesHeader(version=OUTCOMES_VERSION, trace=trace.header.name)),
@@ -135,12 +135,12 @@
             if record.importance.name.lower() == name
         ]
         if fractions:
-            least = max(round(sum(fractions) / len(fractions) - MARGIN, 3), 0.0)
+            least = max(round(sum(fractions) / len(fractions) - FRACTION_MARGIN, 3), 0.0)
             lines.append(encode_line(ClassOutcome(importance=name, answered_at_least=least)))
     return lines
 
 
-def _listed(arrival: Arrival) -> TraceArrival:
+def _trace_arrival(arrival: Arrival) -> TraceArrival:
     return TraceArrival(
         time=arrival.time,
         root=arrival.root,
--- a/src/finchshed/replay/recovery.py
+++ b/src/finchshed/replay/recovery.py
@@ -1,6 +1,6 @@
-"""When goodput has come back after an overload.
+"""Measures how long goodput takes to recover after an overload.
 
-Owns the rule of recovery; it is given sorted times of answers and arrivals, and holds no state.
+Pure functions over sorted times of answers and arrivals.
 """
 
 from bisect import bisect_left
@@ -10,29 +10,29 @@
 import msgspec
 
 RECOVERY_WINDOW_SECONDS: Final = 0.5
-"""Seconds in which goodput must be back; chosen, not measured."""
+"""Length of the first window in which goodput must have recovered."""
 RECOVERY_STEP_SECONDS: Final = 0.05
-"""Seconds between the windows tried, the resolution of the result; chosen, not measured."""
+"""Distance between tried windows, which is the resolution of the result."""
 RECOVERY_SUSTAINED_SECONDS: Final = 2.0
-"""Seconds for which goodput must stay; chosen, not measured."""
+"""Time for which goodput must stay at the recovered rate."""
 RECOVERED_FRACTION: Final = 0.95
-"""Part of the former goodput that counts as recovered; chosen, not measured."""
+"""Fraction of the former goodput that counts as recovered."""
 RELAPSE_FRACTION: Final = 0.85
-"""Goodput that falls below this part of the former, after it had come back, hadn't come back.
+"""Goodput below this fraction of the former is a relapse, which voids an earlier recovery.
 
-Without it a burst of repeats counted as recovered after 0.7 s (docs/design/overload-recovery.md).
+Keeps a short burst of retries from counting as recovery (docs/design/overload-recovery.md).
 """
 
 
 class Period(msgspec.Struct, frozen=True):
-    """A stretch of a run, seconds."""
+    """Time interval of a run, in seconds."""
 
     start: float
     end: float
 
     @property
     def seconds(self) -> float:
-        """Length of the period."""
+        """Length of the period in seconds."""
         return self.end - self.start
 
 
@@ -43,26 +43,26 @@
     end: float,
     arrived: Sequence[float] = (),
 ) -> float | None:
-    """Return the time from ``trigger_end`` until goodput is 95% of ``before`` and stays there.
+    """Return the time from ``trigger_end`` until goodput stays at 95% of ``before`` or more.
 
-    Goodput is counted in windows of half a second; the time is that of the first good window's
-    end, so the smallest figure is half a second. A burst of repeats that answers much for a moment
-    is no recovery: the mean over the sustained time from the window's start must be good as well,
-    and no later stretch of that length may fall below :data:`RELAPSE_FRACTION`.
+    The time ends with the first window of half a second that has recovered, so half a second is
+    the minimum. To exclude bursts of retries, the mean over the sustained time from the window's
+    start must have recovered too, and no later period of that length may fall below
+    :data:`RELAPSE_FRACTION`.
 
     Parameters
     ----------
     finished
-        Sorted times of whole answers.
+        Sorted times of complete responses.
     before
         Answers per second before the trigger.
     arrived
-        Sorted times of arrivals, if known: a stretch in which little was asked for is no relapse.
+        Sorted times of arrivals, if known: low demand then doesn't count as a relapse.
 
     Returns
     -------
     float or None
-        Seconds, or None if goodput doesn't recover until ``end``.
+        Seconds, or None if goodput doesn't recover by ``end``.
     """
     needed = RECOVERED_FRACTION * before
     start = max(trigger_end, _last_relapse(finished, before, trigger_end, end, arrived))
@@ -82,14 +82,14 @@
     end: float,
     arrived: Sequence[float],
 ) -> float:
-    """Return the start of the last stretch in which goodput was far below the former."""
-    ordinary = before * RECOVERY_SUSTAINED_SECONDS
+    """Return the start of the last relapse, or ``trigger_end`` if there was none."""
+    former = before * RECOVERY_SUSTAINED_SECONDS
     last = trigger_end
     start = trigger_end
     while start + RECOVERY_SUSTAINED_SECONDS <= end:
-        stretch = Period(start, start + RECOVERY_SUSTAINED_SECONDS)
-        wanted = min(ordinary, _count(arrived, stretch)) if arrived else ordinary
-        if _count(finished, stretch) < RELAPSE_FRACTION * wanted:
+        period = Period(start, start + RECOVERY_SUSTAINED_SECONDS)
+        demanded = min(former, _count(arrived, period)) if arrived else former
+        if _count(finished, period) < RELAPSE_FRACTION * demanded:
             last = start
         start += RECOVERY_STEP_SECONDS
     return last
--- a/src/finchshed/replay/trace.py
+++ b/src/finchshed/replay/trace.py
@@ -1,4 +1,4 @@
-"""Traces: arrivals, faults and operators' acts as JSON lines.
+"""Trace format: arrivals, faults and operator actions as JSON lines.
 
 The first line is a :class:`TraceHeader`; the other lines are arrivals, spans of load, and acts
 (:mod:`finchshed.emulator.acts`), in any order. The format is documented for operators in
@@ -16,7 +16,7 @@
 from finchshed.emulator.deployment import Deployment
 from finchshed.emulator.presets import PRESETS
 from finchshed.emulator.world import endpoints_of
-from finchshed.replay.lines import Problems, decode_all, read_lines, unknown
+from finchshed.replay.lines import Problems, decode_lines, read_lines, unknown_name_message
 
 TRACE_VERSION: Final = 1
 
@@ -36,15 +36,15 @@
     Attributes
     ----------
     deployment
-        Name of a deployment that ships with finchshed, or a whole one.
+        Name of a built-in deployment, or a complete definition.
     seed
-        Seed of whatever the trace leaves open: service times, jitter, arrivals of loads.
+        Seed of everything random: service times, jitter and generated arrivals.
     control_nodes
         Control nodes to emulate; 0 emulates a control plane that never fails.
     settle_seconds
-        Time the replay goes on after the last arrival or act.
+        Time for which the replay continues after the last arrival or act.
     client
-        How outside clients repeat requests that weren't answered.
+        Retry policy of the external clients.
     """
 
     version: int
@@ -66,19 +66,19 @@
     forbid_unknown_fields=True,
     tag="arrival",
 ):
-    """One root request from outside.
+    """One root request of an external client.
 
     Attributes
     ----------
     root
-        Name of the request, unique in the trace; outcomes are stated by it.
+        Name of the request, unique in the trace; outcomes refer to it.
     kind
         Kind of request, one of the deployment's.
     zone
-        Zone of the edge it comes to.
+        Zone of the edge that receives it.
     key
-        For a request that may not be repeated: any text; requests with the same text are the same
-        request to the ledger. Empty gives the request a key of its own.
+        Idempotency key of a non-repeatable request, any text. The ledger treats requests with equal
+        keys as one request. If empty, a unique key is generated.
     """
 
     time: Seconds
@@ -110,9 +110,9 @@
     forbid_unknown_fields=True,
     tag="load",
 ):
-    """Ordinary requests, drawn from the seed: ``factor`` times the deployment's usual demand.
+    """Requests generated from the seed at ``factor`` times the deployment's usual rate.
 
-    Where spans overlap their requests add up.
+    Overlapping loads add up.
     """
 
     time: Seconds
@@ -128,7 +128,7 @@
 
 
 class Trace(msgspec.Struct, frozen=True):
-    """A whole trace, checked against its deployment."""
+    """A trace that was validated against its deployment."""
 
     header: TraceHeader
     deployment: Deployment
@@ -156,12 +156,12 @@
 
 
 def read_trace(path: Path) -> Trace:
-    """Read and check a trace.
+    """Read and validate a trace.
 
     Raises
     ------
     SettingsError
-        With one line for each problem, each with the file and the line's number.
+        With one message for each problem, which names the file and the line.
     """
     (first, header_line), *rest = read_lines(path)
     problems = Problems(path)
@@ -176,7 +176,7 @@
     loads: list[Load] = []
     found: list[acts.Act] = []
     roots: dict[str, int] = {}
-    for number, event in decode_all(rest, _line_decoder, problems):
+    for number, event in decode_lines(rest, _line_decoder, problems):
         for problem in names.problems_of(event):
             problems.add(number, problem)
         if isinstance(event, TraceArrival):
@@ -209,12 +209,12 @@
         return header.deployment
     deployment = PRESETS.get(header.deployment)
     if deployment is None:
-        problems.add(number, unknown("deployment", header.deployment, list(PRESETS)))
+        problems.add(number, unknown_name_message("deployment", header.deployment, list(PRESETS)))
     return deployment
 
 
 class _Names:
-    """The names that a trace may use."""
+    """Names that the events of a trace may refer to."""
 
     def __init__(self, deployment: Deployment, header: TraceHeader) -> None:
         self._kinds = [kind.name for kind in deployment.kinds]
@@ -230,7 +230,7 @@
         self._control = [*control, "leader", "follower"] if control else []
 
     def problems_of(self, event: TraceLine) -> list[str]:
-        """Return a text for each name in ``event`` that the deployment doesn't have."""
+        """Return an error message for each undefined name in ``event``."""
         allowed = {
             "kind": self._kinds,
             "zone": self._zones,
@@ -243,7 +243,7 @@
         if isinstance(event, acts.Drain):
             allowed["sign"] = ["answer", "operator", "platform"]
         return [
-            unknown(field, getattr(event, field), names)
+            unknown_name_message(field, getattr(event, field), names)
             for field, names in allowed.items()
             if hasattr(event, field) and getattr(event, field) not in names
         ]
--- a/tests/replay/test_documentation.py
+++ b/tests/replay/test_documentation.py
@@ -1,4 +1,4 @@
-"""What the operators' page says about traces is so: its examples work, and it names everything."""
+"""Guards against a traces page with broken examples or missing lines, fields and properties."""
 
 import re
 from pathlib import Path
--- a/tests/replay/test_judge.py
+++ b/tests/replay/test_outcome_checks.py
@@ -1,4 +1,4 @@
-"""Each kind of statement holds where it should, and fails where it should."""
+"""Guards against statements that pass or fail wrongly."""
 
 import msgspec
 import pytest
@@ -14,7 +14,7 @@
     RunBegan,
 )
 from finchshed.proof.history_file import SCHEMA_VERSION, Header, History
-from finchshed.replay.judge import judge
+from finchshed.replay.outcome_checks import check_outcomes
 from finchshed.replay.outcomes import OutcomeLine, Outcomes, OutcomesHeader
 
 
@@ -82,17 +82,17 @@
     statement: OutcomeLine = msgspec.json.decode(line, type=OutcomeLine)
     history = History(Header(SCHEMA_VERSION, "emulator", "t", 1, "0"), events)
     outcomes = Outcomes(OutcomesHeader(version=1), ((2, statement),))
-    (verdict,) = judge(history, outcomes)
+    (verdict,) = check_outcomes(history, outcomes)
     return verdict.problems
 
 
 @pytest.mark.parametrize("line", HELD)
-def test_what_happened_holds(line: str) -> None:
+def test_true_statement_holds(line: str) -> None:
     assert problems(line) == ()
 
 
 @pytest.mark.parametrize("line", MISSED)
-def test_what_did_not_happen_is_told(line: str) -> None:
+def test_false_statement_is_reported(line: str) -> None:
     assert problems(line)
 
 
@@ -105,7 +105,7 @@
     return events
 
 
-def test_recovery_is_told_when_goodput_stays_away() -> None:
+def test_missing_recovery_is_reported() -> None:
     line = (
         '{"type":"recovery","before_begin":0,"before_end":4,"after":4,"within_seconds":1.5,'
         '"share":0.9}'
--- a/tests/replay/test_recording.py
+++ b/tests/replay/test_recording.py
@@ -1,4 +1,4 @@
-"""Recorded traces replay to the history they were recorded from."""
+"""Guards against recorded traces that replay to a different history."""
 
 from pathlib import Path
 
@@ -21,7 +21,7 @@
     assert main.run(["replay", str(path), f"--expect={expect}"]) == ExitCode.OK
 
 
-def test_a_history_gives_its_arrivals_and_faults_back(tmp_path: Path) -> None:
+def test_trace_of_a_history_holds_its_arrivals_and_faults(tmp_path: Path) -> None:
     _, history = run_plan(plan_of("daemon-loss", 1))
     assert history is not None
     trace, left_out = trace_of_history(history, "recorded", MANILA)
@@ -33,7 +33,7 @@
     assert read_trace(path).arrivals == trace.arrivals
 
 
-def test_one_source_is_needed(tmp_path: Path) -> None:
+def test_record_rejects_a_missing_source_and_an_unknown_scenario(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     assert main.run(["record", str(path)]) == ExitCode.USAGE
     assert main.run(["record", str(path), "--scenario=none"]) == ExitCode.USAGE
--- a/tests/replay/test_shipped_traces.py
+++ b/tests/replay/test_shipped_traces.py
@@ -1,4 +1,4 @@
-"""Each trace that ships comes to what is stated for it."""
+"""Guards against shipped traces that no longer meet their outcomes files."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 from finchshed.emulator.presets import BRAZOS_RIDGE, MANILA
 from finchshed.replay.emulated import play
-from finchshed.replay.judge import judge
+from finchshed.replay.outcome_checks import check_outcomes
 from finchshed.replay.outcomes import PropertyOutcome, read_outcomes
 from finchshed.replay.trace import read_trace
 
@@ -39,9 +39,9 @@
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: f"{path.parent.name}-{path.stem}")
-def test_a_shipped_trace_comes_to_what_is_stated(path: Path) -> None:
+def test_shipped_trace_meets_its_outcomes(path: Path) -> None:
     trace = read_trace(path)
     outcomes = read_outcomes(outcomes_path(path), trace)
     assert any(isinstance(stated, PropertyOutcome) for _, stated in outcomes.statements)
-    failed = [verdict for verdict in judge(play(trace), outcomes) if verdict.problems]
+    failed = [verdict for verdict in check_outcomes(play(trace), outcomes) if verdict.problems]
     assert failed == []
--- a/tests/replay/test_trace.py
+++ b/tests/replay/test_trace.py
@@ -1,4 +1,4 @@
-"""Reading of traces and outcomes, with errors by line."""
+"""Guards against invalid traces and outcomes being accepted or reported without their line."""
 
 from pathlib import Path
 
@@ -26,7 +26,7 @@
     return read_trace(write(folder, *lines))
 
 
-WRONG_LINES = [
+INVALID_LINES = [
     ('{"type":"arrival","time":1}', "root"),
     ('{"type":"arrival","time":-1,"root":"b","kind":"season-rules","zone":"zone-1"}', "time"),
     ('{"type":"arrival","time":1,"root":"b","kind":"no","zone":"zone-1"}', "kind = 'no'"),
@@ -42,8 +42,8 @@
 ]
 
 
-@pytest.mark.parametrize(("line", "text"), WRONG_LINES)
-def test_a_wrong_line_is_told_with_its_number(tmp_path: Path, line: str, text: str) -> None:
+@pytest.mark.parametrize(("line", "text"), INVALID_LINES)
+def test_invalid_line_is_reported_with_its_number(tmp_path: Path, line: str, text: str) -> None:
     with pytest.raises(SettingsError) as caught:
         read(tmp_path, HEADER, ARRIVAL, "", line)
     (problem,) = caught.value.problems
@@ -51,10 +51,10 @@
     assert text in problem
 
 
-def test_every_wrong_line_is_told_at_once(tmp_path: Path) -> None:
+def test_all_invalid_lines_are_reported_together(tmp_path: Path) -> None:
     with pytest.raises(SettingsError) as caught:
-        read(tmp_path, HEADER, *(line for line, _ in WRONG_LINES if "line 2" not in _))
-    assert len(caught.value.problems) == len(WRONG_LINES) - 1
+        read(tmp_path, HEADER, *(line for line, _ in INVALID_LINES if "line 2" not in _))
+    assert len(caught.value.problems) == len(INVALID_LINES) - 1
 
 
 @pytest.mark.parametrize(
@@ -66,19 +66,19 @@
         HEADER.replace('"name":"t",', ""),
     ],
 )
-def test_a_wrong_header_is_told(tmp_path: Path, header: str) -> None:
+def test_invalid_header_is_reported(tmp_path: Path, header: str) -> None:
     with pytest.raises(SettingsError, match=r"t\.jsonl:1: "):
         read(tmp_path, header, ARRIVAL)
 
 
-def test_an_empty_or_missing_file_is_told(tmp_path: Path) -> None:
+def test_empty_or_missing_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match="no header"):
         read(tmp_path, "")
     with pytest.raises(SettingsError, match="No such file"):
         read_trace(tmp_path / "missing.jsonl")
 
 
-def test_the_same_key_text_is_the_same_key_and_none_is_shared(tmp_path: Path) -> None:
+def test_equal_key_texts_share_a_key_and_empty_ones_do_not(tmp_path: Path) -> None:
     purchase = '{"type":"arrival","time":%d,"root":"%s","kind":"purchase","zone":"zone-1"%s}'
     lines = [
         purchase % (1, "a", ',"key":"k"'),
@@ -102,7 +102,7 @@
         ('{"type":"request"}', "root"),
     ],
 )
-def test_a_wrong_outcome_is_told_with_its_line(tmp_path: Path, line: str, text: str) -> None:
+def test_invalid_outcome_is_reported_with_its_line(tmp_path: Path, line: str, text: str) -> None:
     trace = read(tmp_path, HEADER, ARRIVAL)
     with pytest.raises(SettingsError) as caught:
         read_outcomes(write(tmp_path, OUTCOMES, line, name="o.jsonl"), trace)
@@ -110,7 +110,7 @@
     assert text in caught.value.problems[0]
 
 
-def test_outcomes_of_another_trace_or_of_nothing_are_refused(tmp_path: Path) -> None:
+def test_outcomes_of_another_trace_and_empty_outcomes_are_rejected(tmp_path: Path) -> None:
     trace = read(tmp_path, HEADER, ARRIVAL)
     other = OUTCOMES.replace('"t"', '"u"')
     with pytest.raises(SettingsError, match="the trace is 't'"):
@@ -119,7 +119,7 @@
         read_outcomes(write(tmp_path, OUTCOMES, name="o.jsonl"), trace)
 
 
-def test_the_command_says_what_held_and_what_did_not(
+def test_replay_command_prints_the_result_of_each_statement(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     trace = write(tmp_path, HEADER, ARRIVAL)
@@ -127,8 +127,8 @@
     missed = '{"type":"request","root":"a","result":"refused"}'
     expect = write(tmp_path, OUTCOMES, held, missed, name="o.jsonl")
     assert main.run(["replay", str(trace), f"--expect={expect}"]) == ExitCode.FAILED
-    told = capsys.readouterr().out
-    assert f"held   {expect}:2" in told
-    assert f"FAILED {expect}:3" in told
-    assert "it was answered" in told
+    output = capsys.readouterr().out
+    assert f"held   {expect}:2" in output
+    assert f"FAILED {expect}:3" in output
+    assert "it was answered" in output
     assert main.run(["replay", str(trace)]) == ExitCode.OK
--- a/tests/simulation/wasted_work.py
+++ b/tests/simulation/wasted_work.py
@@ -2,7 +2,7 @@
 
 from finchshed.proof.history import RunBegan, RunEnded
 from finchshed.proof.history_file import History
-from finchshed.replay.judge import request_records
+from finchshed.replay.outcome_checks import request_records
 
 
 def wasted_fraction(history: History) -> float:
