--- a/src/finchshed/fleet/fault_run.py
+++ b/src/finchshed/fleet/fault_run.py
@@ -101,12 +101,12 @@
         startup_seconds = time.monotonic() - self._journal.began
         async with FleetObserver(fleet, self._journal) as observer:
             self._findings.first_revision = max(observer.revisions.values(), default=0)
-            _print_progress(f"configuration in force at every daemon after {startup_seconds:.1f} s")
+            _print_progress(f"in force at every daemon after {startup_seconds:.1f} s")
             phases = ", ".join(
                 f"{phase.name} {phase.duration_seconds:g} s x{phase.factor:g}"
                 for phase in self._scenario.phase
             )
-            _print_progress(f"callers send: {phases}; {len(self._scenario.act)} actions")
+            _print_progress(f"callers send: {phases}; {len(self._scenario.act)} acts")
             await self._run_load_and_faults(links, operator, observer)
             self._findings.unexpected_exits = fleet.unexpected_exits()
             self._findings.process_table_problems = process_table.find_process_violations(
--- a/src/finchshed/replay/command.py
+++ b/src/finchshed/replay/command.py
@@ -113,5 +113,5 @@
     recorded = histories.read(Path(history))
     made, left_out = trace_of_history(recorded, Path(history).stem, PRESETS[deployment])
     if left_out:
-        print(f"{left_out} faults are left out: the history doesn't hold their parameters")
+        print(f"{left_out} faults of the history are left out: it doesn't hold them whole")
     return made
--- a/src/finchshed/replay/outcome_checks.py
+++ b/src/finchshed/replay/outcome_checks.py
@@ -177,15 +177,15 @@
                 record.answered - record.arrived for record in records if record.answered < math.inf
             )
             if not latencies:
-                yield "no request was answered"
+                yield "none was answered"
             else:
                 p99 = latencies[min(int(P99_FRACTION * len(latencies)), len(latencies) - 1)]
                 if p99 > stated.p99_seconds_at_most:
-                    yield f"p99 latency was {p99:.3f} s"
+                    yield f"99 in 100 took {p99:.3f} s"
         if stated.attempts_mean_at_most is not None:
             mean = sum(record.attempts for record in records) / len(records)
             if mean > stated.attempts_mean_at_most:
-                yield f"{mean:.2f} attempts per request"
+                yield f"{mean:.2f} attempts a request"
 
     def _property(self, stated: PropertyOutcome) -> Iterator[str]:
         names = CHECKS if stated.check == ALL else (stated.check,)
